--- a/fleetsimulation/controls.go
+++ b/fleetsimulation/controls.go
@@ -190,6 +190,7 @@
 
 func (c *Control) do(d any) {
 	f := c.f
+	f.observeControl(c, d)
 	switch d := d.(type) {
 	case coordinator.Announced:
 		c.end(d.ID, announced(d.OK))
--- a/fleetsimulation/fleet.go
+++ b/fleetsimulation/fleet.go
@@ -7,6 +7,7 @@
 	"net"
 	"slices"
 
+	"stoneford/internal/behaviourhash"
 	"stoneford/ports"
 	"stoneford/sessiontable"
 )
@@ -55,6 +56,9 @@
 	// BeginningRests has a beginning that fails leave its connection at rest, so
 	// that what is sent along with it runs on its own.
 	BeginningRests bool
+	// Observe, where it is set, records what the cores do at their edge: envelopes,
+	// calls to databases and to the platform, and answers. It changes nothing.
+	Observe *behaviourhash.Recorder
 }
 
 var zoneNames = []string{"zone-a", "zone-b", "zone-c"}
--- a/fleetsimulation/nodes.go
+++ b/fleetsimulation/nodes.go
@@ -122,6 +122,7 @@
 
 func (n *Node) do(d sessiontable.Effect) {
 	f := n.f
+	f.observeNode(n, d)
 	switch d := d.(type) {
 	case sessiontable.Reply:
 		s := n.sessions[d.Session]
@@ -169,6 +170,7 @@
 // Envelopes.
 
 func (f *Fleet) sendEnvelope(from string, s step.Send) {
+	f.Plan.Observe.Envelope(f.Now, from, s.To, s.Env)
 	b, err := proto.Marshal(s.Env)
 	if err != nil {
 		panic(err)
--- /dev/null
+++ b/internal/behaviourhash/dutystate.go
@@ -0,0 +1,75 @@
+package behaviourhash
+
+import (
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"stoneford/schema"
+)
+
+var deterministic = proto.MarshalOptions{Deterministic: true}
+
+// encode is an envelope's deterministic encoding. Package duties encodes the state
+// of a duty, which holds maps, with their entries in any order, and sends the bytes
+// on inside of envelopes: these are encoded anew. Nothing but that order is lost.
+func encode(envelope proto.Message) []byte {
+	m := proto.Clone(envelope)
+	orderMessage(m.ProtoReflect())
+	return marshal(m)
+}
+
+func marshal(m proto.Message) []byte {
+	b, err := deterministic.Marshal(m)
+	if err != nil {
+		panic(err)
+	}
+	return b
+}
+
+// orderMessage puts the maps of duty states within a message in order.
+func orderMessage(m protoreflect.Message) {
+	m.Range(func(field protoreflect.FieldDescriptor, v protoreflect.Value) bool {
+		switch {
+		case field.IsMap():
+			orderMap(field, v.Map())
+		case field.IsList():
+			orderList(field, v.List())
+		case field.Message() != nil:
+			orderMessage(v.Message())
+		case field.Kind() == protoreflect.BytesKind:
+			m.Set(field, protoreflect.ValueOfBytes(orderDutyState(v.Bytes())))
+		}
+		return true
+	})
+}
+
+func orderMap(field protoreflect.FieldDescriptor, values protoreflect.Map) {
+	if field.MapValue().Message() == nil {
+		return
+	}
+	values.Range(func(_ protoreflect.MapKey, v protoreflect.Value) bool {
+		orderMessage(v.Message())
+		return true
+	})
+}
+
+func orderList(field protoreflect.FieldDescriptor, values protoreflect.List) {
+	for i := range values.Len() {
+		switch {
+		case field.Message() != nil:
+			orderMessage(values.Get(i).Message())
+		case field.Kind() == protoreflect.BytesKind:
+			values.Set(i, protoreflect.ValueOfBytes(orderDutyState(values.Get(i).Bytes())))
+		}
+	}
+}
+
+// orderDutyState encodes bytes anew if they are a duty state with grants; others
+// are given back as they are.
+func orderDutyState(b []byte) []byte {
+	s := &schema.DutyState{}
+	if proto.Unmarshal(b, s) != nil || s.Holder == "" || s.Grants == nil {
+		return b
+	}
+	return marshal(s)
+}
--- a/simulation/control_process.go
+++ b/simulation/control_process.go
@@ -65,6 +65,7 @@
 		f.Net.Send(c.boot.Listen, s)
 	}
 	for _, d := range fx.Do {
+		f.observeControl(c, d)
 		switch d := d.(type) {
 		case control.Return:
 			if r := f.returns[d.ID]; r != nil {
--- a/simulation/fleet.go
+++ b/simulation/fleet.go
@@ -10,6 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"stoneford/control"
+	"stoneford/internal/behaviourhash"
 	"stoneford/schema"
 	"stoneford/settings"
 )
@@ -38,6 +39,9 @@
 	DelayUs       int64 // greatest delay of one way, 0 for 1500
 	BetweenUs     int64 // added to each way between two zones
 	Plant         Plant
+	// Observe, where it is set, records what the cores do at their edge: envelopes,
+	// calls to databases and to the platform, and answers. It changes nothing.
+	Observe *behaviourhash.Recorder
 }
 
 // Part is one more partner and its groups, whose names must be its own.
@@ -132,7 +136,7 @@
 	}
 	p.TickUs, p.StepUs = cmp.Or(p.TickUs, 50_000), cmp.Or(p.StepUs, 10_000)
 	f := &Fleet{World: w, Cf: &schema.Configuration{}, owner: map[string]string{}, texts: map[string][]byte{}, class: map[string]map[string]string{}, zones: map[string]string{},
-		Net: NewNetwork(w), DBs: map[string]*DB{}, byAddr: map[string]*DB{}, returns: map[uint64]func(control.Return){}, told: map[uint64]func(control.Told){},
+		Net: newObservedNetwork(w, p.Observe), DBs: map[string]*DB{}, byAddr: map[string]*DB{}, returns: map[uint64]func(control.Return){}, told: map[uint64]func(control.Told){},
 		plat: map[string]uint64{}, platT: map[string]string{}, applied: map[string]uint64{}, lastTag: map[string]string{}, lastRead: map[string]string{}, firsts: map[string]*schema.Value{}, PlatformUs: 5_000}
 	parts := append([]Part{{Partner: p.Partner, Groups: p.Groups}}, p.With...)
 	p.Groups = nil
--- a/simulation/node_process.go
+++ b/simulation/node_process.go
@@ -109,6 +109,7 @@
 func (f *Fleet) stepTable(n *nodeProc, group string, evs ...any) {
 	t := n.tables[group]
 	for _, e := range t.Step(f.Now, evs...) {
+		f.observeTable(n, group, e)
 		switch e := e.(type) {
 		case querytable.Return:
 			if w := n.waiters[e.ID]; w != nil {
--- /dev/null
+++ b/simulation/norace_test.go
@@ -0,0 +1,5 @@
+//go:build !race
+
+package simulation_test
+
+const slower = 1
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -8,6 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/internal/behaviourhash"
 	"stoneford/schema"
 	"stoneford/step"
 )
@@ -78,6 +79,7 @@
 	Extra        func(from, to string) int64 // added to the delay between two places
 	cut          map[[2]string]bool
 	Take         func(to string, e *schema.Envelope)
+	observe      *behaviourhash.Recorder // nil: nothing is recorded
 }
 
 // NewNetwork makes a network without faults.
@@ -85,6 +87,13 @@
 	return &Network{W: w, DelayLo: 100, DelayHi: 1500, cut: map[[2]string]bool{}}
 }
 
+// newObservedNetwork makes a network that records every envelope that is sent.
+func newObservedNetwork(w *World, o *behaviourhash.Recorder) *Network {
+	n := NewNetwork(w)
+	n.observe = o
+	return n
+}
+
 // Cut breaks or mends one direction between two places.
 func (n *Network) Cut(from, to string, broken bool) { n.cut[[2]string{from, to}] = broken }
 
@@ -116,6 +125,7 @@
 // Send sends from a place. The envelope is encoded and decoded again, as
 // between real processes.
 func (n *Network) Send(from string, s step.Send) {
+	n.observe.Envelope(n.W.Now, from, s.To, s.Env)
 	if from == s.To {
 		n.W.After(0, func() { n.Take(s.To, s.Env) })
 		return
