--- /dev/null
+++ b/voterlog/stored_test.go
@@ -0,0 +1,319 @@
+package voterlog_test
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"stoneford/paxos"
+	"stoneford/schema"
+	"stoneford/voterlog"
+)
+
+// record writes fixtures that are not there yet. Those that are there are never
+// written again: see testdata/README.md.
+var record = flag.Bool("record", false, "write the fixtures under testdata that are missing")
+
+const (
+	voterA, voterB, voterC = "10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001"
+	lifeA, lifeB, lifeC    = uint64(0xa1a2a3a4a5a6a7a9), uint64(0xb1b2b3b4b5b6b7b9), uint64(0xc1c2c3c4c5c6c7c9)
+)
+
+// storedFolders are the fixtures: what is in each, entry by entry, and what an
+// acceptor and Inspect make of it.
+var storedFolders = []struct {
+	folder   string
+	record   func(t *testing.T, folder string)
+	entries  []string
+	acceptor []string
+	report   string
+}{
+	{
+		folder: "voter", record: recordVoter,
+		entries: []string{
+			// the snapshot that the file begins with
+			"snapshot life a1a2a3a4a5a6a7a9 active 2",
+			"  membership 2: 10.0.0.1:7001=a1a2a3a4a5a6a7a9 10.0.0.2:7001=b1b2b3b4b5b6b7b9 10.0.0.3:7001=c1c2c3c4c5c6c7c9; previous 10.0.0.1:7001=a1a2a3a4a5a6a7a9",
+			`  bookings: promised 2/9/10.0.0.3:7001, accepted 2/4/10.0.0.2:7001, revision 2 [book-2 book-1] "two bookings"`,
+			`  leader/shop/orders: promised 1/3/10.0.0.1:7001, accepted 1/3/10.0.0.1:7001, revision 1 [claim-1] "term one"`,
+			`  membership: promised 1/5/10.0.0.1:7001, accepted 1/5/10.0.0.1:7001, revision 2 [join-1] "\b\x02\x12\x18\n\r10.0.0.1:7001\x11\xa9\xa7\xa6\xa5\xa4\xa3\xa2\xa1\x12\x18\n\r10.0.0.2:7001\x11\xb9\xb7\xb6\xb5\xb4\xb3\xb2\xb1\x12\x18\n\r10.0.0.3:7001\x11\xc9\xc7\xc6\xc5\xc4\xc3\xc2\xc1\x1a\x18\n\r10.0.0.1:7001\x11\xa9\xa7\xa6\xa5\xa4\xa3\xa2\xa1"`,
+			`  routes: promised 1/2/10.0.0.1:7001, accepted 1/2/10.0.0.1:7001, revision 1 [send-1] "first table"`,
+			// the tail behind it
+			"entry life 0 active 0",
+			`  leader/shop/orders: promised 2/6/10.0.0.1:7001, accepted 2/6/10.0.0.1:7001, revision 2 [claim-2 claim-1] "term two"`,
+			"entry life 0 active 0",
+			"  members/shop/orders: promised 2/7/10.0.0.2:7001, accepted -, none",
+			"entry life 0 active 0",
+			`  routes: promised 2/8/10.0.0.3:7001, accepted 2/8/10.0.0.3:7001, revision 2 [send-2 send-1] "second table"`,
+			"entry life 0 active 0",
+			`  routes: promised 2/11/10.0.0.2:7001, accepted 2/8/10.0.0.3:7001, revision 2 [send-2 send-1] "second table"`,
+		},
+		acceptor: []string{
+			"life a1a2a3a4a5a6a7a9 membership 2 active 2 votes true",
+			`  bookings: promised 2/9/10.0.0.3:7001, accepted 2/4/10.0.0.2:7001, revision 2 [book-2 book-1] "two bookings"`,
+			`  leader/shop/orders: promised 2/6/10.0.0.1:7001, accepted 2/6/10.0.0.1:7001, revision 2 [claim-2 claim-1] "term two"`,
+			"  members/shop/orders: promised 2/7/10.0.0.2:7001, accepted -, none",
+			`  routes: promised 2/11/10.0.0.2:7001, accepted 2/8/10.0.0.3:7001, revision 2 [send-2 send-1] "second table"`,
+		},
+		report: "format 3, log-00000000000000000002: 5 frames, 5 entries, 0 torn; life a1a2a3a4a5a6a7a9, membership 2, active 2, 5 registers",
+	},
+	{
+		folder: "founder", record: recordFounder,
+		entries: []string{
+			"entry life a1a2a3a4a5a6a7a9 active 0",
+			"  founders 10.0.0.1:7001=a1a2a3a4a5a6a7a9 10.0.0.2:7001=0 10.0.0.3:7001=0",
+			"entry life a1a2a3a4a5a6a7a9 active 0",
+			"  founders 10.0.0.1:7001=a1a2a3a4a5a6a7a9 10.0.0.2:7001=b1b2b3b4b5b6b7b9 10.0.0.3:7001=0",
+		},
+		acceptor: []string{"life a1a2a3a4a5a6a7a9 membership 0 active 0 votes false"},
+		report:   "format 3, log-00000000000000000001: 2 frames, 2 entries, 0 torn; life a1a2a3a4a5a6a7a9, membership 0, active 0, 0 registers",
+	},
+}
+
+func ballot(membership, round uint64, proposer string) *schema.Ballot {
+	return &schema.Ballot{Membership: membership, Round: round, Proposer: proposer}
+}
+
+func acceptMessage(key string, b *schema.Ballot, revision uint64, data string, changes ...string) *schema.Envelope {
+	return &schema.Envelope{From: b.Proposer, Body: &schema.Envelope_Accept{Accept: &schema.Accept{
+		Key: key, Membership: b.Membership, Ballot: b, Value: &schema.Value{Revision: revision, Changes: changes, Data: []byte(data)}}}}
+}
+
+func prepareMessage(key string, b *schema.Ballot) *schema.Envelope {
+	return &schema.Envelope{From: b.Proposer, Body: &schema.Envelope_Prepare{Prepare: &schema.Prepare{Key: key, Membership: b.Membership, Ballot: b}}}
+}
+
+// recorder is an acceptor whose effects go to a folder.
+type recorder struct {
+	t *testing.T
+	a *paxos.Acceptor
+	l *voterlog.Log
+}
+
+func newRecorder(t *testing.T, folder string, founders ...string) recorder {
+	t.Helper()
+	l, err := voterlog.Open(folder, func(*schema.VoterLog) { t.Fatal("the folder is not empty") })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return recorder{t: t, a: paxos.NewAcceptor(voterA, lifeA, paxos.Place{}, founders), l: l}
+}
+
+func (r recorder) write(fx paxos.Effects) {
+	r.t.Helper()
+	if err := r.l.Write(fx.Log, nil); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+func (r recorder) step(es ...*schema.Envelope) {
+	r.t.Helper()
+	for _, e := range es {
+		r.write(r.a.Step(1, e))
+	}
+}
+
+// recordVoter has a voter form alone, go over to a membership of three, write a
+// snapshot and go on.
+func recordVoter(t *testing.T, folder string) {
+	r := newRecorder(t, folder, voterA)
+	r.write(r.a.Tick(1))
+	next := r.a.Membership().Next(map[string]uint64{voterA: lifeA, voterB: lifeB, voterC: lifeC})
+	r.step(
+		acceptMessage("routes", ballot(1, 2, voterA), 1, "first table", "send-1"),
+		acceptMessage("leader/shop/orders", ballot(1, 3, voterA), 1, "term one", "claim-1"),
+		acceptMessage(paxos.MembershipKey, ballot(1, 5, voterA), 2, string(next.Encode()), "join-1"),
+	)
+	r.write(r.a.Adopt(next))
+	r.step(
+		acceptMessage("bookings", ballot(2, 4, voterB), 2, "two bookings", "book-2", "book-1"),
+		prepareMessage("bookings", ballot(2, 9, voterC)),
+	)
+	if err := r.l.Write([]*schema.VoterLog{r.a.Snapshot()}, nil); err != nil {
+		t.Fatal(err)
+	}
+	r.step(
+		acceptMessage("leader/shop/orders", ballot(2, 6, voterA), 2, "term two", "claim-2", "claim-1"),
+		prepareMessage("members/shop/orders", ballot(2, 7, voterB)),
+		acceptMessage("routes", ballot(2, 8, voterC), 2, "second table", "send-2", "send-1"),
+		prepareMessage("routes", ballot(2, 11, voterB)),
+	)
+	if err := r.l.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// recordFounder has one of three founders hear of one other.
+func recordFounder(t *testing.T, folder string) {
+	r := newRecorder(t, folder, voterA, voterB, voterC)
+	r.write(r.a.Tick(1))
+	r.step(&schema.Envelope{From: voterB, Body: &schema.Envelope_Found{Found: &schema.Found{
+		Founders: []string{voterA, voterB, voterC}, Voters: []*schema.Voter{{Address: voterB, Life: lifeB}}}}})
+	if err := r.l.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func showBallot(b *schema.Ballot) string {
+	if b == nil || b.Round == 0 && b.Proposer == "" && b.Membership == 0 {
+		return "-"
+	}
+	return fmt.Sprintf("%d/%d/%s", b.Membership, b.Round, b.Proposer)
+}
+
+func showCell(c *schema.Cell) string {
+	value := "none"
+	if v := c.Value; v != nil {
+		value = fmt.Sprintf("revision %d %v %q", v.Revision, v.Changes, v.Data)
+	}
+	return fmt.Sprintf("  %s: promised %s, accepted %s, %s", c.Key, showBallot(c.Promised), showBallot(c.Accepted), value)
+}
+
+func showVoters(vs []*schema.Voter) string {
+	var out []string
+	for _, v := range vs {
+		out = append(out, fmt.Sprintf("%s=%x", v.Address, v.Life))
+	}
+	return strings.Join(out, " ")
+}
+
+func showEntry(e *schema.VoterLog) []string {
+	kind := "entry"
+	if e.Snapshot {
+		kind = "snapshot"
+	}
+	out := []string{fmt.Sprintf("%s life %x active %d", kind, e.Life, e.Active)}
+	if m := e.Membership; m != nil {
+		out = append(out, fmt.Sprintf("  membership %d: %s; previous %s", m.Number, showVoters(m.Voters), showVoters(m.Previous)))
+	}
+	if len(e.Founders) > 0 {
+		out = append(out, "  founders "+showVoters(e.Founders))
+	}
+	for _, c := range e.Cells {
+		out = append(out, showCell(c))
+	}
+	return out
+}
+
+// showAcceptor is what an acceptor holds, the membership's register left out.
+func showAcceptor(a *paxos.Acceptor) []string {
+	out := []string{fmt.Sprintf("life %x membership %d active %d votes %t", a.Life(), a.Membership().Number, a.Active(), a.Votes())}
+	for _, c := range a.Snapshot().Cells {
+		if c.Key != paxos.MembershipKey {
+			out = append(out, showCell(c))
+		}
+	}
+	return out
+}
+
+func showReport(r voterlog.Report) string {
+	return fmt.Sprintf("format %d, %s: %d frames, %d entries, %d torn; life %x, membership %d, active %d, %d registers",
+		r.Format, r.File, r.Frames, r.Entries, r.TornBytes, r.Life, r.Membership.GetNumber(), r.Active, len(r.Cells))
+}
+
+func sameLines(t *testing.T, what string, got, want []string) {
+	t.Helper()
+	if !slices.Equal(got, want) {
+		t.Errorf("%s is\n%s\nnot\n%s", what, strings.Join(got, "\n"), strings.Join(want, "\n"))
+	}
+}
+
+// TestStoredFolders: voters' folders that earlier code wrote are read whole: each
+// entry, each register with its ballots, the identity of the disk and the
+// memberships; and an acceptor goes on from them as a control process does.
+func TestStoredFolders(t *testing.T) {
+	for _, x := range storedFolders {
+		t.Run(x.folder, func(t *testing.T) {
+			fixture := filepath.Join("testdata", x.folder)
+			if _, err := os.Stat(fixture); *record && os.IsNotExist(err) {
+				x.record(t, fixture)
+			}
+			folder := filepath.Join(t.TempDir(), "voter")
+			if err := os.CopyFS(folder, os.DirFS(fixture)); err != nil {
+				t.Fatal(err)
+			}
+			report, err := voterlog.Inspect(folder)
+			if err != nil || showReport(report) != x.report {
+				t.Errorf("Inspect: %s, not %s: %v", showReport(report), x.report, err)
+			}
+			var entries []string
+			a := paxos.NewAcceptor(voterA, 12345, paxos.Place{}, nil)
+			l, err := voterlog.Open(folder, func(e *schema.VoterLog) {
+				entries = append(entries, showEntry(e)...)
+				a.Restore(e)
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			sameLines(t, "the log", entries, x.entries)
+			sameLines(t, "the acceptor", showAcceptor(a), x.acceptor)
+			goOn(t, folder, l, a)
+		})
+	}
+}
+
+// goOn has the acceptor write behind the old entries, and reads both again.
+func goOn(t *testing.T, folder string, l *voterlog.Log, a *paxos.Acceptor) {
+	t.Helper()
+	fx := a.Step(1, acceptMessage("routes", ballot(2, 12, voterB), 3, "third table", "send-3"))
+	if err := l.Write(fx.Log, a.Snapshot); err != nil {
+		t.Fatal(err)
+	}
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	back := paxos.NewAcceptor(voterA, 12345, paxos.Place{}, nil)
+	again, err := voterlog.Open(folder, back.Restore)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sameLines(t, "after one more write", showAcceptor(back), showAcceptor(a))
+	if err := again.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestStoredFolderPromises: an acceptor rebuilt from an old folder keeps what that
+// voter promised, and tells what it accepted.
+func TestStoredFolderPromises(t *testing.T) {
+	a := paxos.NewAcceptor(voterA, 12345, paxos.Place{}, nil)
+	folder := filepath.Join(t.TempDir(), "voter")
+	if err := os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "voter"))); err != nil {
+		t.Fatal(err)
+	}
+	l, err := voterlog.Open(folder, a.Restore)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = l.Close() }()
+	for _, x := range []struct {
+		key      string
+		round    uint64
+		given    bool
+		accepted string
+		revision uint64
+	}{
+		{"routes", 10, false, "2/8/10.0.0.3:7001", 2},
+		{"routes", 12, true, "2/8/10.0.0.3:7001", 2},
+		{"bookings", 8, false, "2/4/10.0.0.2:7001", 2},
+		{"bookings", 10, true, "2/4/10.0.0.2:7001", 2},
+		{"members/shop/orders", 6, false, "-", 0},
+		{"leader/shop/orders", 7, true, "2/6/10.0.0.1:7001", 2},
+		{"unheard", 1, true, "-", 0},
+	} {
+		t.Run(fmt.Sprint(x.key, x.round), func(t *testing.T) {
+			fx := a.Step(1, prepareMessage(x.key, ballot(2, x.round, voterB)))
+			if len(fx.Send) != 1 {
+				t.Fatalf("%d replies", len(fx.Send))
+			}
+			p := fx.Send[0].Env.GetPromise()
+			if p.GetGiven() != x.given || showBallot(p.GetAccepted()) != x.accepted || p.GetValue().GetRevision() != x.revision || p.GetLife() != lifeA {
+				t.Errorf("replied %v", p)
+			}
+		})
+	}
+}
