--- /dev/null
+++ b/control/names_test.go
@@ -0,0 +1,31 @@
+package control_test
+
+import (
+	"encoding/json"
+	"testing"
+
+	"stoneford/control"
+	"stoneford/schema"
+)
+
+// TestJSONNames: what operators are told with messages of the schema in it has the names
+// that it had: a field's name in the schema is its name here.
+func TestJSONNames(t *testing.T) {
+	for _, x := range []struct {
+		shape string
+		value any
+		json  string
+	}{
+		{"sentence", control.SentenceReply{Bookings: []*schema.Booking{{Id: 1, Kind: "a", Target: "b", Group: "c", Owner: "d", ProposedBy: "e", AtUs: 2, LengthUs: 3, State: "f", Detail: "g", Identity: "h"}}}, `{"code":0,"text":"","bookings":[{"id":1,"kind":"a","target":"b","group":"c","owner":"d","proposed_by":"e","at_us":2,"length_us":3,"state":"f","detail":"g","identity":"h"}]}`},
+		{"group", control.GroupStatus{Members: []*schema.Member{{Database: "a", Identity: "b", Retiring: "c"}}}, `{"name":"","epoch":0,"phase":"","primary":"","cause":"","duty_holder":"","members":[{"database":"a","identity":"b","retiring":"c"}]}`},
+		{"node", control.NodeStatus{}, `{"address":"","name":"","kind":"","zone":"","partner":"","http":"","alive":false,"leaving":false}`},
+		{"status", control.Status{}, `{"votes":false,"majority":false,"nodes":null,"groups":null}`},
+		{"phases", []string{schema.Phase(0).String(), schema.Phase(1).String(), schema.Phase(2).String()}, `["OPEN","SEALING","PROMOTING"]`},
+	} {
+		t.Run(x.shape, func(t *testing.T) {
+			if b, err := json.Marshal(x.value); err != nil || string(b) != x.json {
+				t.Errorf("it is %s, not %s: %v", b, x.json, err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/fleetstate/names_test.go
@@ -0,0 +1,22 @@
+package fleetstate
+
+import (
+	"encoding/json"
+	"testing"
+
+	"stoneford/ports"
+)
+
+// TestPositionNames: a position, which states tell and read, has the names that it
+// had.
+func TestPositionNames(t *testing.T) {
+	const text = `{"Term":3,"Number":-4}`
+	p := ports.Position{Term: 3, Number: -4}
+	if b, err := json.Marshal(p); err != nil || string(b) != text {
+		t.Errorf("it is %s, not %s: %v", b, text, err)
+	}
+	var back ports.Position
+	if err := json.Unmarshal([]byte(text), &back); err != nil || back != p {
+		t.Errorf("read as %+v: %v", back, err)
+	}
+}
--- a/pool/process.go
+++ b/pool/process.go
@@ -59,9 +59,9 @@
 }
 
 type nodeView struct {
-	Parent string
-	Nodes  int
-	Alive  int
+	Parent string `json:"Parent"`
+	Nodes  int    `json:"Nodes"`
+	Alive  int    `json:"Alive"`
 }
 
 // NewProcess makes a node.
@@ -218,12 +218,12 @@
 }
 
 type tableView struct {
-	Counts   querytable.Counts
-	Sessions int
-	Queries  int
-	Conns    map[string]int
-	Views    []querytable.View
-	Ready    bool // a query could have been served once: a takeover since is no reason to send callers away
+	Counts   querytable.Counts `json:"Counts"`
+	Sessions int               `json:"Sessions"`
+	Queries  int               `json:"Queries"`
+	Conns    map[string]int    `json:"Conns"`
+	Views    []querytable.View `json:"Views"`
+	Ready    bool              `json:"Ready"` // a query could have been served once: a takeover since is no reason to send callers away
 }
 
 func (r *runner) step(now int64, evs []any) {
--- a/ports/ports.go
+++ b/ports/ports.go
@@ -46,8 +46,8 @@
 // Position is a place in a group's log: the term of its primary and the number
 // of the commit. The zero Position is none.
 type Position struct {
-	Term   uint64
-	Number int64
+	Term   uint64 `json:"Term"`
+	Number int64  `json:"Number"`
 }
 
 // Compare orders positions as the log does.
--- a/querytable/members.go
+++ b/querytable/members.go
@@ -327,13 +327,13 @@
 
 // View is what this node knows of one database, for reports and operators.
 type View struct {
-	Name     string
-	Known    bool
-	SilentUs int64
-	Status   Status
-	Leaving  bool
-	Busy     int // connections in use
-	Open     int // of these, by open transactions
+	Name     string `json:"Name"`
+	Known    bool   `json:"Known"`
+	SilentUs int64  `json:"SilentUs"`
+	Status   Status `json:"Status"`
+	Leaving  bool   `json:"Leaving"`
+	Busy     int    `json:"Busy"` // connections in use
+	Open     int    `json:"Open"` // of these, by open transactions
 }
 
 // Views returns what the node knows of each database of the group.
--- a/querytable/table.go
+++ b/querytable/table.go
@@ -155,13 +155,13 @@
 
 // Status is a database's READY or STATUS.
 type Status struct {
-	Identity string
-	Role     string
-	Epoch    uint64
-	LogEpoch uint64
-	Received int64
-	Applied  int64
-	Leaving  bool
+	Identity string `json:"Identity"`
+	Role     string `json:"Role"`
+	Epoch    uint64 `json:"Epoch"`
+	LogEpoch uint64 `json:"LogEpoch"`
+	Received int64  `json:"Received"`
+	Applied  int64  `json:"Applied"`
+	Leaving  bool   `json:"Leaving"`
 }
 
 // Result is one op's return from the database.
@@ -352,11 +352,17 @@
 
 // Counts are a table's counters.
 type Counts struct {
-	Queries, Done                uint64
-	Refused                      uint64 `json:"Bounced"` // the public name
-	Uncertain, Failed            uint64
-	OnReplica, OnPrimary         uint64
-	Polls, Runs, Opens, Replaced uint64
+	Queries   uint64 `json:"Queries"`
+	Done      uint64 `json:"Done"`
+	Refused   uint64 `json:"Bounced"` // the public name
+	Uncertain uint64 `json:"Uncertain"`
+	Failed    uint64 `json:"Failed"`
+	OnReplica uint64 `json:"OnReplica"`
+	OnPrimary uint64 `json:"OnPrimary"`
+	Polls     uint64 `json:"Polls"`
+	Runs      uint64 `json:"Runs"`
+	Opens     uint64 `json:"Opens"`
+	Replaced  uint64 `json:"Replaced"`
 }
 
 // Table is one group's sessions, queries, connections and freshness queue.
--- a/standin/fleet/observe.go
+++ b/standin/fleet/observe.go
@@ -166,6 +166,17 @@
 // Counters are the pool nodes' counts of queries, status polls and envelopes.
 type Counters struct{ Queries, Polls, Sent float64 }
 
+// poolCounts is what is read of a pool node's counts.
+type poolCounts struct {
+	Groups map[string]struct {
+		Counts struct {
+			Queries float64 `json:"Queries"`
+			Polls   float64 `json:"Polls"`
+		} `json:"Counts"`
+	} `json:"groups"`
+	Links map[string]float64 `json:"links"`
+}
+
 // Counters sums what all pool nodes counted so far.
 func (f *Fleet) Counters(ctx context.Context) (c Counters) {
 	for _, n := range f.order {
@@ -173,12 +184,7 @@
 		if p.kind != "stoneford-pool" {
 			continue
 		}
-		var v struct {
-			Groups map[string]struct {
-				Counts struct{ Queries, Polls float64 }
-			}
-			Links map[string]float64
-		}
+		var v poolCounts
 		rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.http+"/v1/counts", nil)
 		if err != nil {
 			continue
--- a/standin/scale-run/fleet.go
+++ b/standin/scale-run/fleet.go
@@ -27,10 +27,12 @@
 
 // sample is one run's figures.
 type sample struct {
-	Nodes, Controls, Repeat int
-	At                      string
-	Figures                 map[string]float64
-	Missing                 []string
+	Nodes    int                `json:"Nodes"`
+	Controls int                `json:"Controls"`
+	Repeat   int                `json:"Repeat"`
+	At       string             `json:"At"`
+	Figures  map[string]float64 `json:"Figures"`
+	Missing  []string           `json:"Missing"`
 }
 
 func fleet(ctx context.Context, o options) error {
