--- /dev/null
+++ b/coordinator/stored_test.go
@@ -0,0 +1,147 @@
+package coordinator
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"stoneford/paxos"
+	"stoneford/ports"
+	"stoneford/roster"
+	"stoneford/schema"
+	"stoneford/voterlog"
+	"stoneford/voterview"
+)
+
+// record writes a fixture that is not there yet. One that is there is never
+// written again: see testdata/README.md.
+var record = flag.Bool("record", false, "write the fixture under testdata if it is missing")
+
+// readAs reads a register's data as another message of the type.
+func readAs(m proto.Message) func(v *schema.Value) proto.Message {
+	return func(v *schema.Value) proto.Message {
+		out := m.ProtoReflect().New().Interface()
+		if proto.Unmarshal(v.GetData(), out) != nil {
+			return nil
+		}
+		return out
+	}
+}
+
+// storedRegisters are the registers of the fixture, by their keys on disk, and how
+// each is read.
+var storedRegisters = []struct {
+	key     string
+	message proto.Message
+	read    func(v *schema.Value) proto.Message
+}{
+	{"leader/orders", &schema.Leadership{Term: 6, Primary: "db-2", Address: "10.0.1.2:5432", Phase: 1, Holder: "10.0.0.3:7001", Fence: 12, Cause: "it is silent",
+		ExpectUs: 1_500_001, Old: "db-1", SealRev: 44, Asked: true, Table: 30, HolderRun: 99},
+		func(v *schema.Value) proto.Message { return voterview.Leadership(voterview.Chosen{Data: v.GetData()}) }},
+	{"members/orders", &schema.Members{Ids: []string{"db-1", "db-2", "db-3"}}, readAs(&schema.Members{})},
+	{"move/orders", &schema.Move{To: "zone-2", From: "zone-1", Table: 31, Phase: 2, Cause: "asked for"}, readAs(&schema.Move{})},
+}
+
+// TestRegisterKeys: registers and records are found under the keys that they were
+// stored and sent under.
+func TestRegisterKeys(t *testing.T) {
+	for _, x := range []struct{ what, key, want string }{
+		{"membership", paxos.MembershipKey, "membership"},
+		{"routing table", voterview.TableKey, "routes"},
+		{"leaderships", voterview.LeaderPrefix, "leader/"},
+		{"members", voterview.MembersPrefix, "members/"},
+		{"moves", voterview.MovePrefix, "move/"},
+		{"databases", voterview.DatabasePrefix, "database/"},
+		{"nodes", roster.NodePrefix, "node/"},
+		{"suspicions", roster.SuspectPrefix, "suspect/"},
+		{"reports", roster.ReportPrefix, "report/"},
+		{"applied revisions", roster.AppliedPrefix, "applied/"},
+	} {
+		if x.key != x.want {
+			t.Errorf("%s: the key is %q, not %q", x.what, x.key, x.want)
+		}
+	}
+}
+
+// recordVoter writes a voter's folder that holds the registers, each one before
+// its last entry with an earlier value.
+func recordVoter(t *testing.T, folder string) {
+	t.Helper()
+	l, err := voterlog.Open(folder, func(*schema.VoterLog) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	v := []*schema.Voter{{Address: "10.0.0.1:7001", Life: 21}, {Address: "10.0.0.2:7001", Life: 22}, {Address: "10.0.0.3:7001", Life: 23}}
+	first := &schema.VoterLog{Snapshot: true, Life: 21, Active: 4, Membership: &schema.Membership{Number: 4, Voters: v, Previous: v[:1]}}
+	es := [][]*schema.VoterLog{{first}}
+	for i, x := range storedRegisters {
+		b, err := proto.MarshalOptions{Deterministic: true}.Marshal(x.message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		at := &schema.Ballot{Membership: 4, Round: uint64(10 + i), Proposer: "10.0.0.2:7001"}
+		first.Cells = append(first.Cells, &schema.Cell{Key: x.key, Promised: at, Accepted: at, Value: &schema.Value{Revision: 1, Data: []byte("earlier")}})
+		later := &schema.Ballot{Membership: 4, Round: uint64(20 + i), Proposer: "10.0.0.3:7001"}
+		es = append(es, []*schema.VoterLog{{Cells: []*schema.Cell{{Key: x.key, Promised: later, Accepted: later,
+			Value: &schema.Value{Revision: uint64(2 + i), Changes: []string{"change-" + x.key}, Data: b}}}}})
+	}
+	for _, e := range es {
+		if err := l.Write(e, nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// holds compares what a process restored from the fixture holds.
+func holds(t *testing.T, s *schema.VoterLog) {
+	t.Helper()
+	if s.Life != 21 || s.Active != 4 || s.Membership.GetNumber() != 4 || len(s.Membership.GetVoters()) != 3 || len(s.Cells) != len(storedRegisters) {
+		t.Fatalf("life %d, active %d, membership %v, %d registers", s.Life, s.Active, s.Membership, len(s.Cells))
+	}
+	for i, x := range storedRegisters {
+		t.Run(x.key, func(t *testing.T) {
+			at := slices.IndexFunc(s.Cells, func(c *schema.Cell) bool { return c.Key == x.key })
+			if at < 0 {
+				t.Fatal("it is not there")
+			}
+			c := s.Cells[at]
+			if c.Value.GetRevision() != uint64(2+i) || !slices.Equal(c.Value.GetChanges(), []string{"change-" + x.key}) || c.Accepted.GetRound() != uint64(20+i) || c.Promised.GetProposer() != "10.0.0.3:7001" {
+				t.Errorf("the register is %v", c)
+			}
+			if got := x.read(c.Value); !proto.Equal(got, x.message) {
+				t.Errorf("read as %v, not %v", got, x.message)
+			}
+		})
+	}
+}
+
+// TestStoredData: a data folder that earlier code wrote is read whole by a process
+// that starts on it.
+func TestStoredData(t *testing.T) {
+	fixture := filepath.Join("testdata", "data")
+	if _, err := os.Stat(fixture); *record && os.IsNotExist(err) {
+		if err := os.MkdirAll(fixture, 0o755); err != nil {
+			t.Fatal(err)
+		}
+		recordVoter(t, filepath.Join(fixture, "voter"))
+	}
+	folder := t.TempDir()
+	if err := os.CopyFS(folder, os.DirFS(fixture)); err != nil {
+		t.Fatal(err)
+	}
+	var es []*schema.VoterLog
+	l, err := voterlog.Open(filepath.Join(folder, "voter"), func(e *schema.VoterLog) { es = append(es, e) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = l.Close() }()
+	b := ports.Boot{Name: "control-1", Zone: "zone-1", IP: "10.0.0.1", Seeds: []string{"10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001"}}
+	holds(t, Restore(b, es, 1, 2).Snapshot())
+}
--- /dev/null
+++ b/routingtable/stored_test.go
@@ -0,0 +1,67 @@
+package routingtable_test
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"stoneford/ports"
+	"stoneford/routingtable"
+)
+
+// record writes fixtures that are not there yet. Those that are there are never
+// written again: see testdata/README.md.
+var record = flag.Bool("record", false, "write the fixtures under testdata that are missing")
+
+func storedTable(routes int) ports.RoutingTable {
+	t := ports.RoutingTable{
+		Revision:   41,
+		Groups:     []ports.Group{{Name: "orders", ConnLimit: 60, Sync: 1, Source: []byte(`{"Name":"orders"}`)}},
+		Limits:     ports.Limits{IdleUs: 15_000_001, TxIdleUs: 3_000_002, Source: []byte(`{"IdleMs":1}`)},
+		Placements: []ports.Placement{{Group: "orders", Site: "zone-2", Table: 30, From: "zone-1", Back: true}},
+		Taken:      []ports.TakenOrder{{Revision: 40, Digest: "digest-a"}, {Revision: 41, Digest: "digest-b"}},
+		Forgotten:  39,
+	}
+	for i := range routes {
+		t.Routes = append(t.Routes, ports.Route{Name: fmt.Sprint("r-", i), Host: fmt.Sprint("host-", i), Prefix: "/p", Kind: 2, Group: "orders", ExpiryUs: 800_001,
+			AimUs: 300_002, StaleUs: 1_500_003, Rank: 4, Tries: 5, Source: []byte(`{"Name":"r"}`)})
+	}
+	return t
+}
+
+// TestStoredTables: tables that earlier code stored are read whole, small ones as
+// they are and larger ones packed; and small ones are written to the same bytes.
+func TestStoredTables(t *testing.T) {
+	for _, x := range []struct {
+		fixture string
+		packed  bool
+		table   ports.RoutingTable
+	}{
+		{"plain", false, storedTable(1)},
+		{"packed", true, storedTable(40)},
+	} {
+		t.Run(x.fixture, func(t *testing.T) {
+			file := filepath.Join("testdata", x.fixture+".bin")
+			if _, err := os.Stat(file); *record && os.IsNotExist(err) {
+				if err := os.WriteFile(file, routingtable.Encode(x.table), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			b, err := os.ReadFile(file)
+			if err != nil || (b[0] == 0) != x.packed {
+				t.Fatalf("packed is not %t: %v", x.packed, err)
+			}
+			got, err := routingtable.Decode(b)
+			if err != nil || !reflect.DeepEqual(got, x.table) {
+				t.Errorf("read as %+v, not %+v: %v", got, x.table, err)
+			}
+			if back := routingtable.Encode(got); !x.packed && !bytes.Equal(back, b) {
+				t.Errorf("written again it is %x, not %x", back, b)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/standin/databasecopy/stored_test.go
@@ -0,0 +1,89 @@
+package databasecopy
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+// record writes fixtures that are not there yet. Those that are there are never
+// written again: see testdata/README.md.
+var record = flag.Bool("record", false, "write the fixtures under testdata that are missing")
+
+// recordCopy has a copy follow, take commits, lose one to the next primary, and be
+// promoted.
+func recordCopy(t *testing.T, folder string) {
+	t.Helper()
+	s, err := NewServer("orders-a", "identity-1", folder, 10, nil, Faults{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	step := func(do func(c *Copy) (cut, ok bool)) {
+		t.Helper()
+		had := s.c.Received()
+		cut, ok := do(s.c)
+		if !ok {
+			t.Fatal("refused")
+		}
+		if cut {
+			had = 2
+		}
+		if err := s.keep(had, cut); err != nil {
+			t.Fatal(err)
+		}
+	}
+	put := int64(9)
+	step(func(c *Copy) (bool, bool) { return false, c.Follow(3, "10.0.0.2:6001") })
+	step(func(c *Copy) (bool, bool) {
+		return c.Take(3, 0, []LogEntry{
+			{Epoch: 3, AtUs: 1001},
+			{Epoch: 3, Writes: []Write{{Relation: "ledger", Key: "tag-1", Add: 1}, {Relation: "stock", Key: "bolt", Add: -4}}, AtUs: 1002},
+			{Epoch: 3, Writes: []Write{{Relation: "ledger", Key: "lost", Add: 1}}, AtUs: 1003},
+		})
+	})
+	step(func(c *Copy) (bool, bool) { return false, c.Follow(4, "10.0.0.3:6001") })
+	step(func(c *Copy) (bool, bool) {
+		return c.Take(4, 2, []LogEntry{{Epoch: 4, Writes: []Write{{Relation: "stock", Key: "nut", Put: &put}}, AtUs: 1004}})
+	})
+	step(func(c *Copy) (bool, bool) { return false, c.Promote(5, "identity-1", 1005) })
+	if err := s.w.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestStoredCopy: a folder that earlier code wrote is read whole: whom the copy
+// followed, its epoch and identity, each commit, and that one was cut off.
+func TestStoredCopy(t *testing.T) {
+	fixture := filepath.Join("testdata", "copy")
+	if _, err := os.Stat(fixture); *record && os.IsNotExist(err) {
+		recordCopy(t, fixture)
+	}
+	folder := filepath.Join(t.TempDir(), "copy")
+	if err := os.CopyFS(folder, os.DirFS(fixture)); err != nil {
+		t.Fatal(err)
+	}
+	s, err := NewServer("orders-a", "another", folder, 10, nil, Faults{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = s.w.Close() }()
+	if want := (Kept{Identity: "identity-1", Epoch: 5, Primary: true}); s.c.Kept != want {
+		t.Errorf("kept is %+v, not %+v", s.c.Kept, want)
+	}
+	put := int64(9)
+	want := []LogEntry{
+		{Epoch: 3, AtUs: 1001},
+		{Epoch: 3, Writes: []Write{{Relation: "ledger", Key: "tag-1", Add: 1}, {Relation: "stock", Key: "bolt", Add: -4}}, AtUs: 1002},
+		{Epoch: 4, Writes: []Write{{Relation: "stock", Key: "nut", Put: &put}}, AtUs: 1004},
+		{Epoch: 5, AtUs: 1005},
+	}
+	if got := s.c.Log(0); !reflect.DeepEqual(got, want) {
+		t.Errorf("the log is %+v, not %+v", got, want)
+	}
+	rows := map[string]map[string]int64{"ledger": {"tag-1": 1}, "stock": {"bolt": -4, "nut": 9}}
+	if !reflect.DeepEqual(s.c.rows, rows) {
+		t.Errorf("the rows are %v, not %v", s.c.rows, rows)
+	}
+}
