--- a/bootfile/bootfile_test.go
+++ b/bootfile/bootfile_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -106,3 +107,16 @@
 		}
 	})
 }
+
+// TestFlagNames: the daemons' flags, which are made of the schema's field names, are
+// those that scripts give.
+func TestFlagNames(t *testing.T) {
+	var got []string
+	for _, f := range Flags() {
+		got = append(got, f.Names()...)
+	}
+	want := []string{"boot", "name", "zone", "partner", "listen", "http", "seeds", "data-folder", "platform", "bind", "bind-http", "log-level"}
+	if !slices.Equal(got, want) {
+		t.Errorf("they are %v, not %v", got, want)
+	}
+}
--- /dev/null
+++ b/control/metrics_test.go
@@ -0,0 +1,32 @@
+package control
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+)
+
+// TestMetricNames: the metrics have the names and labels that dashboards ask for.
+func TestMetricNames(t *testing.T) {
+	for _, x := range []struct {
+		desc         *prometheus.Desc
+		name, labels string
+	}{
+		{dVotes, "stoneford_control_votes", "{}"},
+		{dRevision, "stoneford_control_revision", "{register}"},
+		{dEpoch, "stoneford_control_group_epoch", "{group}"},
+		{dOpen, "stoneford_control_group_open", "{group}"},
+		{dDuties, "stoneford_control_duties", "{}"},
+		{dNodes, "stoneford_control_nodes", "{standing}"},
+		{dRecords, "stoneford_control_records", "{}"},
+		{dEnv, "stoneford_control_envelopes_total", "{way}"},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			s := x.desc.String()
+			if !strings.Contains(s, `fqName: "`+x.name+`"`) || !strings.Contains(s, "variableLabels: "+x.labels) {
+				t.Errorf("it is %s, not %s%s", s, x.name, x.labels)
+			}
+		})
+	}
+}
