--- a/bootfile/bootfile.go
+++ b/bootfile/bootfile.go
@@ -24,20 +24,20 @@
 // Flags are the command-line flags every daemon has: one for each single
 // setting, over whatever the file says.
 func Flags() []cli.Flag {
-	fs := []cli.Flag{&cli.StringFlag{Name: "boot", Usage: "boot `FILE` in JSON"}}
-	ds := (&schema.Boot{}).ProtoReflect().Descriptor().Fields()
-	for i := range ds.Len() {
-		f := ds.Get(i)
-		u := settings.Meta(f).GetDoc()
+	flags := []cli.Flag{&cli.StringFlag{Name: "boot", Usage: "boot `FILE` in JSON"}}
+	fields := (&schema.Boot{}).ProtoReflect().Descriptor().Fields()
+	for i := range fields.Len() {
+		f := fields.Get(i)
+		u := settings.FieldSetting(f).GetDoc()
 		switch {
 		case f.IsMap():
 		case f.IsList():
-			fs = append(fs, &cli.StringFlag{Name: flagName(string(f.Name())), Usage: u + ", separated by commas"})
+			flags = append(flags, &cli.StringFlag{Name: flagName(string(f.Name())), Usage: u + ", separated by commas"})
 		default:
-			fs = append(fs, &cli.StringFlag{Name: flagName(string(f.Name())), Usage: u})
+			flags = append(flags, &cli.StringFlag{Name: flagName(string(f.Name())), Usage: u})
 		}
 	}
-	return fs
+	return flags
 }
 
 func flagName(n string) string { return strings.ReplaceAll(n, "_", "-") }
@@ -54,12 +54,12 @@
 			return nil, errs.New("%s: %v", p, err)
 		}
 	}
-	ds := (&schema.Boot{}).ProtoReflect().Descriptor().Fields()
-	for i := range ds.Len() {
-		n := string(ds.Get(i).Name())
+	fields := (&schema.Boot{}).ProtoReflect().Descriptor().Fields()
+	for i := range fields.Len() {
+		n := string(fields.Get(i).Name())
 		if v := c.String(flagName(n)); v != "" && c.IsSet(flagName(n)) {
 			m[n] = v
-			if ds.Get(i).IsList() {
+			if fields.Get(i).IsList() {
 				m[n] = strings.Split(v, ",")
 			}
 		}
@@ -85,11 +85,11 @@
 // Check reads a boot from JSON text.
 func Check(b []byte) (*schema.Boot, error) {
 	s := &schema.Boot{}
-	var g errs.Group
+	var problems errs.Group
 	for _, p := range settings.Read(b, s) {
-		g.Add(fmt.Errorf("boot: %s", p))
+		problems.Add(fmt.Errorf("boot: %s", p))
 	}
-	return s, g.Err()
+	return s, problems.Err()
 }
 
 // Watch calls changed with each new reading of the file that differs from the
--- a/bootfile/bootfile_test.go
+++ b/bootfile/bootfile_test.go
@@ -26,10 +26,10 @@
 	}
 }
 
-// TestChangesAreNoticed: a file that is rewritten in place with no signal, well,
+// TestWatchReportsChanges: a file that is rewritten in place with no signal, well,
 // half, with a wrong value, and back, is read anew each time; a bad one is told and
 // the next good one still comes.
-func TestChangesAreNoticed(t *testing.T) {
+func TestWatchReportsChanges(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "boot.json")
 	write := func(s string) {
 		t.Helper()
@@ -51,7 +51,7 @@
 			return err
 		}
 		go Watch(ctx, c, known, func(b *schema.Boot, err error) { ch <- seen{b, err} })
-		for _, s := range []struct{ text, level, says string }{
+		for _, s := range []struct{ text, level, errorText string }{
 			{strings.Replace(good, "warn", "debug", 1), "debug", ""},
 			{good[:len(good)/2], "", "boot.json"},
 			{strings.Replace(good, "warn", "loud", 1), "", "log_level"},
@@ -61,10 +61,10 @@
 			select {
 			case v := <-ch:
 				switch {
-				case s.says == "" && (v.err != nil || v.b.LogLevel != s.level):
+				case s.errorText == "" && (v.err != nil || v.b.LogLevel != s.level):
 					t.Errorf("%s: %v %v", s.level, v.b, v.err)
-				case s.says != "" && (v.err == nil || !strings.Contains(v.err.Error(), s.says)):
-					t.Errorf("an error that names %s: %v", s.says, v.err)
+				case s.errorText != "" && (v.err == nil || !strings.Contains(v.err.Error(), s.errorText)):
+					t.Errorf("an error that names %s: %v", s.errorText, v.err)
 				}
 			case <-time.After(time.Minute):
 				t.Fatalf("%.40s was not noticed", s.text)
@@ -74,8 +74,8 @@
 	})
 }
 
-// TestFlagsWin: a flag stands over the file, lists too, and all is checked.
-func TestFlagsWin(t *testing.T) {
+// TestFlagsOverrideFile: a flag stands over the file, lists too, and all is checked.
+func TestFlagsOverrideFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "boot.json")
 	if err := os.WriteFile(file, []byte(good), 0o644); err != nil {
 		t.Fatal(err)
--- a/cmd/stoneford-simulate/main.go
+++ b/cmd/stoneford-simulate/main.go
@@ -48,7 +48,7 @@
 }
 
 func run(_ context.Context, c *cli.Command) error {
-	k, ok := whatif.Examples[c.String("example")]
+	scenario, ok := whatif.Examples[c.String("example")]
 	if !ok {
 		return fmt.Errorf("no example %q", c.String("example"))
 	}
@@ -64,32 +64,32 @@
 			}
 			return fmt.Errorf("%s has errors", p)
 		}
-		k.Plan.Configuration = b
-		k.Plan.Zones = nil
+		scenario.Plan.Configuration = b
+		scenario.Plan.Zones = nil
 		for _, n := range slices.Sorted(maps.Keys(cf.Databases)) {
-			if z := cf.Databases[n].Zone; !slices.Contains(k.Plan.Zones, z) {
-				k.Plan.Zones = append(k.Plan.Zones, z)
+			if z := cf.Databases[n].Zone; !slices.Contains(scenario.Plan.Zones, z) {
+				scenario.Plan.Zones = append(scenario.Plan.Zones, z)
 			}
 		}
 	}
 	if n := c.Int("machines"); n > 0 {
-		k.Plan.Machines = n
+		scenario.Plan.Machines = n
 	}
 	if n := c.Int("sessions"); n > 0 {
-		k.Plan.Sessions = n
+		scenario.Plan.Sessions = n
 	}
 	if r := c.Float("rate"); r > 0 {
-		k.Rate = r
+		scenario.Rate = r
 	}
-	k.ForUs = int64(c.Int("seconds")) * 1_000_000
-	k.Plan.DelayUs, k.Plan.BetweenUs, k.Plan.ServiceUs = c.Int64("delay-us"), c.Int64("between-zones-us"), c.Int64("service-us")
-	var cs []whatif.Change
+	scenario.MeasureUs = int64(c.Int("seconds")) * 1_000_000
+	scenario.Plan.MaxDelayUs, scenario.Plan.CrossZoneDelayUs, scenario.Plan.ServiceUs = c.Int64("delay-us"), c.Int64("between-zones-us"), c.Int64("service-us")
+	var changes []whatif.Change
 	for _, t := range c.Args().Slice() {
 		ch, err := whatif.Parse(t)
 		if err != nil {
 			return err
 		}
-		cs = append(cs, ch)
+		changes = append(changes, ch)
 	}
 	var seeds []uint64
 	for i := range c.Int("seeds") {
@@ -98,42 +98,42 @@
 	if len(seeds) == 0 {
 		return fmt.Errorf("at least one seed is needed")
 	}
-	as := []whatif.Return{}
-	a, err := whatif.Ask(k, nil, seeds)
+	answers := []whatif.Report{}
+	answer, err := whatif.Answer(scenario, nil, seeds)
 	if err != nil {
 		return err
 	}
-	as = append(as, a)
-	if len(cs) > 0 {
-		if a, err = whatif.Ask(k, cs, seeds); err != nil {
+	answers = append(answers, answer)
+	if len(changes) > 0 {
+		if answer, err = whatif.Answer(scenario, changes, seeds); err != nil {
 			return err
 		}
-		as = append(as, a)
+		answers = append(answers, answer)
 	}
 	if c.Bool("json") {
 		e := json.NewEncoder(os.Stdout)
 		e.SetIndent("", "  ")
-		return e.Encode(as)
+		return e.Encode(answers)
 	}
-	return table(k, as)
+	return writeTable(scenario, answers)
 }
 
-func table(k whatif.Case, as []whatif.Return) error {
+func writeTable(scenario whatif.Scenario, answers []whatif.Report) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	head := []string{"", "as it is"}
-	if len(as) > 1 {
-		head = append(head, "what if "+strings.Join(as[1].Asked, " and "))
+	if len(answers) > 1 {
+		head = append(head, "what if "+strings.Join(answers[1].Changes, " and "))
 	}
 	fmt.Fprintln(w, strings.Join(head, "\t"))
 	row := func(name string, f func(whatif.Figures) float64) {
-		fmt.Fprintln(w, strings.Join(append([]string{name}, lo.Map(as, func(a whatif.Return, _ int) string { return a.Of(f).String() })...), "\t"))
+		fmt.Fprintln(w, strings.Join(append([]string{name}, lo.Map(answers, func(a whatif.Report, _ int) string { return a.Figures(f).String() })...), "\t"))
 	}
 	row("queries", func(f whatif.Figures) float64 { return float64(f.Queries) })
 	row("served, share", func(f whatif.Figures) float64 { return f.Served })
 	row("at the first try, share", func(f whatif.Figures) float64 { return f.FirstTry })
 	row("p50, ms", func(f whatif.Figures) float64 { return float64(f.P50Us) / 1000 })
 	row("p99, ms", func(f whatif.Figures) float64 { return float64(f.P99Us) / 1000 })
-	for _, n := range slices.Sorted(maps.Keys(as[0].Runs[0].Kinds)) {
+	for _, n := range slices.Sorted(maps.Keys(answers[0].Runs[0].Kinds)) {
 		row(n+", served", func(f whatif.Figures) float64 { return f.Kinds[n].Served })
 		row(n+", p99 ms", func(f whatif.Figures) float64 { return float64(f.Kinds[n].P99Us) / 1000 })
 	}
@@ -143,20 +143,20 @@
 	row("status polls a query", func(f whatif.Figures) float64 { return f.Polls })
 	row("uncertain writes", func(f whatif.Figures) float64 { return float64(f.Uncertain) })
 	row("promises broken", func(f whatif.Figures) float64 { return float64(f.Broken) })
-	copies := map[string]bool{}
-	for _, a := range as {
+	replicas := map[string]bool{}
+	for _, a := range answers {
 		for _, r := range a.Runs {
 			for c := range r.Copies {
-				copies[c] = true
+				replicas[c] = true
 			}
 		}
 	}
-	for _, c := range slices.Sorted(maps.Keys(copies)) {
+	for _, c := range slices.Sorted(maps.Keys(replicas)) {
 		row("reads on "+c+", share", func(f whatif.Figures) float64 { return f.Copies[c] })
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("\nmedian (least to greatest) of %d seeds from %d, %d s each\n", len(as[0].Seeds), as[0].Seeds[0], k.ForUs/1_000_000)
+	fmt.Printf("\nmedian (least to greatest) of %d seeds from %d, %d s each\n", len(answers[0].Seeds), answers[0].Seeds[0], scenario.MeasureUs/1_000_000)
 	return nil
 }
--- a/cmd/stoneford/data.go
+++ b/cmd/stoneford/data.go
@@ -35,8 +35,8 @@
 	Frames     int            `json:"frames"`
 	Entries    int            `json:"entries"`
 	TornBytes  int            `json:"torn_bytes"`
-	LeftOver   []string       `json:"left_over,omitempty"`
-	Life       string         `json:"life"`       // identity of the disk, in hexadecimal
+	Leftover   []string       `json:"left_over,omitempty"`
+	DiskID     string         `json:"life"`       // identity of the disk, in hexadecimal
 	Membership uint64         `json:"membership"` // number of the newest membership known to be chosen
 	Active     uint64         `json:"active"`     // number of the one that this disk votes, or last voted, under
 	Voters     []dataVoter    `json:"voters"`
@@ -46,7 +46,7 @@
 // dataVoter is a voter of the newest membership.
 type dataVoter struct {
 	Address string `json:"address"`
-	Life    string `json:"life"`
+	DiskID  string `json:"life"`
 }
 
 type dataRegister struct {
@@ -83,10 +83,10 @@
 	}
 	r, err := voterlog.Inspect(folder)
 	d := dataReport{Folder: folder, Format: r.Format, File: r.File, Bytes: r.Bytes, Frames: r.Frames, Entries: r.Entries, TornBytes: r.TornBytes,
-		LeftOver: r.LeftOver, Life: hexadecimal(r.Life), Membership: r.Membership.GetNumber(), Active: r.Active,
-		Voters: lo.Map(r.Membership.GetVoters(), func(v *schema.Voter, _ int) dataVoter { return dataVoter{v.Address, hexadecimal(v.Life)} }),
-		Registers: lo.Map(r.Cells, func(c *schema.Cell, _ int) dataRegister {
-			return dataRegister{c.Key, c.Value.GetRevision(), len(c.Value.GetData()), c.Value.GetChanges()}
+		Leftover: r.Leftovers, DiskID: hexadecimal(r.DiskID), Membership: r.Membership.GetNumber(), Active: r.ActiveMembership,
+		Voters: lo.Map(r.Membership.GetVoters(), func(v *schema.Voter, _ int) dataVoter { return dataVoter{v.Address, hexadecimal(v.DiskId)} }),
+		Registers: lo.Map(r.Registers, func(c *schema.RegisterState, _ int) dataRegister {
+			return dataRegister{c.Key, c.Value.GetRevision(), len(c.Value.GetData()), c.Value.GetChangeIds()}
 		})}
 	if err == nil && r.File == "" {
 		err = fmt.Errorf("%s holds no log", folder)
@@ -94,10 +94,10 @@
 	return d, err
 }
 
-// votes reports whether the disk's voter votes under the newest membership.
-func (d dataReport) votes() bool { return d.Active > 0 && d.Active == d.Membership }
+// isVoter reports whether the disk's voter votes under the newest membership.
+func (d dataReport) isVoter() bool { return d.Active > 0 && d.Active == d.Membership }
 
-func hexadecimal(life uint64) string { return fmt.Sprintf("%016x", life) }
+func hexadecimal(diskID uint64) string { return fmt.Sprintf("%016x", diskID) }
 
 func (d dataReport) write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
@@ -105,12 +105,12 @@
 	if d.TornBytes > 0 {
 		fmt.Fprintf(w, "%d bytes at its end were never synced; the next start drops them\n", d.TornBytes)
 	}
-	if len(d.LeftOver) > 0 {
-		fmt.Fprintf(w, "the next start removes %s\n", strings.Join(d.LeftOver, ", "))
+	if len(d.Leftover) > 0 {
+		fmt.Fprintf(w, "the next start removes %s\n", strings.Join(d.Leftover, ", "))
 	}
-	fmt.Fprintf(w, "disk %s, membership %d, %s\n\nVOTER\tDISK\n", d.Life, d.Membership, lo.Ternary(d.votes(), "it votes", "it does not vote"))
+	fmt.Fprintf(w, "disk %s, membership %d, %s\n\nVOTER\tDISK\n", d.DiskID, d.Membership, lo.Ternary(d.isVoter(), "it votes", "it does not vote"))
 	for _, v := range d.Voters {
-		fmt.Fprintf(w, "%s\t%s\n", v.Address, v.Life)
+		fmt.Fprintf(w, "%s\t%s\n", v.Address, v.DiskID)
 	}
 	fmt.Fprintln(w, "\nREGISTER\tREVISION ACCEPTED\tBYTES\tCHANGED BY")
 	for _, r := range d.Registers {
--- a/cmd/stoneford/data_test.go
+++ b/cmd/stoneford/data_test.go
@@ -11,17 +11,17 @@
 	"stoneford/voterlog"
 )
 
-func TestDataOfAVoter(t *testing.T) {
+func TestInspectVoterFolder(t *testing.T) {
 	own := t.TempDir()
-	l, err := voterlog.Open(filepath.Join(own, "voter"), func(*schema.VoterLog) {})
+	l, err := voterlog.Open(filepath.Join(own, "voter"), func(*schema.WALEntry) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range []*schema.VoterLog{
-		{Life: 7, Membership: &schema.Membership{Number: 2, Voters: []*schema.Voter{{Address: "10.1.0.8:7440", Life: 7}}}},
-		{Active: 2, Cells: []*schema.Cell{{Key: "routes", Value: &schema.Value{Revision: 3, Data: []byte("data"), Changes: []string{"newest", "older"}}}}},
+	for _, e := range []*schema.WALEntry{
+		{DiskId: 7, Membership: &schema.Membership{Number: 2, Voters: []*schema.Voter{{Address: "10.1.0.8:7440", DiskId: 7}}}},
+		{ActiveMembership: 2, Registers: []*schema.RegisterState{{Key: "routes", Value: &schema.Value{Revision: 3, Data: []byte("data"), ChangeIds: []string{"newest", "older"}}}}},
 	} {
-		if err := l.Write([]*schema.VoterLog{e}, func() *schema.VoterLog { return &schema.VoterLog{} }); err != nil {
+		if err := l.Write([]*schema.WALEntry{e}, func() *schema.WALEntry { return &schema.WALEntry{} }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -34,7 +34,7 @@
 	}
 	for _, folder := range []string{own, filepath.Join(own, "voter"), to} {
 		d, err := readData(folder)
-		if err != nil || !d.votes() || d.Membership != 2 || len(d.Voters) != 1 || d.Voters[0] != (dataVoter{"10.1.0.8:7440", "0000000000000007"}) || len(d.Registers) != 1 || d.Registers[0].Revision != 3 || d.Registers[0].Bytes != 4 {
+		if err != nil || !d.isVoter() || d.Membership != 2 || len(d.Voters) != 1 || d.Voters[0] != (dataVoter{"10.1.0.8:7440", "0000000000000007"}) || len(d.Registers) != 1 || d.Registers[0].Revision != 3 || d.Registers[0].Bytes != 4 {
 			t.Fatalf("%s: %v %+v", folder, err, d)
 		}
 		var b bytes.Buffer
--- a/cmd/stoneford/fleet.go
+++ b/cmd/stoneford/fleet.go
@@ -17,29 +17,29 @@
 	at := func() []cli.Flag {
 		return []cli.Flag{&cli.StringFlag{Name: "at", Usage: "addresses at which processes tell their state, separated by commas", Sources: cli.EnvVars("STONEFORD_AT"), Required: true}}
 	}
-	one := func(name, usage string, whole bool, show func(context.Context, []fleetstate.Reply) (any, func() error, error)) *cli.Command {
+	subcommand := func(name, usage string, withTable bool, show func(context.Context, []fleetstate.FetchResult) (any, func() error, error)) *cli.Command {
 		return &cli.Command{Name: name, Usage: usage, Flags: at(), Action: func(ctx context.Context, c *cli.Command) error {
-			return fleet(ctx, c, whole, show)
+			return runFleetCommand(ctx, c, withTable, show)
 		}}
 	}
-	states := func(rs []fleetstate.Reply) any {
-		return lo.FilterMap(rs, func(r fleetstate.Reply, _ int) (fleetstate.State, bool) { return r.State, r.Err == nil })
+	states := func(rs []fleetstate.FetchResult) any {
+		return lo.FilterMap(rs, func(r fleetstate.FetchResult, _ int) (fleetstate.ProcessState, bool) { return r.State, r.Err == nil })
 	}
 	return &cli.Command{Name: "fleet", Usage: "ask processes on a platform of databases that announce themselves (docs/platform.md)", Commands: append([]*cli.Command{
-		one("status", "each process asked: voters, registers, routing table, sessions", false, func(_ context.Context, rs []fleetstate.Reply) (any, func() error, error) {
+		subcommand("status", "each process asked: voters, registers, routing table, sessions", false, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
 			return states(rs), func() error { return fleetstate.WriteStatus(os.Stdout, rs) }, nil
 		}),
-		one("voters", "who votes, under which membership, how far each is, and who asks to vote", false, func(_ context.Context, rs []fleetstate.Reply) (any, func() error, error) {
+		subcommand("voters", "who votes, under which membership, how far each is, and who asks to vote", false, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
 			return states(rs), func() error { return fleetstate.WriteVoters(os.Stdout, rs) }, nil
 		}),
-		one("databases", "databases known, and how pool nodes asked use them", false, func(_ context.Context, rs []fleetstate.Reply) (any, func() error, error) {
+		subcommand("databases", "databases known, and how pool nodes asked use them", false, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
 			return states(rs), func() error { return fleetstate.WriteDatabases(os.Stdout, rs) }, nil
 		}),
-		one("leaders", "each group's term, primary, phase, cause, holder and members", false, func(_ context.Context, rs []fleetstate.Reply) (any, func() error, error) {
+		subcommand("leaders", "each group's term, primary, phase, cause, holder and members", false, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
 			return states(rs), func() error { return fleetstate.WriteLeaders(os.Stdout, rs) }, nil
 		}),
-		one("nodes", "processes that looked lately; each is asked for itself", false, nodes),
-		one("table", "the routing table in force, and what changed it lately", true, func(_ context.Context, rs []fleetstate.Reply) (any, func() error, error) {
+		subcommand("nodes", "processes that looked lately; each is asked for itself", false, nodes),
+		subcommand("table", "the routing table in force, and what changed it lately", true, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
 			s, err := fleetstate.FirstControl(rs)
 			for _, r := range rs {
 				if err != nil && r.Err == nil {
@@ -52,37 +52,37 @@
 }
 
 // nodes asks those that the first control process named heard of.
-func nodes(ctx context.Context, rs []fleetstate.Reply) (any, func() error, error) {
-	s, err := fleetstate.FirstControl(rs)
+func nodes(ctx context.Context, replies []fleetstate.FetchResult) (any, func() error, error) {
+	s, err := fleetstate.FirstControl(replies)
 	if err != nil {
 		return nil, nil, err
 	}
-	var as []string
+	var addresses []string
 	for _, n := range s.Control.Nodes {
-		if a, err := fleetstate.At(n.Node); err == nil {
-			as = append(as, a)
+		if a, err := fleetstate.StateAddress(n.Node); err == nil {
+			addresses = append(addresses, a)
 		}
 	}
-	own := map[string]fleetstate.State{}
-	for _, r := range fleetstate.AskAll(ctx, as, false) {
+	own := map[string]fleetstate.ProcessState{}
+	for _, r := range fleetstate.FetchAll(ctx, addresses, false) {
 		if r.Err == nil {
 			own[r.State.Node] = r.State
 		}
 	}
 	return struct {
-		Seen []fleetstate.Node           `json:"seen"`
-		Own  map[string]fleetstate.State `json:"own"`
+		Seen []fleetstate.Node                  `json:"seen"`
+		Own  map[string]fleetstate.ProcessState `json:"own"`
 	}{s.Control.Nodes, own}, func() error { return fleetstate.WriteNodes(os.Stdout, s, own) }, nil
 }
 
-func fleet(ctx context.Context, c *cli.Command, whole bool, show func(context.Context, []fleetstate.Reply) (any, func() error, error)) error {
-	as := lo.Compact(strings.Split(c.String("at"), ","))
-	rs := fleetstate.AskAll(ctx, as, whole)
-	failed := lo.FilterMap(rs, func(r fleetstate.Reply, _ int) (error, bool) { return r.Err, r.Err != nil })
-	if len(failed) == len(rs) {
+func runFleetCommand(ctx context.Context, c *cli.Command, withTable bool, show func(context.Context, []fleetstate.FetchResult) (any, func() error, error)) error {
+	addresses := lo.Compact(strings.Split(c.String("at"), ","))
+	replies := fleetstate.FetchAll(ctx, addresses, withTable)
+	failed := lo.FilterMap(replies, func(r fleetstate.FetchResult, _ int) (error, bool) { return r.Err, r.Err != nil })
+	if len(failed) == len(replies) {
 		return errors.Join(append(failed, errors.New("none of the processes named replied"))...)
 	}
-	v, tables, err := show(ctx, rs)
+	v, tables, err := show(ctx, replies)
 	if err != nil {
 		return err
 	}
--- a/cmd/stoneford/main.go
+++ b/cmd/stoneford/main.go
@@ -27,8 +27,8 @@
 
 // Exit codes beside 0.
 const (
-	exitFailed = 1 // not done: nothing was reached, or it was returned with a code
-	exitUnsure = 3 // a change may or may not come into force
+	exitFailed    = 1 // not done: nothing was reached, or it was returned with a code
+	exitUncertain = 3 // a change may or may not come into force
 )
 
 func main() {
@@ -44,7 +44,7 @@
 			{Name: "status", Usage: "nodes, groups and who holds which duty", Action: status},
 			fleetCommand(), dataCommand(),
 			{Name: "say", HideHelpCommand: true, Usage: "type a question or a command, such as: what is booked tomorrow", ArgsUsage: "WORDS...",
-				Description: language.Help, Action: say},
+				Description: language.Help, Action: runSentence},
 			{Name: "replay", Usage: "send what a HAR file recorded of callers to a pool node again", ArgsUsage: "FILE",
 				Flags: []cli.Flag{
 					&cli.StringFlag{Name: "node", Usage: "callers' address of the node", Required: true},
@@ -53,29 +53,29 @@
 			{Name: "configuration", Usage: "read or change the partner's configuration", Commands: []*cli.Command{
 				{Name: "get", Usage: "print the configuration and its revision, read through a majority",
 					Flags:  []cli.Flag{&cli.BoolFlag{Name: "applied", Usage: "and which revision each process works by"}},
-					Action: get},
-				{Name: "put", Usage: "replace the whole configuration", ArgsUsage: "FILE (- for standard input)", Flags: changeFlags(), Action: change(false)},
-				{Name: "patch", Usage: "change part of it (JSON merge patch)", ArgsUsage: "JSON, or @FILE", Flags: changeFlags(), Action: change(true)},
+					Action: getConfiguration},
+				{Name: "put", Usage: "replace the whole configuration", ArgsUsage: "FILE (- for standard input)", Flags: changeFlags(), Action: changeConfiguration(false)},
+				{Name: "patch", Usage: "change part of it (JSON merge patch)", ArgsUsage: "JSON, or @FILE", Flags: changeFlags(), Action: changeConfiguration(true)},
 			}},
 		},
 	}
 	if err := c.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "stoneford:", err)
-		var e coded
+		var e codedError
 		if errors.As(err, &e) && e.code == result.ChangeUncertain {
-			os.Exit(exitUnsure)
+			os.Exit(exitUncertain)
 		}
 		os.Exit(exitFailed)
 	}
 }
 
-// coded is a return that is not done.
-type coded struct {
+// codedError is a return that is not done.
+type codedError struct {
 	code result.Code
 	text string
 }
 
-func (c coded) Error() string { return fmt.Sprintf("%d %s", c.code, c.text) }
+func (c codedError) Error() string { return fmt.Sprintf("%d %s", c.code, c.text) }
 
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
@@ -94,15 +94,15 @@
 	return e.Encode(v)
 }
 
-func get(ctx context.Context, c *cli.Command) error {
+func getConfiguration(ctx context.Context, c *cli.Command) error {
 	r, err := client(c).Configuration(ctx, c.Bool("applied"))
 	if err != nil {
 		return err
 	}
-	return show(c, r, true)
+	return showConfiguration(c, r, true)
 }
 
-func show(c *cli.Command, r control.Reply, whole bool) error {
+func showConfiguration(c *cli.Command, r control.Reply, withConfiguration bool) error {
 	if c.Bool("json") {
 		if err := printJSON(r); err != nil {
 			return err
@@ -114,7 +114,7 @@
 		if r.Code == result.OK {
 			fmt.Printf("%s, revision %d\n", r.Partner, r.Revision)
 		}
-		if whole && len(r.Configuration) > 0 {
+		if withConfiguration && len(r.Configuration) > 0 {
 			if err := printJSON(r.Configuration); err != nil {
 				return err
 			}
@@ -131,14 +131,14 @@
 		if r.Code == result.LosingRevision {
 			t += fmt.Sprintf(" (it is %d)", r.Revision)
 		}
-		return coded{code: r.Code, text: t}
+		return codedError{code: r.Code, text: t}
 	}
 	return nil
 }
 
-func change(patch bool) cli.ActionFunc {
+func changeConfiguration(patch bool) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
-		b, err := text(c.Args().First(), patch)
+		b, err := configurationText(c.Args().First(), patch)
 		if err != nil {
 			return err
 		}
@@ -153,19 +153,19 @@
 				return err
 			}
 			if r.Code != result.OK {
-				return show(c, r, false)
+				return showConfiguration(c, r, false)
 			}
 			base = int64(r.Revision)
 		}
 		r, err := cl.Change(ctx, uint64(base), b, patch, c.Bool("dry-run"))
 		if err != nil {
-			return coded{code: result.ChangeUncertain, text: err.Error()}
+			return codedError{code: result.ChangeUncertain, text: err.Error()}
 		}
-		return show(c, r, c.Bool("dry-run"))
+		return showConfiguration(c, r, c.Bool("dry-run"))
 	}
 }
 
-func text(arg string, patch bool) ([]byte, error) {
+func configurationText(arg string, patch bool) ([]byte, error) {
 	f, isFile := strings.CutPrefix(arg, "@")
 	switch {
 	case arg == "":
@@ -178,14 +178,14 @@
 	return os.ReadFile(f)
 }
 
-func say(ctx context.Context, c *cli.Command) error {
+func runSentence(ctx context.Context, c *cli.Command) error {
 	t := strings.Join(c.Args().Slice(), " ")
 	if t == "" {
 		t = "help"
 	}
-	r, err := client(c).Say(ctx, t)
+	r, err := client(c).Run(ctx, t)
 	if err != nil {
-		return coded{code: result.ChangeUncertain, text: err.Error()}
+		return codedError{code: result.ChangeUncertain, text: err.Error()}
 	}
 	if c.Bool("json") {
 		if err := printJSON(r); err != nil {
@@ -203,27 +203,27 @@
 		if _, err := language.Parse(t, time.Now()); r.Code == result.NotUnderstood && errors.As(err, &e) {
 			m += fmt.Sprintf("\n  %s\n  %*s", t, e.Column, "^")
 		}
-		return coded{code: r.Code, text: m}
+		return codedError{code: r.Code, text: m}
 	}
 	return nil
 }
 
 func replayFile(ctx context.Context, c *cli.Command) error {
-	es, err := replay.Read(c.Args().First())
+	entries, err := replay.Read(c.Args().First())
 	if err != nil {
 		return err
 	}
-	os := replay.Send(ctx, clockwork.NewRealClock(), c.String("node"), es, c.Float("speed"))
+	outcomes := replay.Send(ctx, clockwork.NewRealClock(), c.String("node"), entries, c.Float("speed"))
 	if c.Bool("json") {
-		return printJSON(os)
+		return printJSON(outcomes)
 	}
-	done := lo.CountBy(os, func(o replay.Outcome) bool { return o.Outcome == result.Done })
-	for _, o := range os {
+	done := lo.CountBy(outcomes, func(o replay.Outcome) bool { return o.Outcome == result.Done })
+	for _, o := range outcomes {
 		if o.Outcome != result.Done {
-			fmt.Printf("entry %d: recorded %d, now %d, code %d %s %s\n", o.Entry, o.Was, o.Status, o.Code, o.Outcome, o.Error)
+			fmt.Printf("entry %d: recorded %d, now %d, code %d %s %s\n", o.Entry, o.RecordedStatus, o.Status, o.Code, o.Outcome, o.Error)
 		}
 	}
-	fmt.Printf("%d of %d entries done\n", done, len(es))
+	fmt.Printf("%d of %d entries done\n", done, len(entries))
 	return nil
 }
 
@@ -238,16 +238,16 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "GROUP\tEPOCH\tPHASE\tPRIMARY\tDUTY HOLDER\tCAUSE")
 	for _, g := range s.Groups {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", g.Name, g.Epoch, g.Phase, g.Primary, g.Holder, g.Cause)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", g.Name, g.Epoch, g.Phase, g.Primary, g.Leader, g.Cause)
 	}
 	fmt.Fprintln(w, "\nNODE\tKIND\tZONE\tADDRESS\tHTTP\tSTANDING")
 	for _, n := range s.Nodes {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.Kind, n.Zone, n.Address, n.HTTP, lo.Ternary(n.Leaving, "leaving", lo.Ternary(n.Alive, "alive", "silent")))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.Kind, n.Zone, n.Address, n.HTTP, lo.Ternary(n.Draining, "leaving", lo.Ternary(n.Alive, "alive", "silent")))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if !s.Formed {
+	if !s.Voting {
 		fmt.Println("\nthis control process does not vote yet")
 	}
 	if !s.Majority {
--- a/cmd/stoneford/moves.go
+++ b/cmd/stoneford/moves.go
@@ -23,7 +23,7 @@
 	"stoneford/result"
 )
 
-const movesTime = 8 * time.Second
+const movesTimeout = 8 * time.Second
 
 // moveCommands move groups between sites (docs/moves.md).
 func moveCommands(at func() []cli.Flag) []*cli.Command {
@@ -33,7 +33,7 @@
 				if c.Args().Len() != 2 {
 					return errors.New("a group and a site are to be named")
 				}
-				r, err := askMoves(ctx, c, http.MethodPost, "", coordinator.MoveAsked{Group: c.Args().Get(0), Site: c.Args().Get(1)})
+				r, err := callMoves(ctx, c, http.MethodPost, "", coordinator.MoveRequest{Group: c.Args().Get(0), Site: c.Args().Get(1)})
 				return showMove(c, r, err, "staged")
 			}},
 		{Name: "moves", Usage: "where groups are placed, and how far their moves have come", Flags: at(), Action: moves},
@@ -42,31 +42,31 @@
 				if c.Args().Len() != 1 {
 					return errors.New("a group is to be named")
 				}
-				r, err := askMoves(ctx, c, http.MethodDelete, "/"+url.PathEscape(c.Args().First()), nil)
+				r, err := callMoves(ctx, c, http.MethodDelete, "/"+url.PathEscape(c.Args().First()), nil)
 				return showMove(c, r, err, "taken back")
 			}},
 	}
 }
 
-// askMoves asks the processes named in turn until one replies. A change goes to
+// callMoves asks the processes named in turn until one replies. A change goes to
 // the next only where the one before was never reached, or is no control process.
-func askMoves(ctx context.Context, c *cli.Command, method, path string, in any) (coordinator.MoveReply, error) {
+func callMoves(ctx context.Context, c *cli.Command, method, path string, in any) (coordinator.MoveReply, error) {
 	var all []error
 	for _, a := range lo.Compact(strings.Split(c.String("at"), ",")) {
-		r, again, err := askMove(ctx, a, method, path, in)
+		r, retry, err := callMovesAt(ctx, a, method, path, in)
 		if err == nil {
 			return r, nil
 		}
 		all = append(all, fmt.Errorf("%s: %w", a, err))
-		if !again {
-			return r, coded{code: result.ChangeUncertain, text: errors.Join(all...).Error()}
+		if !retry {
+			return r, codedError{code: result.ChangeUncertain, text: errors.Join(all...).Error()}
 		}
 	}
 	return coordinator.MoveReply{}, errors.Join(append(all, errors.New("no control process named replied"))...)
 }
 
-func askMove(ctx context.Context, at, method, path string, in any) (r coordinator.MoveReply, again bool, err error) {
-	ctx, stop := context.WithTimeout(ctx, movesTime)
+func callMovesAt(ctx context.Context, at, method, path string, in any) (r coordinator.MoveReply, retry bool, err error) {
+	ctx, stop := context.WithTimeout(ctx, movesTimeout)
 	defer stop()
 	var body io.Reader = http.NoBody
 	if in != nil {
@@ -76,20 +76,20 @@
 		}
 		body = bytes.NewReader(b)
 	}
-	rq, err := http.NewRequestWithContext(ctx, method, "http://"+at+coordinator.MovesPath+path, body)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+at+coordinator.MovesPath+path, body)
 	if err != nil {
 		return r, false, err
 	}
-	rs, err := operators.HTTP.Do(rq)
+	response, err := operators.HTTP.Do(request)
 	if err != nil {
 		var op *net.OpError
 		return r, method == http.MethodGet || errors.As(err, &op) && op.Op == "dial", err
 	}
-	defer rs.Body.Close()
-	if rs.StatusCode == http.StatusNotFound && rs.Header.Get("Content-Type") != "application/json" {
+	defer response.Body.Close()
+	if response.StatusCode == http.StatusNotFound && response.Header.Get("Content-Type") != "application/json" {
 		return r, true, errors.New("this is no control process")
 	}
-	return r, method == http.MethodGet, operators.ReadReply(rs, &r)
+	return r, method == http.MethodGet, operators.ReadReply(response, &r)
 }
 
 func showMove(c *cli.Command, r coordinator.MoveReply, err error, done string) error {
@@ -104,18 +104,18 @@
 		fmt.Printf("%s; table %d\n", done, r.Table)
 	}
 	if r.Code != result.OK {
-		return coded{code: r.Code, text: r.Text + ": " + r.Problem}
+		return codedError{code: r.Code, text: r.Text + ": " + r.Problem}
 	}
 	return nil
 }
 
 func moves(ctx context.Context, c *cli.Command) error {
-	r, err := askMoves(ctx, c, http.MethodGet, "", nil)
+	r, err := callMoves(ctx, c, http.MethodGet, "", nil)
 	if err != nil {
 		return err
 	}
 	if r.Code != result.OK {
-		return coded{code: r.Code, text: r.Text}
+		return codedError{code: r.Code, text: r.Text}
 	}
 	if c.Bool("json") {
 		return printJSON(r.Moves)
@@ -124,7 +124,7 @@
 	fmt.Fprintln(w, "GROUP\tSITE\tPRIMARY\tAT\tMOVE\tFROM\tTO\tTABLE\tCAUSE OR WHAT IT WAITS FOR\tBEHIND")
 	for _, m := range r.Moves {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Group, m.Site, m.Primary, m.Zone, m.Phase, m.From, m.To, m.Table,
-			m.Cause+m.Waits, strings.Join(m.Behind, ", "))
+			m.Cause+m.WaitingFor, strings.Join(m.Lagging, ", "))
 	}
 	return w.Flush()
 }
--- a/control/calendar.go
+++ b/control/calendar.go
@@ -19,74 +19,74 @@
 	"stoneford/step"
 )
 
-// BookingsKey is the register of the calendar both partners share.
-const BookingsKey = "bookings"
+// MaintenanceKey is the register of the calendar both partners share.
+const MaintenanceKey = "bookings"
 
-// machinesDuty is the duty to stop machines at their time.
-const machinesDuty = dutyPrefix + "machines"
+// machinesRole is the duty to stop machines at their time.
+const machinesRole = roleKeyPrefix + "machines"
 
-const bookingEvery = 200_000
+const maintenanceInterval = 200_000
 
 // Events and effects of the language.
 type (
-	// Ask is a sentence that a partner typed.
-	Ask struct {
+	// Command is a sentence that a partner typed.
+	Command struct {
 		ID      uint64
 		Partner string
 		Text    string
 	}
-	// Wall tells the wall clock; only the calendar goes by it.
-	Wall struct{ Us int64 }
-	// Told ends an Ask.
-	Told struct {
+	// WallClock tells the wall clock; only the calendar goes by it.
+	WallClock struct{ UnixMicro int64 }
+	// CommandResult ends an Ask.
+	CommandResult struct {
 		ID       uint64
 		Code     result.Code
 		Text     string
-		Bookings []*schema.Booking
+		Bookings []*schema.MaintenanceWindow
 	}
-	// Replace asks the platform to put a new, empty database in one's place.
-	Replace struct{ Database, Address, Identity string }
+	// ReplaceDatabase asks the platform to put a new, empty database in one's place.
+	ReplaceDatabase struct{ Database, Address, Identity string }
 	// StopMachine asks the platform to stop a machine's pool node.
 	StopMachine struct{ Machine string }
 )
 
-// carried is what this process remembers of a booking it carries out.
-type carried struct {
-	state string
-	since int64
-	asked int64
+// windowProgress is what this process remembers of a booking it carries out.
+type windowProgress struct {
+	state       string
+	since       int64
+	requestedAt int64
 }
 
-func (c *Core) wall(now int64) int64 { return now + c.wallOffset }
+func (c *Core) wallClock(now int64) int64 { return now + c.wallClockOffset }
 
-func (c *Core) zone(partner string) *time.Location {
-	if l, err := time.LoadLocation(c.configs[partner].GetTimeZone()); err == nil {
+func (c *Core) timeZone(partner string) *time.Location {
+	if l, err := time.LoadLocation(c.configurations[partner].GetTimeZone()); err == nil {
 		return l
 	}
 	return time.UTC
 }
 
-// places are all databases and machines that a name can mean.
-func (c *Core) places() []language.Place {
-	var ps []language.Place
-	for _, p := range slices.Sorted(maps.Keys(c.configs)) {
-		cf := c.configs[p]
-		for _, g := range slices.Sorted(maps.Keys(cf.Groups)) {
-			st := GroupState(c.relay.Held(GroupPrefix + p + "/" + g))
-			for _, m := range cf.Groups[g].Members {
-				ps = append(ps, language.Place{Name: m, Partner: p, Group: p + "/" + g, Zone: cf.Databases[m].Zone, Primary: m == st.Primary})
+// targets are all databases and machines that a name can mean.
+func (c *Core) targets() []language.Target {
+	var problems []language.Target
+	for _, p := range slices.Sorted(maps.Keys(c.configurations)) {
+		configuration := c.configurations[p]
+		for _, g := range slices.Sorted(maps.Keys(configuration.Groups)) {
+			st := GroupState(c.relay.Value(GroupKeyPrefix + p + "/" + g))
+			for _, m := range configuration.Groups[g].Members {
+				problems = append(problems, language.Target{Name: m, Partner: p, Group: p + "/" + g, Zone: configuration.Databases[m].Zone, Primary: m == st.Primary})
 			}
 		}
 	}
 	for _, n := range c.nodes {
 		if n.Kind == "pool" {
-			ps = append(ps, language.Place{Name: n.Name, Machine: true, Partner: n.Partner, Zone: n.Zone})
+			problems = append(problems, language.Target{Name: n.Name, Machine: true, Partner: n.Partner, Zone: n.Zone})
 		}
 	}
-	return ps
+	return problems
 }
 
-func (c *Core) facts() bookings.Fleet {
+func (c *Core) fleet() bookings.Fleet {
 	n := 0
 	for _, o := range c.nodes {
 		if o.Kind == "pool" {
@@ -97,222 +97,222 @@
 }
 
 // ask understands a sentence and does what it says.
-func (c *Core) sentence(now int64, e Ask) {
-	ret := func(code result.Code, text string, bs ...*schema.Booking) {
-		c.fx.Do = append(c.fx.Do, Told{ID: e.ID, Code: code, Text: text, Bookings: bs})
+func (c *Core) handleCommand(now int64, e Command) {
+	reply := func(code result.Code, text string, windows ...*schema.MaintenanceWindow) {
+		c.effects.Do = append(c.effects.Do, CommandResult{ID: e.ID, Code: code, Text: text, Bookings: windows})
 	}
-	zone := c.zone(e.Partner)
-	s, err := language.Parse(e.Text, time.UnixMicro(c.wall(now)).In(zone))
+	zone := c.timeZone(e.Partner)
+	s, err := language.Parse(e.Text, time.UnixMicro(c.wallClock(now)).In(zone))
 	if err != nil {
-		ret(result.NotUnderstood, err.Error())
+		reply(result.NotUnderstood, err.Error())
 		return
 	}
 	switch s.Verb {
 	case language.VerbHelp:
-		ret(result.OK, language.Help)
+		reply(result.OK, language.Help)
 	case language.VerbStatus:
-		ret(result.OK, c.statusText())
+		reply(result.OK, c.statusText())
 	case language.VerbApplied:
-		ret(result.OK, c.appliedText(e.Partner))
+		reply(result.OK, c.appliedText(e.Partner))
 	case language.VerbWhy:
-		c.why(now, e, s, ret)
-	case language.VerbBooked:
+		c.askForDecisions(now, e, s, reply)
+	case language.VerbListWindows:
 		fits := func(string, string, string) bool { return true }
-		if s.Whom.Text != "" {
-			if fits, err = language.Whom(s.Whom, c.places()); err != nil {
-				ret(result.NoSuchThing, err.Error())
+		if s.Subject.Text != "" {
+			if fits, err = language.MatchSubject(s.Subject, c.targets()); err != nil {
+				reply(result.NotFound, err.Error())
 				return
 			}
 		}
-		c.read(now, BookingsKey, func(now int64, o paxos.Outcome) {
-			if o.Verdict != paxos.Agreed {
-				ret(verdict(o.Verdict, false), "")
+		c.readRegister(now, MaintenanceKey, func(now int64, o paxos.Outcome) {
+			if o.Verdict != paxos.Committed {
+				reply(verdictCode(o.Verdict, false), "")
 				return
 			}
-			var bs []*schema.Booking
-			for _, b := range bookings.Read(o.Value.GetData()).Bookings {
-				if !fits(b.Owner, b.Group, b.Target) || !s.From.IsZero() && (b.AtUs < s.From.UnixMicro() || b.AtUs >= s.Until.UnixMicro()) || s.From.IsZero() && !bookings.Open(b) {
+			var windows []*schema.MaintenanceWindow
+			for _, b := range bookings.Read(o.Value.GetData()).Windows {
+				if !fits(b.Owner, b.Group, b.Target) || !s.From.IsZero() && (b.AtUs < s.From.UnixMicro() || b.AtUs >= s.Until.UnixMicro()) || s.From.IsZero() && !bookings.Pending(b) {
 					continue
 				}
-				bs = append(bs, b)
+				windows = append(windows, b)
 			}
-			ret(result.OK, c.bookedText(bs, zone), bs...)
+			reply(result.OK, c.calendarText(windows, zone), windows...)
 		})
 	default:
-		c.change(now, e, s, zone, ret)
+		c.changeCalendar(now, e, s, zone, reply)
 	}
 }
 
-// asked is a question put to every node.
-type asked struct {
-	ret    func(result.Code, string, ...*schema.Booking)
-	until  int64
-	waits  int
-	found  []*schema.Decision
-	nobody string // what to say if no node knows
+// openQuestion is a question put to every node.
+type openQuestion struct {
+	reply       func(result.Code, string, ...*schema.MaintenanceWindow)
+	deadline    int64
+	outstanding int
+	decisions   []*schema.ReadDecision
+	emptyText   string // what to say if no node knows
 }
 
-// whyWait is how long nodes are waited for.
-const whyWait = 1_000_000
+// questionTimeout is how long nodes are waited for.
+const questionTimeout = 1_000_000
 
-// why asks every living node what it decided.
-func (c *Core) why(now int64, e Ask, s language.Sentence, ret func(result.Code, string, ...*schema.Booking)) {
-	m := &schema.WhyAsk{Partner: e.Partner, Query: s.Read}
-	a := &asked{ret: ret, until: now + whyWait, nobody: fmt.Sprintf("no node has decided lately on a read %q of %s", s.Read, e.Partner)}
+// askForDecisions asks every living node what it decided.
+func (c *Core) askForDecisions(now int64, e Command, s language.Sentence, reply func(result.Code, string, ...*schema.MaintenanceWindow)) {
+	request := &schema.ReadDecisionRequest{Partner: e.Partner, Query: s.ReadID}
+	question := &openQuestion{reply: reply, deadline: now + questionTimeout, emptyText: fmt.Sprintf("no node has decided lately on a read %q of %s", s.ReadID, e.Partner)}
 	if s.Group.Text != "" {
-		g, err := language.Group(s.Group, c.places(), e.Partner)
+		group, err := language.Group(s.Group, c.targets(), e.Partner)
 		if err != nil {
-			ret(result.NoSuchThing, err.Error())
+			reply(result.NotFound, err.Error())
 			return
 		}
-		m.Group, a.nobody = g, "no node has decided on a read of "+g+" yet"
+		request.Group, question.emptyText = group, "no node has decided on a read of "+group+" yet"
 	}
-	c.whys++
-	m.Number = c.whys
+	c.lastQuestion++
+	request.RequestNumber = c.lastQuestion
 	for _, n := range c.nodes {
 		if n.Kind == "pool" && n.Alive {
-			a.waits++
-			c.fx.Send = append(c.fx.Send, step.Send{To: n.Address, Env: &schema.Envelope{From: c.self, Body: &schema.Envelope_WhyAsk{WhyAsk: m}}})
+			question.outstanding++
+			c.effects.Send = append(c.effects.Send, step.Send{To: n.Address, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ReadDecisionRequest{ReadDecisionRequest: request}}})
 		}
 	}
-	c.asked[m.Number] = a
-	c.whyTick(now)
+	c.openQuestions[request.RequestNumber] = question
+	c.finishQuestions(now)
 }
 
-func (c *Core) whyReturn(now int64, r *schema.WhyReturn) {
-	if a := c.asked[r.Number]; a != nil {
-		a.found = append(a.found, r.Decisions...)
-		a.waits--
-		c.whyTick(now)
+func (c *Core) handleDecisions(now int64, response *schema.ReadDecisionResponse) {
+	if question := c.openQuestions[response.RequestNumber]; question != nil {
+		question.decisions = append(question.decisions, response.Decisions...)
+		question.outstanding--
+		c.finishQuestions(now)
 	}
 }
 
-// whyTick ends the questions that all nodes have replied to, or long enough.
-func (c *Core) whyTick(now int64) {
-	for _, k := range slices.Sorted(maps.Keys(c.asked)) {
-		a := c.asked[k]
-		if a.waits > 0 && now < a.until {
+// finishQuestions ends the questions that all nodes have replied to, or long enough.
+func (c *Core) finishQuestions(now int64) {
+	for _, k := range slices.Sorted(maps.Keys(c.openQuestions)) {
+		question := c.openQuestions[k]
+		if question.outstanding > 0 && now < question.deadline {
 			continue
 		}
-		delete(c.asked, k)
-		if len(a.found) == 0 {
-			a.ret(result.NoSuchThing, a.nobody)
+		delete(c.openQuestions, k)
+		if len(question.decisions) == 0 {
+			question.reply(result.NotFound, question.emptyText)
 			continue
 		}
-		slices.SortStableFunc(a.found, func(x, y *schema.Decision) int {
+		slices.SortStableFunc(question.decisions, func(x, y *schema.ReadDecision) int {
 			return cmp.Or(cmp.Compare(x.Class, y.Class), cmp.Compare(x.Node, y.Node), cmp.Compare(y.AgoUs, x.AgoUs))
 		})
-		var ls []string
-		for _, d := range a.found {
-			ls = append(ls, decisionText(d))
+		var lines []string
+		for _, d := range question.decisions {
+			lines = append(lines, decisionText(d))
 		}
-		a.ret(result.OK, strings.Join(ls, "\n"))
+		question.reply(result.OK, strings.Join(lines, "\n"))
 	}
 }
 
-func decisionText(d *schema.Decision) string {
-	l := fmt.Sprintf("%s, %s", d.Group, d.Class)
+func decisionText(d *schema.ReadDecision) string {
+	line := fmt.Sprintf("%s, %s", d.Group, d.Class)
 	if d.Query != "" {
-		l += " " + d.Query
+		line += " " + d.Query
 	}
-	l += fmt.Sprintf(", %.3f s ago by %s: on %s, %s", float64(d.AgoUs)/1e6, d.Node, d.Copy, d.Reason)
-	if d.Floor > 0 {
-		l += fmt.Sprintf("; its session wrote up to %d", d.Floor)
+	line += fmt.Sprintf(", %.3f s ago by %s: on %s, %s", float64(d.AgoUs)/1e6, d.Node, d.Replica, d.Reason)
+	if d.MinPosition > 0 {
+		line += fmt.Sprintf("; its session wrote up to %d", d.MinPosition)
 	}
 	for _, o := range d.Candidates {
-		if o.Fit {
-			l += fmt.Sprintf("\n  %s: burden %d us + run %d us + wait %d us = %d us; it had applied %d and needed %d", o.Copy, o.BurdenUs, o.RunUs, o.WaitUs, o.BurdenUs+o.RunUs+o.WaitUs, o.Level, o.Need)
+		if o.Eligible {
+			line += fmt.Sprintf("\n  %s: burden %d us + run %d us + wait %d us = %d us; it had applied %d and needed %d", o.Replica, o.LoadUs, o.RunUs, o.WaitUs, o.LoadUs+o.RunUs+o.WaitUs, o.AppliedPosition, o.RequiredPosition)
 		} else {
-			l += fmt.Sprintf("\n  %s: no level known would do; it had applied %d", o.Copy, o.Level)
+			line += fmt.Sprintf("\n  %s: no level known would do; it had applied %d", o.Replica, o.AppliedPosition)
 		}
 	}
-	return l
+	return line
 }
 
-// change changes the calendar: against its newest revision, and as the next.
-func (c *Core) change(now int64, e Ask, s language.Sentence, zone *time.Location, ret func(result.Code, string, ...*schema.Booking)) {
-	var b *schema.Booking
-	if s.Verb == language.VerbBook {
-		p, err := language.Resolve(s.Name, c.places(), s.Kind == bookings.Stop)
+// changeCalendar changes the calendar: against its newest revision, and as the next.
+func (c *Core) changeCalendar(now int64, e Command, s language.Sentence, zone *time.Location, reply func(result.Code, string, ...*schema.MaintenanceWindow)) {
+	var window *schema.MaintenanceWindow
+	if s.Verb == language.VerbSchedule {
+		problem, err := language.Resolve(s.Name, c.targets(), s.Kind == bookings.Stop)
 		if err != nil {
-			var le *language.Error
-			if errors.As(err, &le) && le.Several {
-				ret(result.Ambiguous, err.Error())
+			var languageErr *language.Error
+			if errors.As(err, &languageErr) && languageErr.Ambiguous {
+				reply(result.Ambiguous, err.Error())
 			} else {
-				ret(result.NoSuchThing, err.Error())
+				reply(result.NotFound, err.Error())
 			}
 			return
 		}
-		b = &schema.Booking{Kind: s.Kind, Target: p.Partner + "/" + p.Name, Group: p.Group, Owner: p.Partner, ProposedBy: e.Partner, AtUs: s.At.UnixMicro()}
-		if p.Machine {
-			b.Target = p.Name
+		window = &schema.MaintenanceWindow{Kind: s.Kind, Target: problem.Partner + "/" + problem.Name, Group: problem.Group, Owner: problem.Partner, ProposedBy: e.Partner, AtUs: s.At.UnixMicro()}
+		if problem.Machine {
+			window.Target = problem.Name
 		}
 	}
-	c.read(now, BookingsKey, func(now int64, o paxos.Outcome) {
-		if o.Verdict != paxos.Agreed {
-			ret(result.NoVoterMajority, "")
+	c.readRegister(now, MaintenanceKey, func(now int64, o paxos.Outcome) {
+		if o.Verdict != paxos.Committed {
+			reply(result.NoVoterMajority, "")
 			return
 		}
 		old := bookings.Read(o.Value.GetData())
-		var cal *schema.Calendar
-		var is *schema.Booking
-		var p *bookings.Problem
-		wall := c.wall(now)
+		var calendar *schema.MaintenanceCalendar
+		var changed *schema.MaintenanceWindow
+		var problem *bookings.Problem
+		wall := c.wallClock(now)
 		switch s.Verb {
-		case language.VerbBook:
-			cal, is, p = bookings.Propose(old, b, wall, c.facts())
+		case language.VerbSchedule:
+			calendar, changed, problem = bookings.Propose(old, window, wall, c.fleet())
 		case language.VerbConfirm:
-			cal, is, p = bookings.Confirm(old, s.Booking, e.Partner, wall, c.facts())
+			calendar, changed, problem = bookings.Confirm(old, s.WindowID, e.Partner, wall, c.fleet())
 		case language.VerbCancel:
-			cal, is, p = bookings.Cancel(old, s.Booking, e.Partner)
+			calendar, changed, problem = bookings.Cancel(old, s.WindowID, e.Partner)
 		case language.VerbMove:
-			cal, is, p = bookings.Move(old, s.Booking, e.Partner, s.At.UnixMicro(), wall, c.facts())
+			calendar, changed, problem = bookings.Move(old, s.WindowID, e.Partner, s.At.UnixMicro(), wall, c.fleet())
 		}
-		if p != nil {
-			ret(p.Code, p.Text)
+		if problem != nil {
+			reply(problem.Code, problem.Text)
 			return
 		}
-		c.putCalendar(now, o.Value.GetRevision(), cal, func(now int64, o paxos.Outcome) {
-			if o.Verdict != paxos.Agreed {
-				ret(verdict(o.Verdict, true), "")
+		c.putCalendar(now, o.Value.GetRevision(), calendar, func(now int64, o paxos.Outcome) {
+			if o.Verdict != paxos.Committed {
+				reply(verdictCode(o.Verdict, true), "")
 				return
 			}
-			ret(result.OK, c.bookedText([]*schema.Booking{is}, zone), is)
+			reply(result.OK, c.calendarText([]*schema.MaintenanceWindow{changed}, zone), changed)
 		})
 	})
 }
 
-func (c *Core) putCalendar(now int64, base uint64, cal *schema.Calendar, f func(int64, paxos.Outcome)) {
-	b, err := proto.Marshal(cal)
+func (c *Core) putCalendar(now int64, base uint64, calendar *schema.MaintenanceCalendar, f func(int64, paxos.Outcome)) {
+	b, err := proto.Marshal(calendar)
 	if err != nil {
 		panic(err)
 	}
-	c.ask(now, paxos.Change{Name: c.name(), Key: BookingsKey, Base: base, Data: b, Deadline: now + settingExpiry}, f)
+	c.propose(now, paxos.Change{ID: c.newChangeName(), Key: MaintenanceKey, BaseRevision: base, Data: b, Deadline: now + changeTimeout}, f)
 }
 
-func (c *Core) bookedText(bs []*schema.Booking, zone *time.Location) string {
-	if len(bs) == 0 {
+func (c *Core) calendarText(windows []*schema.MaintenanceWindow, zone *time.Location) string {
+	if len(windows) == 0 {
 		return "nothing is booked"
 	}
-	var ls []string
-	for _, b := range bs {
-		l := fmt.Sprintf("booking %d: %s of %s at %s, %s", b.Id, b.Kind, b.Target, time.UnixMicro(b.AtUs).In(zone).Format("2006-01-02 15:04 MST"), b.State)
-		if b.State == bookings.Proposed {
-			l += " by " + b.ProposedBy + ", to be confirmed by " + b.Owner
+	var lines []string
+	for _, window := range windows {
+		line := fmt.Sprintf("booking %d: %s of %s at %s, %s", window.Id, window.Kind, window.Target, time.UnixMicro(window.AtUs).In(zone).Format("2006-01-02 15:04 MST"), window.State)
+		if window.State == bookings.Proposed {
+			line += " by " + window.ProposedBy + ", to be confirmed by " + window.Owner
 		}
-		if b.Detail != "" {
-			l += " (" + b.Detail + ")"
+		if window.Detail != "" {
+			line += " (" + window.Detail + ")"
 		}
-		ls = append(ls, l)
+		lines = append(lines, line)
 	}
-	return strings.Join(ls, "\n")
+	return strings.Join(lines, "\n")
 }
 
 func (c *Core) statusText() string {
-	var ls []string
+	var lines []string
 	for _, k := range slices.Sorted(maps.Keys(c.groups)) {
-		g := GroupState(c.relay.Held(GroupPrefix + k))
-		ls = append(ls, fmt.Sprintf("%s: epoch %d, %s, primary %s", k, g.Epoch, strings.ToLower(g.Phase.String()), g.Primary))
+		g := GroupState(c.relay.Value(GroupKeyPrefix + k))
+		lines = append(lines, fmt.Sprintf("%s: epoch %d, %s, primary %s", k, g.Epoch, strings.ToLower(g.Phase.String()), g.Primary))
 	}
 	alive := 0
 	for _, n := range c.nodes {
@@ -320,130 +320,130 @@
 			alive++
 		}
 	}
-	return strings.Join(append(ls, fmt.Sprintf("%d processes, %d alive", len(c.nodes), alive)), "\n")
+	return strings.Join(append(lines, fmt.Sprintf("%d processes, %d alive", len(c.nodes), alive)), "\n")
 }
 
 func (c *Core) appliedText(partner string) string {
-	m := c.Applied(ConfigPrefix + partner)
-	ls := []string{fmt.Sprintf("%s, newest known revision %d", partner, c.relay.Held(ConfigPrefix+partner).GetRevision())}
+	m := c.AppliedRevisions(ConfigurationKeyPrefix + partner)
+	lines := []string{fmt.Sprintf("%s, newest known revision %d", partner, c.relay.Value(ConfigurationKeyPrefix+partner).GetRevision())}
 	for _, n := range slices.Sorted(maps.Keys(m)) {
-		ls = append(ls, fmt.Sprintf("%s: revision %d", n, m[n]))
+		lines = append(lines, fmt.Sprintf("%s: revision %d", n, m[n]))
 	}
-	return strings.Join(ls, "\n")
+	return strings.Join(lines, "\n")
 }
 
-// bookingTick carries out what is due and is this process's duty. Every step
+// tickMaintenance carries out what is due and is this process's duty. Every step
 // of a booking is a revision of the calendar, so another process goes on from
 // there if this one dies; what the platform is asked for can be asked again.
-func (c *Core) bookingTick(now int64) {
-	if now < c.nextBook || !c.wallKnown {
+func (c *Core) tickMaintenance(now int64) {
+	if now < c.nextMaintenanceAt || !c.wallClockKnown {
 		return
 	}
-	c.nextBook = now + bookingEvery
-	cal := c.cal
-	rev := c.relay.Held(BookingsKey).GetRevision()
-	for _, b := range cal.Bookings {
-		d := machinesDuty
+	c.nextMaintenanceAt = now + maintenanceInterval
+	calendar := c.calendar
+	revision := c.relay.Value(MaintenanceKey).GetRevision()
+	for _, b := range calendar.Windows {
+		role := machinesRole
 		if b.Group != "" {
-			d = dutyPrefix + b.Group
+			role = roleKeyPrefix + b.Group
 		}
-		if !bookings.Open(b) || !c.duty.Acts(d, now) {
-			delete(c.carries, b.Id)
+		if !bookings.Pending(b) || !c.roles.IsLeader(role, now) {
+			delete(c.windowsInProgress, b.Id)
 			continue
 		}
-		w := c.carries[b.Id]
-		if w == nil || w.state != b.State {
-			w = &carried{state: b.State, since: now}
-			c.carries[b.Id] = w
+		progress := c.windowsInProgress[b.Id]
+		if progress == nil || progress.state != b.State {
+			progress = &windowProgress{state: b.State, since: now}
+			c.windowsInProgress[b.Id] = progress
 		}
-		v := c.bookingView(now, b)
-		v.SinceUs = now - w.since
-		st, detail, ask := bookings.Next(b, v)
-		if ask && now-w.asked > 2_000_000 {
-			w.asked = now
-			c.carryOut(b)
+		view := c.maintenanceView(now, b)
+		view.InStateUs = now - progress.since
+		state, detail, request := bookings.Next(b, view)
+		if request && now-progress.requestedAt > 2_000_000 {
+			progress.requestedAt = now
+			c.requestFromPlatform(b)
 		}
-		if st == "" || c.bookingPut {
+		if state == "" || c.calendarChangePending {
 			continue
 		}
-		c.bookingPut = true
-		n := bookings.To(cal, b.Id, st, detail)
-		if st == bookings.Draining {
-			bookings.Find(n, b.Id).Identity = v.Identity
+		c.calendarChangePending = true
+		next := bookings.SetState(calendar, b.Id, state, detail)
+		if state == bookings.Draining {
+			bookings.Find(next, b.Id).Identity = view.Identity
 		}
-		c.putCalendar(now, rev, n, func(now int64, o paxos.Outcome) {
-			c.bookingPut = false
-			if o.Verdict == paxos.Agreed {
-				c.say(result.BookingMoved, "booking %d, %s of %s: %s %s", b.Id, b.Kind, b.Target, st, detail)
+		c.putCalendar(now, revision, next, func(now int64, o paxos.Outcome) {
+			c.calendarChangePending = false
+			if o.Verdict == paxos.Committed {
+				c.logf(result.MaintenanceAdvanced, "booking %d, %s of %s: %s %s", b.Id, b.Kind, b.Target, state, detail)
 			}
 		})
 	}
 }
 
-func (c *Core) bookingView(now int64, b *schema.Booking) bookings.View {
-	v := bookings.View{WallUs: c.wall(now)}
+func (c *Core) maintenanceView(now int64, b *schema.MaintenanceWindow) bookings.Observation {
+	view := bookings.Observation{WallUs: c.wallClock(now)}
 	if b.Kind == bookings.Stop {
-		v.Gone = true
+		view.MachineStopped = true
 		for _, n := range c.nodes {
-			v.Gone = v.Gone && !(n.Name == b.Target && n.Alive)
+			view.MachineStopped = view.MachineStopped && !(n.Name == b.Target && n.Alive)
 		}
-		return v
+		return view
 	}
-	g := c.groups[b.Group]
-	st := GroupState(c.relay.Held(GroupPrefix + b.Group))
-	v.Target = strings.TrimPrefix(b.Target, b.Owner+"/")
-	if st.Phase == schema.Phase_OPEN {
-		v.Primary = st.Primary
+	group := c.groups[b.Group]
+	state := GroupState(c.relay.Value(GroupKeyPrefix + b.Group))
+	view.Target = strings.TrimPrefix(b.Target, b.Owner+"/")
+	if state.Phase == schema.Phase_OPEN {
+		view.Primary = state.Primary
 	}
-	for _, m := range st.Members {
-		if m.Database == v.Target {
-			v.Identity = m.Identity
+	for _, m := range state.Members {
+		if m.Database == view.Target {
+			view.Identity = m.Identity
 		}
 	}
-	if g == nil {
-		v.Well = "the group is no longer configured"
-		return v
+	if group == nil {
+		view.Obstacle = "the group is no longer configured"
+		return view
 	}
-	for _, m := range st.Members {
-		v.Aside = v.Aside || m.Database == v.Target && m.Identity == "" && m.Retiring == b.Identity
+	for _, m := range state.Members {
+		view.MemberRetired = view.MemberRetired || m.Database == view.Target && m.Identity == "" && m.Retiring == b.Identity
 	}
-	v.Well = g.decider.Well(now, st)
-	r := c.reports(now, b.Group)[v.Target]
-	v.Busy, v.Open = r.Busy, r.Open
-	return v
+	view.Obstacle = group.decider.Degraded(now, state)
+	report := c.databaseReports(now, b.Group)[view.Target]
+	view.BusyConnections, view.OpenTransactions = report.BusyConnections, report.OpenTransactions
+	return view
 }
 
-func (c *Core) carryOut(b *schema.Booking) {
+func (c *Core) requestFromPlatform(b *schema.MaintenanceWindow) {
 	switch {
-	case b.Kind == bookings.Stop && b.State == bookings.Handed:
-		c.fx.Do = append(c.fx.Do, StopMachine{Machine: b.Target})
-	case b.Kind == bookings.Replacement && b.State == bookings.Handed:
+	case b.Kind == bookings.Stop && b.State == bookings.AwaitingPlatform:
+		c.effects.Do = append(c.effects.Do, StopMachine{Machine: b.Target})
+	case b.Kind == bookings.Replacement && b.State == bookings.AwaitingPlatform:
 		n := strings.TrimPrefix(b.Target, b.Owner+"/")
-		c.fx.Do = append(c.fx.Do, Replace{Database: n, Address: c.configs[b.Owner].GetDatabases()[n].GetAddress(), Identity: b.Identity})
+		c.effects.Do = append(c.effects.Do, ReplaceDatabase{Database: n, Address: c.configurations[b.Owner].GetDatabases()[n].GetAddress(), Identity: b.Identity})
 	}
 }
 
-// moves is what the bookings under way want of a group: the primary to switch
+// groupMaintenance is what the bookings under way want of a group: the primary to switch
 // away from, the replica to set aside, and a copy that was set aside and stays,
 // since its booking ended without a replacement.
-func (c *Core) moves(group string, st *schema.GroupState) (avoid, aside, kept string) {
-	for _, b := range c.cal.Bookings {
+func (c *Core) groupMaintenance(group string, state *schema.GroupState) (avoidPrimary, retire, keepIdentity string) {
+	for _, b := range c.calendar.Windows {
 		if b.Group != group {
 			continue
 		}
 		n := strings.TrimPrefix(b.Target, b.Owner+"/")
 		switch {
 		case b.State == bookings.Switching:
-			avoid = n
-		case b.State == bookings.Aside:
-			aside = n
-		case !bookings.Open(b) && b.Identity != "":
-			for _, m := range st.Members {
+			avoidPrimary = n
+		case b.State == bookings.Retiring:
+			retire = n
+		case !bookings.Pending(b) && b.Identity != "":
+			for _, m := range state.Members {
 				if m.Database == n && m.Retiring == b.Identity {
-					kept = b.Identity
+					keepIdentity = b.Identity
 				}
 			}
 		}
 	}
-	return avoid, aside, kept
+	return avoidPrimary, retire, keepIdentity
 }
--- a/control/contact_test.go
+++ b/control/contact_test.go
@@ -10,86 +10,86 @@
 	"stoneford/simulation"
 )
 
-// trio is three control processes on a network.
-type trio struct {
-	w     *simulation.World
-	n     *simulation.Network
-	cores map[string]*control.Core
-	seeds []string
-	told  map[uint64]control.Return
-	at    map[uint64]int64
+// threeProcesses is three control processes on a network.
+type threeProcesses struct {
+	environment *simulation.Scheduler
+	network     *simulation.Network
+	cores       map[string]*control.Core
+	seeds       []string
+	results     map[uint64]control.ConfigurationResult
+	resultsAt   map[uint64]int64
 }
 
-func newTrio(seed uint64) *trio {
-	x := &trio{w: simulation.NewWorld(seed), cores: map[string]*control.Core{}, told: map[uint64]control.Return{}, at: map[uint64]int64{}}
-	x.n = simulation.NewNetwork(x.w)
-	x.n.Take = func(to string, e *schema.Envelope) { x.step(to, e) }
+func newThreeProcesses(seed uint64) *threeProcesses {
+	x := &threeProcesses{environment: simulation.NewScheduler(seed), cores: map[string]*control.Core{}, results: map[uint64]control.ConfigurationResult{}, resultsAt: map[uint64]int64{}}
+	x.network = simulation.NewNetwork(x.environment)
+	x.network.Receive = func(to string, e *schema.Envelope) { x.step(to, e) }
 	x.seeds = []string{"a:1", "b:1", "c:1"}
 	for i, s := range x.seeds {
 		x.cores[s] = control.NewCore(&schema.Boot{Name: s[:1], Listen: s, Seeds: x.seeds}, 1, uint64(i+1))
 		var tick func()
-		tick = func() { x.step(s); x.w.After(20_000, tick) }
+		tick = func() { x.step(s); x.environment.After(20_000, tick) }
 		tick()
 	}
 	return x
 }
 
-func (x *trio) step(at string, evs ...any) {
-	fx := x.cores[at].Step(x.w.Now, evs...)
-	for _, s := range fx.Send {
-		x.n.Send(at, s)
+func (x *threeProcesses) step(at string, events ...any) {
+	effects := x.cores[at].Step(x.environment.Now, events...)
+	for _, s := range effects.Send {
+		x.network.Send(at, s)
 	}
-	for _, d := range fx.Do {
-		if r, ok := d.(control.Return); ok {
-			x.told[r.ID], x.at[r.ID] = r, x.w.Now
+	for _, d := range effects.Do {
+		if r, ok := d.(control.ConfigurationResult); ok {
+			x.results[r.ID], x.resultsAt[r.ID] = r, x.environment.Now
 		}
 	}
 }
 
-// TestCutOffTellsOperatorsNothing: a control process that is cut off, in either
+// TestDisconnectedProcessRejectsOperators: a control process that is cut off, in either
 // direction, refuses readings and changes of the configuration at once, and
 // afterwards hands out nothing old.
-func TestCutOffTellsOperatorsNothing(t *testing.T) {
-	const silenceSeen = 2_000_000
+func TestDisconnectedProcessRejectsOperators(t *testing.T) {
+	const timeoutNoticed = 2_000_000
 	calls := 0
-	for _, cut := range []struct{ from, to bool }{{true, true}, {true, false}, {false, true}} {
-		x := newTrio(3)
-		x.w.Run(3_000_000)
+	for _, partition := range []struct{ from, to bool }{{true, true}, {true, false}, {false, true}} {
+		x := newThreeProcesses(3)
+		x.environment.Run(3_000_000)
 		for _, o := range x.seeds[1:] {
-			x.n.Cut("a:1", o, cut.from)
-			x.n.Cut(o, "a:1", cut.to)
+			x.network.SetPartition("a:1", o, partition.from)
+			x.network.SetPartition(o, "a:1", partition.to)
 		}
-		began, id := x.w.Now, uint64(0)
-		for ; x.w.Now < began+20_000_000; x.w.Run(x.w.Now + 250_000) {
-			sent := x.w.Now
+		began, id := x.environment.Now, uint64(0)
+		for ; x.environment.Now < began+20_000_000; x.environment.Run(x.environment.Now + 250_000) {
+			sent := x.environment.Now
 			for _, e := range []any{control.GetConfiguration{ID: id + 1, Partner: "p"}, control.PutConfiguration{ID: id + 2, Partner: "p", Text: []byte(`{}`)}} {
 				x.step("a:1", e)
 			}
 			for _, n := range []uint64{id + 1, id + 2} {
-				r, told := x.told[n]
-				if sent > began+silenceSeen && (!told || x.at[n] != sent || r.Code != result.NoVoterMajority) {
-					t.Fatalf("%v: %d ms after the cut call %d was told %v, %t", cut, (sent-began)/1000, n, r.Code, told)
+				r, replied := x.results[n]
+				if sent > began+timeoutNoticed && (!replied || x.resultsAt[n] != sent || r.Code != result.NoVoterMajority) {
+					t.Fatalf("%v: %d ms after the cut call %d was told %v, %t", partition, (sent-began)/1000, n, r.Code, replied)
 				}
 				calls++
 			}
 			id += 2
 		}
-		for n, r := range x.told {
+		for n, r := range x.results {
 			if r.Code == result.OK || r.Code == result.LosingRevision || r.Code == result.InvalidConfiguration {
-				t.Fatalf("%v: call %d was told %d", cut, n, r.Code)
+				t.Fatalf("%v: call %d was told %d", partition, n, r.Code)
 			}
 		}
 		x.step("b:1", control.GetConfiguration{ID: 99_999, Partner: "p"})
-		x.w.Run(x.w.Now + 500_000)
-		if r, told := x.told[99_999]; !told || r.Code != result.OK {
-			t.Fatalf("%v: another one told %v, %t", cut, r, told)
+		x.environment.Run(x.environment.Now + 500_000)
+		if r, replied := x.results[99_999]; !replied || r.Code != result.OK {
+			t.Fatalf("%v: another one told %v, %t", partition, r, replied)
 		}
-		x.n.Mend()
-		x.w.Run(x.w.Now + 3_000_000)
+		x.network.Repair()
+		x.environment.Run(x.environment.Now + 3_000_000)
 		x.step("a:1", control.GetConfiguration{ID: 100_000, Partner: "p"})
-		x.w.Run(x.w.Now + 500_000)
-		if r, told := x.told[100_000]; !told || r.Code != result.OK {
-			t.Fatalf("%v: after the cut a reading was told %v, %t", cut, r, told)
+		x.environment.Run(x.environment.Now + 500_000)
+		if r, replied := x.results[100_000]; !replied || r.Code != result.OK {
+			t.Fatalf("%v: after the cut a reading was told %v, %t", partition, r, replied)
 		}
 	}
 	t.Log(fmt.Sprint(calls), "calls to a control process that was cut off, in three ways")
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -13,21 +13,21 @@
 )
 
 // metrics asks the core between two steps; docs/operating.md has the table.
-type metrics struct{ p *Process }
+type metrics struct{ process *Process }
 
-func desc(name, help string, labels ...string) *prometheus.Desc {
+func metricDescription(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("stoneford_control_"+name, help, labels, nil)
 }
 
 var (
-	dVotes    = desc("votes", "1 if this process's voter votes")
-	dRevision = desc("revision", "newest agreed revision known of a register", "register")
-	dEpoch    = desc("group_epoch", "a group's epoch", "group")
-	dOpen     = desc("group_open", "1 if the group has its primary, 0 during a takeover", "group")
-	dDuties   = desc("duties", "duties this process acts on")
-	dNodes    = desc("nodes", "processes known", "standing")
-	dRecords  = desc("records", "mergeable records held")
-	dEnv      = desc("envelopes_total", "envelopes to and from other processes", "way")
+	votesMetric     = metricDescription("votes", "1 if this process's voter votes")
+	revisionMetric  = metricDescription("revision", "newest agreed revision known of a register", "register")
+	epochMetric     = metricDescription("group_epoch", "a group's epoch", "group")
+	openMetric      = metricDescription("group_open", "1 if the group has its primary, 0 during a takeover", "group")
+	rolesMetric     = metricDescription("duties", "duties this process acts on")
+	nodesMetric     = metricDescription("nodes", "processes known", "standing")
+	recordsMetric   = metricDescription("records", "mergeable records held")
+	envelopesMetric = metricDescription("envelopes_total", "envelopes to and from other processes", "way")
 )
 
 // Describe names nothing beforehand: what there is to tell depends on the
@@ -39,26 +39,26 @@
 	gauge := func(d *prometheus.Desc, v float64, ls ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, ls...)
 	}
-	m.p.see(func(c *Core, now int64) {
-		gauge(dVotes, float64(lo.Ternary(c.formed, 1, 0)))
+	m.process.inspect(func(c *Core, now int64) {
+		gauge(votesMetric, float64(lo.Ternary(c.voting, 1, 0)))
 		for _, k := range c.relay.Keys() {
-			gauge(dRevision, float64(c.relay.Held(k).Revision), k)
+			gauge(revisionMetric, float64(c.relay.Value(k).Revision), k)
 		}
 		n := 0
 		for k := range c.groups {
-			st := GroupState(c.relay.Held(GroupPrefix + k))
-			gauge(dEpoch, float64(st.Epoch), k)
-			gauge(dOpen, float64(lo.Ternary(st.Phase == schema.Phase_OPEN, 1, 0)), k)
-			n += lo.Ternary(c.duty.Acts(dutyPrefix+k, now), 1, 0)
+			st := GroupState(c.relay.Value(GroupKeyPrefix + k))
+			gauge(epochMetric, float64(st.Epoch), k)
+			gauge(openMetric, float64(lo.Ternary(st.Phase == schema.Phase_OPEN, 1, 0)), k)
+			n += lo.Ternary(c.roles.IsLeader(roleKeyPrefix+k, now), 1, 0)
 		}
-		gauge(dDuties, float64(n))
-		gauge(dNodes, float64(len(c.nodes)), "known")
-		gauge(dNodes, float64(len(roster.Live(c.nodes))), "alive")
-		gauge(dRecords, float64(c.recs.Len()))
+		gauge(rolesMetric, float64(n))
+		gauge(nodesMetric, float64(len(c.nodes)), "known")
+		gauge(nodesMetric, float64(len(roster.LiveAddresses(c.nodes))), "alive")
+		gauge(recordsMetric, float64(c.records.Len()))
 	})
-	sent, dropped, received := m.p.links.Counts()
-	for way, n := range map[string]uint64{"sent": sent, "dropped": dropped, "received": received} {
-		ch <- prometheus.MustNewConstMetric(dEnv, prometheus.CounterValue, float64(n), way)
+	sent, dropped, received := m.process.links.Counts()
+	for direction, n := range map[string]uint64{"sent": sent, "dropped": dropped, "received": received} {
+		ch <- prometheus.MustNewConstMetric(envelopesMetric, prometheus.CounterValue, float64(n), direction)
 	}
 }
 
--- a/control/metrics_test.go
+++ b/control/metrics_test.go
@@ -13,14 +13,14 @@
 		desc         *prometheus.Desc
 		name, labels string
 	}{
-		{dVotes, "stoneford_control_votes", "{}"},
-		{dRevision, "stoneford_control_revision", "{register}"},
-		{dEpoch, "stoneford_control_group_epoch", "{group}"},
-		{dOpen, "stoneford_control_group_open", "{group}"},
-		{dDuties, "stoneford_control_duties", "{}"},
-		{dNodes, "stoneford_control_nodes", "{standing}"},
-		{dRecords, "stoneford_control_records", "{}"},
-		{dEnv, "stoneford_control_envelopes_total", "{way}"},
+		{votesMetric, "stoneford_control_votes", "{}"},
+		{revisionMetric, "stoneford_control_revision", "{register}"},
+		{epochMetric, "stoneford_control_group_epoch", "{group}"},
+		{openMetric, "stoneford_control_group_open", "{group}"},
+		{rolesMetric, "stoneford_control_duties", "{}"},
+		{nodesMetric, "stoneford_control_nodes", "{standing}"},
+		{recordsMetric, "stoneford_control_records", "{}"},
+		{envelopesMetric, "stoneford_control_envelopes_total", "{way}"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s := x.desc.String()
--- a/control/operators.go
+++ b/control/operators.go
@@ -14,7 +14,7 @@
 	"stoneford/settings"
 )
 
-const bodyMost = 4 << 20
+const maxBodyBytes = 4 << 20
 
 // Reply is the shape of every return to an operator.
 type Reply struct {
@@ -35,23 +35,23 @@
 	m.HandleFunc("PATCH /v1/configuration", func(w http.ResponseWriter, r *http.Request) { p.putConfiguration(w, r, true) })
 	m.HandleFunc("GET /v1/status", p.status)
 	m.HandleFunc("GET /v1/ready", p.ready)
-	m.HandleFunc("POST /v1/say", p.say)
+	m.HandleFunc("POST /v1/say", p.handleSentence)
 	m.Handle("GET /metrics", p.metrics())
 	m.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		give(w, Reply{Code: result.UnknownPath, Detail: r.Method + " " + r.URL.Path})
+		writeReply(w, Reply{Code: result.UnknownPath, Detail: r.Method + " " + r.URL.Path})
 	})
 	return m
 }
 
-func giveJSON(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-func give(w http.ResponseWriter, r Reply) {
+func writeReply(w http.ResponseWriter, r Reply) {
 	r.Text = r.Code.String()
-	giveJSON(w, r.Code.Row().HTTP, r)
+	writeJSON(w, r.Code.Row().HTTP, r)
 }
 
 // partner is whose token came with a query.
@@ -59,11 +59,11 @@
 	t, bearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	n, ok := (*p.tokens.Load())[t]
 	if !ok || !bearer || t == "" {
-		give(w, Reply{Code: result.BadOperatorToken})
+		writeReply(w, Reply{Code: result.BadOperatorToken})
 		return "", false
 	}
 	if q := r.URL.Query().Get("partner"); q != "" && q != n {
-		give(w, Reply{Code: result.NotOwner, Detail: q})
+		writeReply(w, Reply{Code: result.NotOwner, Detail: q})
 		return "", false
 	}
 	return n, true
@@ -74,15 +74,15 @@
 	if !ok {
 		return
 	}
-	v, ok := wait[Return](p, func(id uint64) any { return GetConfiguration{ID: id, Partner: n} })
+	v, ok := await[ConfigurationResult](p, func(id uint64) any { return GetConfiguration{ID: id, Partner: n} })
 	if !ok {
 		v.Code = result.NoVoterMajority
 	}
 	out := Reply{Code: v.Code, Partner: n, Revision: v.Revision, Configuration: v.Text}
 	if r.URL.Query().Get("applied") != "" {
-		p.see(func(c *Core, _ int64) { out.Applied = c.Applied(ConfigPrefix + n) })
+		p.inspect(func(c *Core, _ int64) { out.Applied = c.AppliedRevisions(ConfigurationKeyPrefix + n) })
 	}
-	give(w, out)
+	writeReply(w, out)
 }
 
 // ConfigurationBody is the body of a change.
@@ -96,79 +96,79 @@
 	if !ok {
 		return
 	}
-	var b ConfigurationBody
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost))
+	var body ConfigurationBody
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
-	err := d.Decode(&b)
-	if err == nil && len(b.Configuration) == 0 {
+	err := d.Decode(&body)
+	if err == nil && len(body.Configuration) == 0 {
 		err = errors.New("configuration: required")
 	}
 	if err != nil {
-		give(w, Reply{Code: result.OperatorBadJSON, Detail: err.Error(), Partner: n})
+		writeReply(w, Reply{Code: result.OperatorBadJSON, Detail: err.Error(), Partner: n})
 		return
 	}
-	v, ok := wait[Return](p, func(id uint64) any {
-		return PutConfiguration{ID: id, Partner: n, Base: b.BasedOn, Patch: patch, DryRun: r.URL.Query().Get("dry_run") != "", Text: b.Configuration}
+	v, ok := await[ConfigurationResult](p, func(id uint64) any {
+		return PutConfiguration{ID: id, Partner: n, Base: body.BasedOn, Patch: patch, DryRun: r.URL.Query().Get("dry_run") != "", Text: body.Configuration}
 	})
 	if !ok {
 		v.Code = result.ChangeUncertain // this process stopped meanwhile
 	}
-	give(w, Reply{Code: v.Code, Partner: n, Revision: v.Revision, Configuration: v.Text, Problems: v.Problems})
+	writeReply(w, Reply{Code: v.Code, Partner: n, Revision: v.Revision, Configuration: v.Text, Problems: v.Problems})
 }
 
 // SentenceReply is the return to a sentence.
 type SentenceReply struct {
-	Code     result.Code       `json:"code"`
-	Text     string            `json:"text"`
-	Return   string            `json:"return,omitempty"`
-	Bookings []*schema.Booking `json:"bookings,omitempty"`
+	Code     result.Code                 `json:"code"`
+	Text     string                      `json:"text"`
+	Return   string                      `json:"return,omitempty"`
+	Bookings []*schema.MaintenanceWindow `json:"bookings,omitempty"`
 }
 
-// say takes a sentence of the language.
-func (p *Process) say(w http.ResponseWriter, r *http.Request) {
+// handleSentence takes a sentence of the language.
+func (p *Process) handleSentence(w http.ResponseWriter, r *http.Request) {
 	n, ok := p.partner(w, r)
 	if !ok {
 		return
 	}
-	var b struct {
+	var body struct {
 		Text string `json:"text"`
 	}
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&b); err != nil {
-		give(w, Reply{Code: result.OperatorBadJSON, Detail: err.Error(), Partner: n})
+	if err := d.Decode(&body); err != nil {
+		writeReply(w, Reply{Code: result.OperatorBadJSON, Detail: err.Error(), Partner: n})
 		return
 	}
-	v, ok := wait[Told](p, func(id uint64) any { return Ask{ID: id, Partner: n, Text: b.Text} })
+	v, ok := await[CommandResult](p, func(id uint64) any { return Command{ID: id, Partner: n, Text: body.Text} })
 	if !ok {
 		v.Code = result.ChangeUncertain
 	}
-	giveJSON(w, v.Code.Row().HTTP, SentenceReply{Code: v.Code, Text: v.Code.String(), Return: v.Text, Bookings: v.Bookings})
+	writeJSON(w, v.Code.Row().HTTP, SentenceReply{Code: v.Code, Text: v.Code.String(), Return: v.Text, Bookings: v.Bookings})
 }
 
 // NodeStatus and GroupStatus are what operators see of the fleet.
 type (
 	NodeStatus struct {
-		Address string `json:"address"`
-		Name    string `json:"name"`
-		Kind    string `json:"kind"`
-		Zone    string `json:"zone"`
-		Partner string `json:"partner"`
-		HTTP    string `json:"http"`
-		Alive   bool   `json:"alive"`
-		Leaving bool   `json:"leaving"`
+		Address  string `json:"address"`
+		Name     string `json:"name"`
+		Kind     string `json:"kind"`
+		Zone     string `json:"zone"`
+		Partner  string `json:"partner"`
+		HTTP     string `json:"http"`
+		Alive    bool   `json:"alive"`
+		Draining bool   `json:"leaving"`
 	}
 	GroupStatus struct {
-		Name    string           `json:"name"`
-		Epoch   uint64           `json:"epoch"`
-		Phase   string           `json:"phase"`
-		Primary string           `json:"primary"`
-		Cause   string           `json:"cause"`
-		Holder  string           `json:"duty_holder"`
-		Members []*schema.Member `json:"members"`
+		Name    string                `json:"name"`
+		Epoch   uint64                `json:"epoch"`
+		Phase   string                `json:"phase"`
+		Primary string                `json:"primary"`
+		Cause   string                `json:"cause"`
+		Leader  string                `json:"duty_holder"`
+		Members []*schema.GroupMember `json:"members"`
 	}
 	Status struct {
-		Formed bool `json:"votes"`
+		Voting bool `json:"votes"`
 		// Majority says that this process reaches a majority of the voters; without
 		// it what follows may be old.
 		Majority bool          `json:"majority"`
@@ -182,22 +182,22 @@
 		return
 	}
 	s := Status{Nodes: []NodeStatus{}, Groups: []GroupStatus{}}
-	p.see(func(c *Core, _ int64) {
-		s.Formed, s.Majority = c.formed, c.reachesMajority()
+	p.inspect(func(c *Core, _ int64) {
+		s.Voting, s.Majority = c.voting, c.reachesMajority()
 		for _, n := range c.Nodes() {
-			s.Nodes = append(s.Nodes, NodeStatus{Address: n.Address, Name: n.Name, Kind: n.Kind, Zone: n.Zone, Partner: n.Partner, HTTP: n.Http, Alive: n.Alive, Leaving: n.Leaving})
+			s.Nodes = append(s.Nodes, NodeStatus{Address: n.Address, Name: n.Name, Kind: n.Kind, Zone: n.Zone, Partner: n.Partner, HTTP: n.HttpAddress, Alive: n.Alive, Draining: n.Draining})
 		}
-		gs := c.Groups()
+		gs := c.GroupLeaders()
 		for _, k := range slices.Sorted(slices.Values(lo.Keys(gs))) {
-			g := GroupState(c.Held(GroupPrefix + k))
-			s.Groups = append(s.Groups, GroupStatus{Name: k, Epoch: g.Epoch, Phase: strings.ToLower(g.Phase.String()), Primary: g.Primary, Cause: g.Cause, Holder: gs[k], Members: g.Members})
+			g := GroupState(c.Committed(GroupKeyPrefix + k))
+			s.Groups = append(s.Groups, GroupStatus{Name: k, Epoch: g.Epoch, Phase: strings.ToLower(g.Phase.String()), Primary: g.Primary, Cause: g.Cause, Leader: gs[k], Members: g.Members})
 		}
 	})
-	giveJSON(w, http.StatusOK, s)
+	writeJSON(w, http.StatusOK, s)
 }
 
 func (p *Process) ready(w http.ResponseWriter, r *http.Request) {
 	var ok bool
-	p.see(func(c *Core, _ int64) { ok = c.formed && c.reachesMajority() })
-	giveJSON(w, lo.Ternary(ok, http.StatusOK, http.StatusServiceUnavailable), map[string]bool{"ready": ok})
+	p.inspect(func(c *Core, _ int64) { ok = c.voting && c.reachesMajority() })
+	writeJSON(w, lo.Ternary(ok, http.StatusOK, http.StatusServiceUnavailable), map[string]bool{"ready": ok})
 }
--- a/control/process.go
+++ b/control/process.go
@@ -28,32 +28,32 @@
 )
 
 const (
-	tick         = 20 * time.Millisecond
-	lineLength   = 16384
-	askTime      = 500 * time.Millisecond
-	platformTime = 2 * time.Second
+	tickInterval        = 20 * time.Millisecond
+	eventQueueLength    = 16384
+	databaseCallTimeout = 500 * time.Millisecond
+	platformCallTimeout = 2 * time.Second
 )
 
 // Process is one control process: the core, its log on disk, links and HTTP.
 type Process struct {
-	boot    *schema.Boot
-	tokens  atomic.Pointer[map[string]string]
-	clock   clockwork.Clock
-	core    *Core
-	l       *loop.Loop
-	links   *links.Links
-	dbs     *databaseclient.Client
-	disk    *voterlog.Log
-	waiters sync.Map // id to chan any
-	id      atomic.Uint64
-	ctx     context.Context
-	fail    func(error)
+	boot      *schema.Boot
+	tokens    atomic.Pointer[map[string]string]
+	clock     clockwork.Clock
+	core      *Core
+	loop      *loop.Loop
+	links     *links.Transport
+	databases *databaseclient.Client
+	voterLog  *voterlog.Log
+	waiters   sync.Map // id to chan any
+	lastID    atomic.Uint64
+	ctx       context.Context
+	fail      func(error)
 }
 
-// look has the loop run f between two steps; operators' questions use it.
-type look struct {
-	f    func(c *Core, now int64)
-	done chan struct{}
+// inspection has the loop run f between two steps; operators' questions use it.
+type inspection struct {
+	inspect func(c *Core, now int64)
+	done    chan struct{}
 }
 
 // NewProcess makes a control process and plays its log back.
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{boot: b, clock: clock, l: loop.New(clock, clock.Now(), lineLength), dbs: databaseclient.New(links.Local(b.Bind, b.Listen))}
+	p := &Process{boot: b, clock: clock, loop: loop.New(clock, clock.Now(), eventQueueLength), databases: databaseclient.New(links.LocalAddress(b.Bind, b.Listen))}
 	p.SetTokens(b.Tokens)
 	newCore := func() *Core {
 		return NewCore(b, uint64(clock.Now().UnixMicro()), binary.LittleEndian.Uint64(n[:])|1)
@@ -76,17 +76,17 @@
 	if err := os.MkdirAll(b.DataFolder, 0o755); err != nil {
 		return nil, err
 	}
-	p.disk, err = voterlog.Open(dir, p.core.Restore)
-	if voterlog.ErrDamaged.Has(err) {
+	p.voterLog, err = voterlog.Open(dir, p.core.Restore)
+	if voterlog.ErrCorrupt.Has(err) {
 		// What this voter once said can't be known any more: it is a voter
 		// without a disk, and joins anew (design 3.3).
-		to, aside := voterlog.SetAside(dir)
+		to, aside := voterlog.Quarantine(dir)
 		log.WithFields(log.Fields{"code": int(result.LogDamaged), "kept_in": to}).WithError(err).Error(result.LogDamaged.String())
 		if aside != nil {
 			return nil, aside
 		}
 		p.core = newCore()
-		p.disk, err = voterlog.Open(dir, p.core.Restore)
+		p.voterLog, err = voterlog.Open(dir, p.core.Restore)
 	}
 	return p, err
 }
@@ -102,24 +102,24 @@
 
 // Run serves until the context ends.
 func (p *Process) Run(ctx context.Context) (err error) {
-	var cl cleanup.Stack
-	defer func() { err = errors.Join(err, cl.Run()) }()
-	cl.Push(p.disk.Close)
+	var cleanups cleanup.Stack
+	defer func() { err = errors.Join(err, cleanups.Run()) }()
+	cleanups.Push(p.voterLog.Close)
 	work, stop := context.WithCancelCause(context.WithoutCancel(ctx))
 	p.ctx, p.fail = work, func(err error) { stop(err) }
-	p.links = links.New(work, p.boot.Listen, links.Local(p.boot.Bind, p.boot.Listen), func(e *schema.Envelope) { p.l.Offer(e) })
-	ln, hl, err := bootfile.Listen(p.boot)
+	p.links = links.New(work, p.boot.Listen, links.LocalAddress(p.boot.Bind, p.boot.Listen), func(e *schema.Envelope) { p.loop.TryPost(e) })
+	nodeListener, httpListener, err := bootfile.Listen(p.boot)
 	if err != nil {
 		return err
 	}
-	hs := &http.Server{Handler: p.handler(), ReadHeaderTimeout: 10 * time.Second}
-	cl.Push(hs.Close)
-	go p.tellWall(work)
+	httpServer := &http.Server{Handler: p.handler(), ReadHeaderTimeout: 10 * time.Second}
+	cleanups.Push(httpServer.Close)
+	go p.runWallClock(work)
 	ended := make(chan struct{})
-	go func() { p.fail(p.links.Serve(ln)) }()
-	go func() { p.fail(hs.Serve(hl)) }()
-	go func() { p.l.Run(work, tick, p.step); close(ended) }()
-	cl.Push(func() error { stop(nil); <-ended; return nil })
+	go func() { p.fail(p.links.Serve(nodeListener)) }()
+	go func() { p.fail(httpServer.Serve(httpListener)) }()
+	go func() { p.loop.Run(work, tickInterval, p.step); close(ended) }()
+	cleanups.Push(func() error { stop(nil); <-ended; return nil })
 	log.WithFields(log.Fields{"name": p.boot.Name, "listen": p.boot.Listen, "http": p.boot.Http}).Info("stoneford-control is up")
 	select {
 	case <-work.Done():
@@ -127,67 +127,67 @@
 	case <-ctx.Done():
 	}
 	// Duties are handed over first; a second is enough for that or for never.
-	p.l.Post(Stop{})
+	p.loop.Post(Stop{})
 	<-p.clock.After(time.Second)
 	return nil
 }
 
 // step runs the core. What it logs is synced before anything it says leaves.
-func (p *Process) step(now int64, evs []any) {
-	var in []any
-	var looks []look
-	for _, e := range evs {
-		if k, ok := e.(look); ok {
-			looks = append(looks, k)
+func (p *Process) step(now int64, events []any) {
+	var coreEvents []any
+	var inspections []inspection
+	for _, e := range events {
+		if k, ok := e.(inspection); ok {
+			inspections = append(inspections, k)
 		} else {
-			in = append(in, e)
+			coreEvents = append(coreEvents, e)
 		}
 	}
-	fx := p.core.Step(now, in...)
-	if err := p.disk.Write(fx.Log, p.core.Snapshot); err != nil {
+	effects := p.core.Step(now, coreEvents...)
+	if err := p.voterLog.Write(effects.Log, p.core.Snapshot); err != nil {
 		// A voter that cannot keep its word must not speak.
 		p.fail(errs.New("voter's log: %w", err))
 		return
 	}
-	for _, s := range fx.Send {
-		p.links.Send(s.To, s.Env)
+	for _, s := range effects.Send {
+		p.links.Send(s.To, s.Envelope)
 	}
-	for _, d := range fx.Do {
+	for _, d := range effects.Do {
 		switch d := d.(type) {
-		case Return:
+		case ConfigurationResult:
 			if ch, ok := p.waiters.LoadAndDelete(d.ID); ok {
-				ch.(chan Return) <- d
+				ch.(chan ConfigurationResult) <- d
 			}
-		case Told:
+		case CommandResult:
 			if ch, ok := p.waiters.LoadAndDelete(d.ID); ok {
-				ch.(chan Told) <- d
+				ch.(chan CommandResult) <- d
 			}
-		case Replace:
-			go p.tellPlatform("replace", func(ctx context.Context) error {
-				return p.dbs.Replace(ctx, p.boot.Platform, d.Database, d.Address, d.Identity)
+		case ReplaceDatabase:
+			go p.callPlatform("replace", func(ctx context.Context) error {
+				return p.databases.Replace(ctx, p.boot.Platform, d.Database, d.Address, d.Identity)
 			})
 		case StopMachine:
-			go p.tellPlatform("stop", func(ctx context.Context) error { return p.dbs.StopMachine(ctx, p.boot.Platform, d.Machine) })
-		case AskDatabase:
-			go p.askDatabase(d)
-		case Platform:
-			go p.platform(d)
-		case Say:
+			go p.callPlatform("stop", func(ctx context.Context) error { return p.databases.StopMachine(ctx, p.boot.Platform, d.Machine) })
+		case DatabaseCall:
+			go p.callDatabase(d)
+		case FailoverRequest:
+			go p.requestFailover(d)
+		case LogEntry:
 			log.WithFields(log.Fields{"code": int(d.Code), "what": d.Text}).Info(d.Code.String())
 		}
 	}
-	for _, k := range looks {
-		k.f(p.core, now)
+	for _, k := range inspections {
+		k.inspect(p.core, now)
 		close(k.done)
 	}
 }
 
-// tellWall tells the core the wall clock, which only the calendar goes by.
-func (p *Process) tellWall(ctx context.Context) {
+// runWallClock tells the core the wall clock, which only the calendar goes by.
+func (p *Process) runWallClock(ctx context.Context) {
 	t := p.clock.NewTicker(time.Second)
 	defer t.Stop()
 	for {
-		p.l.Post(Wall{Us: p.clock.Now().UnixMicro()})
+		p.loop.Post(WallClock{UnixMicro: p.clock.Now().UnixMicro()})
 		select {
 		case <-ctx.Done():
 			return
@@ -196,46 +196,46 @@
 	}
 }
 
-func (p *Process) askDatabase(d AskDatabase) {
-	ctx, stop := context.WithTimeout(p.ctx, askTime)
+func (p *Process) callDatabase(d DatabaseCall) {
+	ctx, stop := context.WithTimeout(p.ctx, databaseCallTimeout)
 	defer stop()
 	var s databaseclient.Status
 	var err error
-	if d.Seal > 0 {
-		s, err = p.dbs.Seal(ctx, d.Address, d.Seal)
+	if d.SealEpoch > 0 {
+		s, err = p.databases.Seal(ctx, d.Address, d.SealEpoch)
 	} else {
-		s, err = p.dbs.Poll(ctx, d.Address, 0, 0, 0)
+		s, err = p.databases.Poll(ctx, d.Address, 0, 0, 0)
 	}
-	p.l.Post(DatabaseSaid{Group: d.Group, ID: d.ID, Err: err != nil, Status: takeover.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch,
-		LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Leaving: s.Leaving}})
+	p.loop.Post(DatabaseReply{Group: d.Group, ID: d.ID, Failed: err != nil, Status: takeover.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch,
+		LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Draining}})
 }
 
-func (p *Process) platform(d Platform) {
+func (p *Process) requestFailover(d FailoverRequest) {
 	ms := make([]databaseclient.Member, len(d.Members))
 	for i, m := range d.Members {
 		ms[i] = databaseclient.Member(m)
 	}
-	p.tellPlatform("takeover", func(ctx context.Context) error {
-		return p.dbs.Takeover(ctx, p.boot.Platform, d.Group, d.Target, d.Identity, d.Epoch, ms)
+	p.callPlatform("takeover", func(ctx context.Context) error {
+		return p.databases.Takeover(ctx, p.boot.Platform, d.Group, d.Target, d.Identity, d.Epoch, ms)
 	})
 }
 
-// tellPlatform asks the platform for something that is asked again until it is
+// callPlatform asks the platform for something that is asked again until it is
 // seen to be done.
-func (p *Process) tellPlatform(what string, f func(context.Context) error) {
-	ctx, stop := context.WithTimeout(p.ctx, platformTime)
+func (p *Process) callPlatform(what string, f func(context.Context) error) {
+	ctx, stop := context.WithTimeout(p.ctx, platformCallTimeout)
 	defer stop()
 	if err := f(ctx); err != nil {
 		log.WithFields(log.Fields{"asked_for": what}).WithError(err).Warn("the platform did not do it; it is asked again")
 	}
 }
 
-// wait posts an event and waits for its end, which the core always gives.
-func wait[R any](p *Process, e func(id uint64) any) (R, bool) {
-	id := p.id.Add(1)
+// await posts an event and waits for its end, which the core always gives.
+func await[R any](p *Process, e func(id uint64) any) (R, bool) {
+	id := p.lastID.Add(1)
 	ch := make(chan R, 1)
 	p.waiters.Store(id, ch)
-	p.l.Post(e(id))
+	p.loop.Post(e(id))
 	select {
 	case r := <-ch:
 		return r, true
@@ -245,10 +245,10 @@
 	}
 }
 
-// see runs f on the core between two steps.
-func (p *Process) see(f func(c *Core, now int64)) {
-	k := look{f: f, done: make(chan struct{})}
-	p.l.Post(k)
+// inspect runs f on the core between two steps.
+func (p *Process) inspect(f func(c *Core, now int64)) {
+	k := inspection{inspect: f, done: make(chan struct{})}
+	p.loop.Post(k)
 	select {
 	case <-k.done:
 	case <-p.ctx.Done():
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -20,7 +20,7 @@
 var record = flag.Bool("record", false, "write the fixture under testdata if it is missing")
 
 func readDuty(v *schema.Value) proto.Message {
-	d := &schema.DutyState{}
+	d := &schema.RoleState{}
 	if proto.Unmarshal(v.GetData(), d) != nil {
 		return nil
 	}
@@ -34,23 +34,23 @@
 	message proto.Message
 	read    func(v *schema.Value) proto.Message
 }{
-	{"bookings", &schema.Calendar{LastId: 7, Bookings: []*schema.Booking{{Id: 6, Kind: "replacement", Target: "shop/orders-a", Group: "shop/orders", Owner: "shop",
+	{"bookings", &schema.MaintenanceCalendar{LastId: 7, Windows: []*schema.MaintenanceWindow{{Id: 6, Kind: "replacement", Target: "shop/orders-a", Group: "shop/orders", Owner: "shop",
 		ProposedBy: "shared", AtUs: 1_700_000_000_000_001, LengthUs: 1_800_000_002, State: "confirmed", Detail: "new disk", Identity: "copy-3"}}},
 		func(v *schema.Value) proto.Message { return bookings.Read(v.GetData()) }},
 	{"group/shop/orders", &schema.GroupState{Epoch: 9, Phase: 2, Primary: "orders-b", Cause: "it is silent", Avoid: "orders-a",
-		Members: []*schema.Member{{Database: "orders-a", Identity: "copy-1", Retiring: "copy-0"}, {Database: "orders-b", Identity: "copy-2"}}},
+		Members: []*schema.GroupMember{{Database: "orders-a", Identity: "copy-1", Retiring: "copy-0"}, {Database: "orders-b", Identity: "copy-2"}}},
 		func(v *schema.Value) proto.Message { return GroupState(v) }},
-	{"duty/shop/orders", &schema.DutyState{Holder: "10.0.0.2:7001", Term: 5, Handed: true, Run: 88,
-		Grants: &schema.Grants{Grants: []*schema.Grant{{Node: "10.0.0.9:7001", Run: 3, Number: 4, Connections: map[string]int32{"orders-a": 17}}}}}, readDuty},
+	{"duty/shop/orders", &schema.RoleState{Leader: "10.0.0.2:7001", Term: 5, HandedOver: true, Run: 88,
+		ConnectionLeases: &schema.ConnectionLeases{Leases: []*schema.ConnectionLease{{Node: "10.0.0.9:7001", Run: 3, RequestNumber: 4, Connections: map[string]int32{"orders-a": 17}}}}}, readDuty},
 }
 
 // TestRegisterKeys: registers are found under the keys that they were stored under.
 func TestRegisterKeys(t *testing.T) {
 	for _, x := range []struct{ what, key, want string }{
-		{"calendar", BookingsKey, "bookings"},
-		{"configurations", ConfigPrefix, "config/"},
-		{"groups", GroupPrefix, "group/"},
-		{"duties", dutyPrefix, "duty/"},
+		{"calendar", MaintenanceKey, "bookings"},
+		{"configurations", ConfigurationKeyPrefix, "config/"},
+		{"groups", GroupKeyPrefix, "group/"},
+		{"duties", roleKeyPrefix, "duty/"},
 	} {
 		if x.key != x.want {
 			t.Errorf("%s: the key is %q, not %q", x.what, x.key, x.want)
@@ -62,23 +62,23 @@
 // its last entry with an earlier value.
 func recordVoter(t *testing.T, folder string) {
 	t.Helper()
-	l, err := voterlog.Open(folder, func(*schema.VoterLog) {})
+	l, err := voterlog.Open(folder, func(*schema.WALEntry) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := []*schema.Voter{{Address: "10.0.0.1:7001", Life: 21}, {Address: "10.0.0.2:7001", Life: 22}, {Address: "10.0.0.3:7001", Life: 23}}
-	first := &schema.VoterLog{Snapshot: true, Life: 21, Active: 4, Membership: &schema.Membership{Number: 4, Voters: v, Previous: v[:1]}}
-	es := [][]*schema.VoterLog{{first}}
+	v := []*schema.Voter{{Address: "10.0.0.1:7001", DiskId: 21}, {Address: "10.0.0.2:7001", DiskId: 22}, {Address: "10.0.0.3:7001", DiskId: 23}}
+	first := &schema.WALEntry{Snapshot: true, DiskId: 21, ActiveMembership: 4, Membership: &schema.Membership{Number: 4, Voters: v, Previous: v[:1]}}
+	es := [][]*schema.WALEntry{{first}}
 	for i, x := range storedRegisters {
 		b, err := proto.MarshalOptions{Deterministic: true}.Marshal(x.message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := &schema.Ballot{Membership: 4, Round: uint64(10 + i), Proposer: "10.0.0.2:7001"}
-		first.Cells = append(first.Cells, &schema.Cell{Key: x.key, Promised: at, Accepted: at, Value: &schema.Value{Revision: 1, Data: []byte("earlier")}})
-		later := &schema.Ballot{Membership: 4, Round: uint64(20 + i), Proposer: "10.0.0.3:7001"}
-		es = append(es, []*schema.VoterLog{{Cells: []*schema.Cell{{Key: x.key, Promised: later, Accepted: later,
-			Value: &schema.Value{Revision: uint64(2 + i), Changes: []string{"change-" + x.key}, Data: b}}}}})
+		at := &schema.Ballot{Membership: 4, Number: uint64(10 + i), Proposer: "10.0.0.2:7001"}
+		first.Registers = append(first.Registers, &schema.RegisterState{Key: x.key, Promised: at, Accepted: at, Value: &schema.Value{Revision: 1, Data: []byte("earlier")}})
+		later := &schema.Ballot{Membership: 4, Number: uint64(20 + i), Proposer: "10.0.0.3:7001"}
+		es = append(es, []*schema.WALEntry{{Registers: []*schema.RegisterState{{Key: x.key, Promised: later, Accepted: later,
+			Value: &schema.Value{Revision: uint64(2 + i), ChangeIds: []string{"change-" + x.key}, Data: b}}}}})
 	}
 	for _, e := range es {
 		if err := l.Write(e, nil); err != nil {
@@ -91,19 +91,19 @@
 }
 
 // holds compares what a process restored from the fixture holds.
-func holds(t *testing.T, s *schema.VoterLog) {
+func holds(t *testing.T, s *schema.WALEntry) {
 	t.Helper()
-	if s.Life != 21 || s.Active != 4 || s.Membership.GetNumber() != 4 || len(s.Membership.GetVoters()) != 3 || len(s.Cells) != len(storedRegisters) {
-		t.Fatalf("life %d, active %d, membership %v, %d registers", s.Life, s.Active, s.Membership, len(s.Cells))
+	if s.DiskId != 21 || s.ActiveMembership != 4 || s.Membership.GetNumber() != 4 || len(s.Membership.GetVoters()) != 3 || len(s.Registers) != len(storedRegisters) {
+		t.Fatalf("life %d, active %d, membership %v, %d registers", s.DiskId, s.ActiveMembership, s.Membership, len(s.Registers))
 	}
 	for i, x := range storedRegisters {
 		t.Run(x.key, func(t *testing.T) {
-			at := slices.IndexFunc(s.Cells, func(c *schema.Cell) bool { return c.Key == x.key })
+			at := slices.IndexFunc(s.Registers, func(c *schema.RegisterState) bool { return c.Key == x.key })
 			if at < 0 {
 				t.Fatal("it is not there")
 			}
-			c := s.Cells[at]
-			if c.Value.GetRevision() != uint64(2+i) || !slices.Equal(c.Value.GetChanges(), []string{"change-" + x.key}) || c.Accepted.GetRound() != uint64(20+i) || c.Promised.GetProposer() != "10.0.0.3:7001" {
+			c := s.Registers[at]
+			if c.Value.GetRevision() != uint64(2+i) || !slices.Equal(c.Value.GetChangeIds(), []string{"change-" + x.key}) || c.Accepted.GetNumber() != uint64(20+i) || c.Promised.GetProposer() != "10.0.0.3:7001" {
 				t.Errorf("the register is %v", c)
 			}
 			if got := x.read(c.Value); !proto.Equal(got, x.message) {
@@ -132,6 +132,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = p.disk.Close() }()
+	defer func() { _ = p.voterLog.Close() }()
 	holds(t, p.core.Snapshot())
 }
--- a/coordinator/callers_test.go
+++ b/coordinator/callers_test.go
@@ -9,119 +9,119 @@
 	"stoneford/routingtable"
 )
 
-// asked is one call to a member of a cluster.
-type asked struct {
-	to     string
-	sent   int64
-	ended  int64 // 0 while there is no answer
-	answer any
+// testCall is one call to a member of a cluster.
+type testCall struct {
+	to      string
+	sentAt  int64
+	endedAt int64 // 0 while there is no answer
+	answer  any
 }
 
-func (a *asked) took() int64 { return a.ended - a.sent }
+func (a *testCall) took() int64 { return a.endedAt - a.sentAt }
 
-// callers send calls to the members of a cluster and take down the answers.
-type callers struct {
-	c    *cluster
-	ids  uint64
-	open map[uint64]*asked
-	read map[string]int // effects of a member that were read
-	// planted, where set, answers in a member's place where it is not nil.
-	planted func(to string, event any) any
+// testCallers send calls to the members of a cluster and take down the answers.
+type testCallers struct {
+	cluster   *cluster
+	lastID    uint64
+	pending   map[uint64]*testCall
+	collected map[string]int // effects of a member that were read
+	// mutation, where set, answers in a member's place where it is not nil.
+	mutation func(to string, event any) any
 }
 
-func newCallers(c *cluster) *callers {
-	return &callers{c: c, open: map[uint64]*asked{}, read: map[string]int{}}
+func newCallers(c *cluster) *testCallers {
+	return &testCallers{cluster: c, pending: map[uint64]*testCall{}, collected: map[string]int{}}
 }
 
-func (k *callers) send(to string, build func(id uint64) any) *asked {
-	k.ids++
-	a := &asked{to: to, sent: k.c.w.Now}
-	event := build(k.ids)
-	if k.planted != nil {
-		if answer := k.planted(to, event); answer != nil {
-			a.answer, a.ended = answer, k.c.w.Now
+func (k *testCallers) send(to string, build func(id uint64) any) *testCall {
+	k.lastID++
+	a := &testCall{to: to, sentAt: k.cluster.environment.Now}
+	event := build(k.lastID)
+	if k.mutation != nil {
+		if answer := k.mutation(to, event); answer != nil {
+			a.answer, a.endedAt = answer, k.cluster.environment.Now
 			return a
 		}
 	}
-	k.open[k.ids] = a
-	k.c.step(to, event)
+	k.pending[k.lastID] = a
+	k.cluster.step(to, event)
 	k.collect()
 	return a
 }
 
-func (k *callers) order(to string, t ports.TableChange) *asked {
-	return k.send(to, func(id uint64) any { return Change{ID: id, Change: t} })
+func (k *testCallers) change(to string, t ports.TableChange) *testCall {
+	return k.send(to, func(id uint64) any { return ChangeTable{ID: id, Change: t} })
 }
 
-func (k *callers) fetch(to string) *asked {
-	return k.send(to, func(id uint64) any { return Fetch{ID: id} })
+func (k *testCallers) fetch(to string) *testCall {
+	return k.send(to, func(id uint64) any { return FetchTable{ID: id} })
 }
 
-func (k *callers) announce(to string, i ports.Instance) *asked {
+func (k *testCallers) announce(to string, i ports.Instance) *testCall {
 	return k.send(to, func(id uint64) any { return Announce{ID: id, Instance: i} })
 }
 
 // collect takes the answers that the members gave since the last call.
-func (k *callers) collect() {
-	for _, m := range k.c.order {
-		does := k.c.ms[m].does
-		for _, d := range does[min(k.read[m], len(does)):] {
+func (k *testCallers) collect() {
+	for _, m := range k.cluster.order {
+		does := k.cluster.members[m].done
+		for _, d := range does[min(k.collected[m], len(does)):] {
 			var id uint64
 			switch d := d.(type) {
-			case Changed:
+			case ChangeTableDone:
 				id = d.ID
-			case Fetched:
+			case FetchTableDone:
 				id = d.ID
-			case Announced:
+			case AnnounceDone:
 				id = d.ID
-			case Moved:
+			case MoveDone:
 				id = d.ID
 			}
-			if a := k.open[id]; a != nil && a.to == m {
-				a.answer, a.ended = d, k.c.w.Now
-				delete(k.open, id)
+			if a := k.pending[id]; a != nil && a.to == m {
+				a.answer, a.endedAt = d, k.cluster.environment.Now
+				delete(k.pending, id)
 			}
 		}
-		k.read[m] = len(does)
+		k.collected[m] = len(does)
 	}
 }
 
-// broken ends the calls to a member that was killed; nobody answered them.
-func (k *callers) broken(to string) {
-	for id, a := range k.open {
+// connectionsBroken ends the calls to a member that was killed; nobody answered them.
+func (k *testCallers) connectionsBroken(to string) {
+	for id, a := range k.pending {
 		if a.to == to {
-			a.ended = k.c.w.Now
-			delete(k.open, id)
+			a.endedAt = k.cluster.environment.Now
+			delete(k.pending, id)
 		}
 	}
 }
 
-func (k *callers) run(us int64) {
-	for until := k.c.w.Now + us; k.c.w.Now < until; {
-		k.c.run(min(5_000, until-k.c.w.Now))
+func (k *testCallers) run(us int64) {
+	for until := k.cluster.environment.Now + us; k.cluster.environment.Now < until; {
+		k.cluster.run(min(5_000, until-k.cluster.environment.Now))
 		k.collect()
 	}
 }
 
 // wait runs until a call is answered, for a time at most.
-func (k *callers) wait(a *asked, us int64) any {
-	for until := k.c.w.Now + us; a.ended == 0 && k.c.w.Now < until; {
+func (k *testCallers) wait(a *testCall, us int64) any {
+	for until := k.cluster.environment.Now + us; a.endedAt == 0 && k.cluster.environment.Now < until; {
 		k.run(5_000)
 	}
 	return a.answer
 }
 
 // outcome is what became of an order, Unavailable where nobody answered.
-func (a *asked) outcome() ports.Outcome {
-	c, _ := a.answer.(Changed)
+func (a *testCall) outcome() ports.Outcome {
+	c, _ := a.answer.(ChangeTableDone)
 	return c.Result.Outcome
 }
 
-// take sends an order from member to member, as operators do, until somebody
+// changeUntilDecided sends an order from member to member, as operators do, until somebody
 // gives a clear answer.
-func (k *callers) take(t ports.TableChange, to ...string) ports.Outcome {
+func (k *testCallers) changeUntilDecided(t ports.TableChange, to ...string) ports.Outcome {
 	for i := range 12 {
-		a := k.order(to[i%len(to)], t)
+		a := k.change(to[i%len(to)], t)
 		k.wait(a, 1_000_000)
 		if o := a.outcome(); o != ports.Unavailable {
 			return o
@@ -131,26 +131,26 @@
 	return ports.Unavailable
 }
 
-// tableOrder is an order that adds a route, or for the first revision makes the
+// tableChange is an order that adds a route, or for the first revision makes the
 // table; content tells it from others under the same numbers.
-func tableOrder(base, revision uint64, content string) ports.TableChange {
+func tableChange(base, revision uint64, content string) ports.TableChange {
 	name := fmt.Sprintf("%d on %d: %s", revision, base, content)
 	if base == 0 {
-		return ports.TableChange{Revision: revision, Whole: true, Name: name, Groups: []ports.Group{{Name: "g", ConnLimit: 10, Sync: 1}}, Limits: &ports.Limits{}}
+		return ports.TableChange{Revision: revision, Complete: true, Digest: name, Groups: []ports.Group{{Name: "g", ConnectionLimit: 10, RequiredReplicaAcks: 1}}, Limits: &ports.Limits{}}
 	}
-	route := ports.Route{Name: name, Host: name, Prefix: "/", Group: "g", ExpiryUs: 800_000}
-	return ports.TableChange{Base: base, Revision: revision, Name: name, Routes: []ports.Route{route}}
+	route := ports.Route{Name: name, Host: name, Prefix: "/", Group: "g", TimeoutUs: 800_000}
+	return ports.TableChange{BaseRevision: base, Revision: revision, Digest: name, Routes: []ports.Route{route}}
 }
 
-// settled is a cluster of three that has formed and taken revision 1.
-func settled(t *testing.T, seed uint64) (*cluster, *callers) {
+// formedClusterWithTable is a cluster of three that has formed and taken revision 1.
+func formedClusterWithTable(t *testing.T, seed uint64) (*cluster, *testCallers) {
 	c := newCluster(t, seed, 3, 3, 1)
 	k := newCallers(c)
 	for _, a := range c.order {
 		c.start(a)
 	}
 	k.run(3_000_000)
-	if o := k.take(tableOrder(0, 1, "first"), c.order...); o != ports.Agreed {
+	if o := k.changeUntilDecided(tableChange(0, 1, "first"), c.order...); o != ports.Committed {
 		t.Fatalf("seed %d: the first order ended as %d", seed, o)
 	}
 	k.run(1_000_000)
@@ -158,11 +158,11 @@
 }
 
 // newest is the table that a majority holds, read through a member.
-func (k *callers) newest(to string) ports.RoutingTable {
+func (k *testCallers) newest(to string) ports.RoutingTable {
 	for range 10 {
 		a := k.fetch(to)
 		k.wait(a, 1_000_000)
-		if f, _ := a.answer.(Fetched); f.OK {
+		if f, _ := a.answer.(FetchTableDone); f.OK {
 			return f.Table
 		}
 		k.run(200_000)
@@ -175,22 +175,22 @@
 	return slices.ContainsFunc(t.Routes, func(r ports.Route) bool { return r.Host == o.Routes[0].Host })
 }
 
-// held is the table that a member works by, whatever the others do.
-func (c *cluster) held(a string) ports.RoutingTable {
-	t, _ := c.ms[a].core.Table()
+// appliedTable is the table that a member works by, whatever the others do.
+func (c *cluster) appliedTable(a string) ports.RoutingTable {
+	t, _ := c.members[a].core.Table()
 	return t
 }
 
-// judgeAlone is what a member would say of an order that asked nobody.
-func judgeAlone(t ports.RoutingTable, o ports.TableChange) ports.ChangeResult {
-	if routingtable.WasTaken(t, o) == routingtable.Taken {
-		return ports.ChangeResult{Outcome: ports.Agreed, Revision: t.Revision}
+// decideAlone is what a member would say of an order that asked nobody.
+func decideAlone(t ports.RoutingTable, o ports.TableChange) ports.ChangeResult {
+	if routingtable.OrderStatus(t, o) == routingtable.Applied {
+		return ports.ChangeResult{Outcome: ports.Committed, Revision: t.Revision}
 	}
-	if t.Revision != o.Base {
+	if t.Revision != o.BaseRevision {
 		return ports.ChangeResult{Outcome: ports.Stale, Revision: t.Revision}
 	}
 	if _, problems := routingtable.Apply(t, o); len(problems) > 0 {
 		return ports.ChangeResult{Outcome: ports.Invalid, Revision: t.Revision, Problems: problems}
 	}
-	return ports.ChangeResult{Outcome: ports.Agreed, Revision: o.Revision}
+	return ports.ChangeResult{Outcome: ports.Committed, Revision: o.Revision}
 }
--- a/coordinator/cluster_test.go
+++ b/coordinator/cluster_test.go
@@ -20,81 +20,81 @@
 
 // member is one control process of a cluster with its disk.
 type member struct {
-	boot    ports.Boot
-	core    *Core
-	disk    []*schema.VoterLog
-	up      bool
-	life    int
-	hangs   bool // its disk takes writes and does not end them
-	refuses bool
-	queue   []Effects
-	does    []any
-	drive   *crashdisk.Disk // where it has one: its log is kept there, not in disk
-	log     *voterlog.Log
+	boot        ports.ProcessConfig
+	core        *Core
+	disk        []*schema.WALEntry
+	up          bool
+	incarnation int
+	hangs       bool // its disk takes writes and does not end them
+	refuses     bool
+	queue       []Effects
+	done        []any
+	drive       *crashdisk.Disk // where it has one: its log is kept there, not in disk
+	log         *voterlog.Log
 }
 
 type cluster struct {
-	t     *testing.T
-	w     *simulation.World
-	n     *simulation.Network
-	ms    map[string]*member
-	order []string
-	runs  uint64
+	t           *testing.T
+	environment *simulation.Scheduler
+	network     *simulation.Network
+	members     map[string]*member
+	order       []string
+	runs        uint64
 }
 
 // newCluster has so many control processes, of which the first are the seeds.
 func newCluster(t *testing.T, seed uint64, n, seeds, lost int) *cluster {
-	c := &cluster{t: t, w: simulation.NewWorld(seed), ms: map[string]*member{}}
-	c.n = simulation.NewNetwork(c.w)
-	c.n.DelayHi = 12_000
-	c.n.Take = func(to string, e *schema.Envelope) { c.step(to, e) }
+	c := &cluster{t: t, environment: simulation.NewScheduler(seed), members: map[string]*member{}}
+	c.network = simulation.NewNetwork(c.environment)
+	c.network.MaxDelayUs = 12_000
+	c.network.Receive = func(to string, e *schema.Envelope) { c.step(to, e) }
 	var ss []string
 	for i := range seeds {
 		ss = append(ss, fmt.Sprintf("10.0.0.%d:8782", i+1))
 	}
 	for i := range n {
-		b := ports.Boot{Name: fmt.Sprint("m", i+1), IP: fmt.Sprintf("10.0.0.%d", i+1), PortFirst: 7440, Seeds: ss, Bootstrap: true, QuorumMember: true,
-			LostAtOnce: ports.Tolerance{Machines: lost}, Zone: "z"}
-		c.order = append(c.order, b.ControlNode())
-		c.ms[b.ControlNode()] = &member{boot: b}
+		b := ports.ProcessConfig{Name: fmt.Sprint("m", i+1), IP: fmt.Sprintf("10.0.0.%d", i+1), PortFirst: 7440, Seeds: ss, Bootstrap: true, QuorumMember: true,
+			Tolerance: ports.Tolerance{Machines: lost}, Zone: "z"}
+		c.order = append(c.order, b.ControlNodeAddress())
+		c.members[b.ControlNodeAddress()] = &member{boot: b}
 	}
 	return c
 }
 
 func (c *cluster) start(a string) {
-	m := c.ms[a]
-	m.life++
-	c.runs += 1 + uint64(c.w.R.IntN(1000))
+	m := c.members[a]
+	m.incarnation++
+	c.runs += 1 + uint64(c.environment.Random.IntN(1000))
 	m.up, m.queue, m.hangs = true, nil, false
-	run := c.w.R.Uint64() | 1
+	run := c.environment.Random.Uint64() | 1
 	if m.drive != nil && !m.open() {
 		m.up = false
 		return
 	}
-	m.core = Restore(m.boot, m.disk, c.w.R.Uint64()|1, run)
+	m.core = Restore(m.boot, m.disk, c.environment.Random.Uint64()|1, run)
 	m.boot.Bootstrap = false
-	m.core.Start(c.w.Now)
+	m.core.Start(c.environment.Now)
 	c.tick(a)
 }
 
 // tick steps a process again and again while it runs.
 func (c *cluster) tick(a string) {
-	m := c.ms[a]
-	life := m.life
+	m := c.members[a]
+	life := m.incarnation
 	var next func()
 	next = func() {
-		if m.life == life && m.up {
+		if m.incarnation == life && m.up {
 			c.step(a)
-			c.w.After(10_000, next)
+			c.environment.After(10_000, next)
 		}
 	}
 	next()
 }
 
 func (c *cluster) kill(a string, wipe bool) {
-	m := c.ms[a]
+	m := c.members[a]
 	m.up = false
-	m.life++
+	m.incarnation++
 	if wipe {
 		m.disk = nil
 		if m.drive != nil {
@@ -106,48 +106,48 @@
 // open plays back what the drive holds.
 func (m *member) open() bool {
 	m.disk = nil
-	log, err := voterlog.OpenIn(m.drive, "/data/voter", func(l *schema.VoterLog) { m.disk = append(m.disk, l) })
+	log, err := voterlog.OpenWith(m.drive, "/data/voter", func(l *schema.WALEntry) { m.disk = append(m.disk, l) })
 	m.log = log
 	return err == nil
 }
 
 func (c *cluster) step(a string, evs ...any) {
-	m := c.ms[a]
+	m := c.members[a]
 	if m == nil || !m.up {
 		return
 	}
-	fx := m.core.Step(c.w.Now, evs...)
+	fx := m.core.Step(c.environment.Now, evs...)
 	for _, s := range fx.Send {
-		c.n.Send(a, s)
+		c.network.Send(a, s)
 	}
-	m.does = append(m.does, fx.Do...)
+	m.done = append(m.done, fx.Do...)
 	if len(fx.Log) > 0 {
-		if m.drive != nil && m.log.Due() && !fx.Log[0].Snapshot {
-			fx.Log = []*schema.VoterLog{m.core.Snapshot()} // as the process does
+		if m.drive != nil && m.log.SnapshotDue() && !fx.Log[0].Snapshot {
+			fx.Log = []*schema.WALEntry{m.core.Snapshot()} // as the process does
 		}
 		m.queue = append(m.queue, fx)
-		life := m.life
-		c.w.After(c.w.Between(1_000, 4_000), func() { c.sync(a, life) })
+		life := m.incarnation
+		c.environment.After(c.environment.Between(1_000, 4_000), func() { c.sync(a, life) })
 	}
 }
 
 func (c *cluster) sync(a string, life int) {
-	m := c.ms[a]
-	if m.life != life || m.hangs || len(m.queue) == 0 {
+	m := c.members[a]
+	if m.incarnation != life || m.hangs || len(m.queue) == 0 {
 		return
 	}
 	fx := m.queue[0]
 	m.queue = m.queue[1:]
 	if m.refuses {
 		m.queue = nil
-		c.step(a, Unsynced{Err: "refused"})
+		c.step(a, SyncFailed{Cause: "refused"})
 		return
 	}
 	switch {
 	case m.drive != nil:
 		if err := m.log.Write(fx.Log, nil); err != nil {
 			m.queue = nil
-			c.step(a, Unsynced{Err: err.Error()})
+			c.step(a, SyncFailed{Cause: err.Error()})
 			return
 		}
 	case fx.Log[0].Snapshot:
@@ -155,33 +155,33 @@
 	default:
 		m.disk = append(m.disk, fx.Log...)
 	}
-	c.step(a, Synced{Mark: fx.Mark})
+	c.step(a, Synced{Watermark: fx.Watermark})
 }
 
-func (c *cluster) run(us int64) { c.w.Run(c.w.Now + us) }
+func (c *cluster) run(us int64) { c.environment.Run(c.environment.Now + us) }
 
 // change has a process put a change of a key to the vote and says how it ended.
 func (c *cluster) change(a, key, data string) paxos.Verdict {
 	c.t.Helper()
-	m := c.ms[a]
-	v, ended := paxos.Unreached, false
+	m := c.members[a]
+	v, ended := paxos.NoQuorum, false
 	ask := func(ch paxos.Change) {
-		ch.Name, ch.Key, ch.Deadline = fmt.Sprint(data, c.w.Now), key, c.w.Now+3_000_000
-		m.core.fx = Effects{}
-		m.core.ask(c.w.Now, ch, func(_ int64, o paxos.Outcome) {
-			if ch.Read {
-				ch.Read, ch.Base, ch.Data, ch.Name = false, o.Value.GetRevision(), []byte(data), ch.Name+"w"
-				m.core.ask(c.w.Now, ch, func(_ int64, o paxos.Outcome) { v, ended = o.Verdict, true })
+		ch.ID, ch.Key, ch.Deadline = fmt.Sprint(data, c.environment.Now), key, c.environment.Now+3_000_000
+		m.core.effects = Effects{}
+		m.core.propose(c.environment.Now, ch, func(_ int64, o paxos.Outcome) {
+			if ch.ReadOnly {
+				ch.ReadOnly, ch.BaseRevision, ch.Data, ch.ID = false, o.Value.GetRevision(), []byte(data), ch.ID+"w"
+				m.core.propose(c.environment.Now, ch, func(_ int64, o paxos.Outcome) { v, ended = o.Verdict, true })
 				return
 			}
 		})
-		fx := m.core.fx
+		fx := m.core.effects
 		for _, s := range fx.Send {
-			c.n.Send(a, s)
+			c.network.Send(a, s)
 		}
 		c.step(a)
 	}
-	ask(paxos.Change{Read: true})
+	ask(paxos.Change{ReadOnly: true})
 	for range 400 {
 		if ended {
 			return v
@@ -194,16 +194,16 @@
 // read is the newest value by a reading through a process.
 func (c *cluster) read(a, key string) string {
 	got, ended := "", false
-	m := c.ms[a]
-	m.core.fx = Effects{}
-	m.core.read(c.w.Now, key, func(_ int64, o paxos.Outcome) {
-		if o.Verdict == paxos.Agreed {
+	m := c.members[a]
+	m.core.effects = Effects{}
+	m.core.readRegister(c.environment.Now, key, func(_ int64, o paxos.Outcome) {
+		if o.Verdict == paxos.Committed {
 			got = string(o.Value.GetData())
 		}
 		ended = true
 	})
-	for _, s := range m.core.fx.Send {
-		c.n.Send(a, s)
+	for _, s := range m.core.effects.Send {
+		c.network.Send(a, s)
 	}
 	c.step(a)
 	for i := 0; i < 500 && !ended; i++ {
@@ -213,8 +213,8 @@
 }
 
 func (c *cluster) formed() (n int) {
-	for _, m := range c.ms {
-		if m.up && m.core.votes() {
+	for _, m := range c.members {
+		if m.up && m.core.isVoting() {
 			n++
 		}
 	}
@@ -226,15 +226,15 @@
 func TestFounding(t *testing.T) {
 	for seed := range uint64(24) {
 		c := newCluster(t, seed, 6, 3, 2)
-		c.n.Drop, c.n.Double = 0.03, 0.03
+		c.network.LossShare, c.network.DuplicateShare = 0.03, 0.03
 		for _, a := range c.order {
-			c.w.After(c.w.Between(0, 1_000_000), func() { c.start(a) })
+			c.environment.After(c.environment.Between(0, 1_000_000), func() { c.start(a) })
 		}
 		if seed%2 == 1 { // restarts in the middle
 			for range 4 {
-				a := c.order[c.w.R.IntN(6)]
-				c.w.After(c.w.Between(1_100_000, 4_000_000), func() {
-					if len(c.ms[a].disk) > 0 {
+				a := c.order[c.environment.Random.IntN(6)]
+				c.environment.After(c.environment.Between(1_100_000, 4_000_000), func() {
+					if len(c.members[a].disk) > 0 {
 						c.kill(a, false)
 						c.start(a)
 					}
@@ -244,27 +244,27 @@
 		c.run(9_000_000)
 		if c.formed() != 5 {
 			for _, a := range c.order {
-				t.Logf("%s: votes %t, knows membership %v", a, c.ms[a].core.votes(), c.ms[a].core.view.Membership())
+				t.Logf("%s: votes %t, knows membership %v", a, c.members[a].core.isVoting(), c.members[a].core.learner.Membership())
 			}
 			t.Fatalf("seed %d: %d voters of 5 formed", seed, c.formed())
 		}
-		want := c.ms[c.order[0]].core.view.Voters()
+		want := c.members[c.order[0]].core.learner.Voters()
 		if len(want) != 5 {
 			t.Fatalf("seed %d: %v", seed, want)
 		}
 		for _, a := range c.order {
-			if vs := c.ms[a].core.view.Voters(); !slices.Equal(vs, want) {
+			if vs := c.members[a].core.learner.Voters(); !slices.Equal(vs, want) {
 				t.Fatalf("seed %d: %s takes %v for the voters, not %v", seed, a, vs, want)
 			}
 		}
 		i := slices.IndexFunc(c.order, func(a string) bool { return !slices.Contains(want, a) })
-		if v := c.change(c.order[i], "x", "one"); v != paxos.Agreed {
+		if v := c.change(c.order[i], "x", "one"); v != paxos.Committed {
 			t.Fatalf("seed %d: a change through one that is no voter ended as %d", seed, v)
 		}
-		c.ms[c.order[i]].does = nil
-		c.step(c.order[i], Announce{ID: 7, Instance: ports.Instance{ID: "db", Group: "g", Address: "10.1.1.1:1", Leaving: true, Call: 3}})
+		c.members[c.order[i]].done = nil
+		c.step(c.order[i], Announce{ID: 7, Instance: ports.Instance{ID: "db", Group: "g", Address: "10.1.1.1:1", Draining: true, AnnouncementNumber: 3}})
 		c.run(800_000)
-		if !slices.Contains(c.ms[c.order[i]].does, any(Announced{ID: 7, OK: true})) {
+		if !slices.Contains(c.members[c.order[i]].done, any(AnnounceDone{ID: 7, OK: true})) {
 			t.Fatalf("seed %d: an announcement through one that is no voter is not acknowledged", seed)
 		}
 		// Two disks lost at once, then two others: all is there and all vote again.
@@ -274,7 +274,7 @@
 				c.kill(a, true)
 				gone = append(gone, a)
 			}
-			if v := c.change(want[2], "x", fmt.Sprint("two", k)); v != paxos.Agreed {
+			if v := c.change(want[2], "x", fmt.Sprint("two", k)); v != paxos.Committed {
 				t.Fatalf("seed %d: with two lost a change ended as %d", seed, v)
 			}
 			for _, a := range gone {
@@ -296,13 +296,13 @@
 func TestFoundsNothing(t *testing.T) {
 	c := newCluster(t, 1, 3, 3, 1)
 	for _, a := range c.order {
-		c.ms[a].boot.Bootstrap = false
+		c.members[a].boot.Bootstrap = false
 		c.start(a)
 	}
 	c.run(20_000_000)
 	for _, a := range c.order {
-		if m := c.ms[a]; m.core.known() || m.core.votes() || len(m.disk) > 0 {
-			t.Fatalf("%s knows %v", a, m.core.view.Membership())
+		if m := c.members[a]; m.core.membershipKnown() || m.core.isVoting() || len(m.disk) > 0 {
+			t.Fatalf("%s knows %v", a, m.core.learner.Membership())
 		}
 	}
 }
@@ -319,23 +319,23 @@
 		a, b := c.order[0], c.order[1]
 		c.change(b, "leader/g", "one")
 		c.run(500_000)
-		m := c.ms[a]
+		m := c.members[a]
 		m.hangs, m.refuses = !refuses, refuses
 		for i := range 5 {
-			if v := c.change(b, "leader/g", fmt.Sprint("more", i)); v != paxos.Agreed {
+			if v := c.change(b, "leader/g", fmt.Sprint("more", i)); v != paxos.Committed {
 				t.Fatalf("refuses %t: a change ended as %d while one disk is in trouble", refuses, v)
 			}
 		}
-		if v := c.change(a, "x", "through it"); v != paxos.Agreed {
+		if v := c.change(a, "x", "through it"); v != paxos.Committed {
 			t.Fatalf("refuses %t: a change through it ended as %d", refuses, v)
 		}
-		if string(m.core.cells["leader/g"].Value.Data) != "one" {
+		if string(m.core.syncedCells["leader/g"].Value.Data) != "one" {
 			t.Fatalf("refuses %t: it shows what is not on disk", refuses)
 		}
-		if c.ms[b].core.view.Heard(a) < c.w.Now-700_000 {
+		if c.members[b].core.learner.LastResponse(a) < c.environment.Now-700_000 {
 			t.Fatalf("refuses %t: it returns no looks", refuses)
 		}
-		if refuses && !slices.ContainsFunc(m.does, func(d any) bool { s, ok := d.(Say); return ok && s.Text == "refused" }) {
+		if refuses && !slices.ContainsFunc(m.done, func(d any) bool { s, ok := d.(LogEntry); return ok && s.Text == "refused" }) {
 			t.Fatal("it does not say so")
 		}
 		if m.hangs {
@@ -347,7 +347,7 @@
 		c.run(3_000_000)
 		// It votes again: with another one gone changes need it.
 		c.kill(c.order[2], false)
-		if v := c.change(b, "leader/g", "after"); v != paxos.Agreed {
+		if v := c.change(b, "leader/g", "after"); v != paxos.Committed {
 			t.Fatalf("refuses %t: afterwards a change ended as %d", refuses, v)
 		}
 		if got := c.read(a, "leader/g"); got != "after" {
@@ -356,38 +356,38 @@
 	}
 }
 
-// TestHeldBack is the plant's other side: nothing that rests on the voter's
+// TestNothingLeavesBeforeItsEntriesAreSynced is the plant's other side: nothing that rests on the voter's
 // entries leaves before they are on disk.
-func TestHeldBack(t *testing.T) {
+func TestNothingLeavesBeforeItsEntriesAreSynced(t *testing.T) {
 	c := newCluster(t, 5, 3, 3, 1)
 	for _, a := range c.order {
 		c.start(a)
 	}
 	c.run(2_000_000)
-	m := c.ms[c.order[0]]
+	m := c.members[c.order[0]]
 	m.hangs = true
-	fx := m.core.Step(c.w.Now, &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Accept{Accept: &schema.Accept{Key: voterview.TableKey, Attempt: 1, Membership: 1,
-		Ballot: &schema.Ballot{Membership: 1, Round: 999, Proposer: "p"}, Value: &schema.Value{Revision: 1, Data: []byte("x")}}}})
-	look := &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Look{Look: &schema.Look{Number: 3, Run: 1, Kind: "pool", Bodies: true}}}
+	fx := m.core.Step(c.environment.Now, &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Accept{Accept: &schema.Accept{Key: voterview.TableKey, Attempt: 1, Membership: 1,
+		Ballot: &schema.Ballot{Membership: 1, Number: 999, Proposer: "p"}, Value: &schema.Value{Revision: 1, Data: []byte("x")}}}})
+	look := &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Poll{Poll: &schema.Poll{Number: 3, Run: 1, Kind: "pool", IncludeData: true}}}
 	read := &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Prepare{Prepare: &schema.Prepare{Key: voterview.TableKey, Attempt: 2, Membership: 1}}}
-	fy := m.core.Step(c.w.Now, look, read)
+	fy := m.core.Step(c.environment.Now, look, read)
 	if len(fx.Log) == 0 {
 		t.Fatal("nothing to sync")
 	}
 	returned := false
 	for _, s := range append(fx.Send, fy.Send...) {
-		if s.Env.GetAccepted() != nil || s.Env.GetPromise() != nil || len(s.Env.GetLookReturn().GetCells()) > 0 {
-			t.Fatalf("%v left before the sync", s.Env)
+		if s.Envelope.GetAccepted() != nil || s.Envelope.GetPromise() != nil || len(s.Envelope.GetPollResponse().GetRegisters()) > 0 {
+			t.Fatalf("%v left before the sync", s.Envelope)
 		}
-		returned = returned || s.Env.GetLookReturn() != nil
+		returned = returned || s.Envelope.GetPollResponse() != nil
 	}
 	if !returned {
 		t.Fatal("the look waits for the disk")
 	}
-	fz := m.core.Step(c.w.Now, Synced{Mark: fx.Mark})
+	fz := m.core.Step(c.environment.Now, Synced{Watermark: fx.Watermark})
 	accepted, promised := false, false
 	for _, s := range fz.Send {
-		accepted, promised = accepted || s.Env.GetAccepted() != nil, promised || s.Env.GetPromise() != nil
+		accepted, promised = accepted || s.Envelope.GetAccepted() != nil, promised || s.Envelope.GetPromise() != nil
 	}
 	if !accepted || !promised {
 		t.Fatal("after the sync it does not leave")
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -27,62 +27,62 @@
 		ID       uint64
 		Instance ports.Instance
 	}
-	// Change brings an operator's change.
-	Change struct {
+	// ChangeTable brings an operator's change.
+	ChangeTable struct {
 		ID     uint64
 		Change ports.TableChange
 	}
-	// Fetch asks for the newest table.
-	Fetch struct{ ID uint64 }
-	// Said ends an Ask.
-	Said struct {
+	// FetchTable asks for the newest table.
+	FetchTable struct{ ID uint64 }
+	// DatabaseReply ends an Ask.
+	DatabaseReply struct {
 		Group string
-		Said  switchover.Said
+		Reply switchover.DatabaseReply
 	}
-	// Promoted ends a Promote.
-	Promoted struct {
+	// PromoteDone ends a Promote.
+	PromoteDone struct {
 		Group    string
 		OK, Gone bool
 	}
 	// Stop says that this process leaves.
 	Stop struct{}
 	// Synced says that all entries up to a mark are on disk.
-	Synced struct{ Mark uint64 }
-	// Unsynced says that the disk refused entries: nothing is known of them, nor of
+	Synced struct{ Watermark uint64 }
+	// SyncFailed says that the disk refused entries: nothing is known of them, nor of
 	// those that came after.
-	Unsynced struct{ Err string }
+	SyncFailed struct{ Cause string }
 )
 
 // Effects.
 type (
-	// Announced ends an Announce.
-	Announced struct {
+	// AnnounceDone ends an Announce.
+	AnnounceDone struct {
 		ID uint64
 		OK bool
 	}
-	// Changed ends a Change.
-	Changed struct {
+	// ChangeTableDone ends a Change.
+	ChangeTableDone struct {
 		ID     uint64
 		Result ports.ChangeResult
 	}
-	// Fetched ends a Fetch.
-	Fetched struct {
+	// FetchTableDone ends a Fetch.
+	FetchTableDone struct {
 		ID    uint64
 		Table ports.RoutingTable
 		OK    bool
 	}
-	// Ask puts a question to a database.
-	Ask struct {
+	// DatabaseCall puts a question to a database.
+	DatabaseCall struct {
 		Group string
-		Ask   switchover.Ask
+		Call  switchover.DatabaseCall
 	}
 	// Promote asks the platform for a change of primary.
 	Promote struct {
 		Group   string
 		Promote switchover.Promote
 	}
-	// Say is for the log.
-	Say struct {
+	// LogEntry is for the log.
+	LogEntry struct {
 		Code result.Code
 		Text string
 	}
@@ -92,137 +92,140 @@
 // and Synced to come back with Mark after that. Send and Do rest on nothing that
 // is not on disk and are done at once: what does rest on it is held back here.
 type Effects struct {
-	Log  []*schema.VoterLog
-	Mark uint64
-	Send []step.Send
-	Do   []any
+	Log       []*schema.WALEntry
+	Watermark uint64
+	Send      []step.Send
+	Do        []any
 }
 
 const (
-	changeExpiry  = 4_000_000
-	ackAgain      = 200_000
-	compareEvery  = 5_000_000
-	followFor     = 4_000_000 // a node that did not look so long is not told any more
-	ownerSilent   = 1_300_000 // a control process that was not heard so long carries nothing out
-	catchUpEvery  = 400_000
-	renewEvery    = 3 // announcements that say nothing new, between those passed on
-	movedFactor   = 2 // announcements that a database did not make here, until it counts as new here
-	goneFactor    = 6 // announcements missed until a database counts as gone
-	forgetGone    = 120_000_000
-	defaultBeatUs = 1_200_000
-	mostHeld      = 64 // steps that wait for the disk before this voter takes no more
-	diskAgain     = 500_000
-	allEvery      = 250_000 // groups of which nothing was heard are gone through
+	changeTimeout            = 4_000_000
+	ackRetryInterval         = 200_000
+	compareInterval          = 5_000_000
+	pollerTimeout            = 4_000_000 // a node that did not look so long is not told any more
+	ownerTimeout             = 1_300_000 // a control process that was not heard so long carries nothing out
+	catchUpInterval          = 400_000
+	heartbeatsPerForward     = 3 // announcements that say nothing new, between those passed on
+	rehomedHeartbeatLimit    = 2 // announcements that a database did not make here, until it counts as new here
+	missedHeartbeatLimit     = 6 // announcements missed until a database counts as gone
+	goneRetention            = 120_000_000
+	defaultHeartbeatInterval = 1_200_000
+	maxUnsyncedSteps         = 64 // steps that wait for the disk before this voter takes no more
+	diskRetryInterval        = 500_000
+	groupSweepInterval       = 250_000 // groups of which nothing was heard are gone through
 )
 
-// toldRevision is the newest revision accepted of a register, and the number of the
+// acceptedRevision is the newest revision accepted of a register, and the number of the
 // change that brought it.
-type toldRevision struct{ revision, seq uint64 }
+type acceptedRevision struct{ revision, changeNumber uint64 }
 
 // Core is one control process.
 type Core struct {
-	self          string
-	run           uint64
-	boot          ports.Boot
-	voter         *paxos.Acceptor
-	reconfigurer  *paxos.Reconfigurer
-	proposer      *paxos.Proposer
-	view          *voterview.View
-	insts         *records.Store
-	seqs          map[string]uint64 // key of a cell or record to the number of its newest change
-	seq           uint64
-	revisions     map[string]toldRevision // of each register
-	follow        map[string]*follower
-	groups        map[string]*group
-	table         ports.RoutingTable
-	tableRev      uint64
-	pending       map[string]func(int64, paxos.Outcome)
-	catching      map[string]int64
-	acks          map[uint64]*ack
-	calls         map[uint64]*call
-	orders        map[string]*order // by name, while they are decided here
-	beats         map[string]int    // announcements of a database since one was passed on
-	direct        map[string]int64  // when a database announced itself here last
-	names         uint64
-	number        uint64
-	active        uint64 // number of the membership that the acceptor votes under, as far as it is on disk
-	activated     int64  // since when, 0 if it did when this process started
-	removed       int64  // since when this process, which leaves, does not vote any more
-	leaving       bool
-	began         int64
-	lastStep      int64
-	pacing        pacing
-	apart         int64 // when this process was last without a majority's lease
-	lacked        bool  // this process lacked a lease once
-	nextCmp       int64
-	nextGone      int64
-	nextAll       int64
-	nextCatch     int64 // when registers in doubt are looked for again
-	turn          int
-	changed       bool              // something that nodes are to be told
-	membershipSeq uint64            // number of the newest change of the membership, or of what this process votes under
-	all           map[string]uint64 // see schema.Look, of each voter
-	allTold       uint64
-	due           int64
-	own           []*schema.Envelope
-	fx            Effects
-	mark          uint64 // of the newest entries handed out
-	held          []held
-	cells         map[string]*schema.Cell // what this voter accepted, as far as it is on disk
-	ill           bool                    // the disk refuses
-	mend          uint64                  // mark of the snapshot that ends that
-	diskAt        int64                   // when it is tried again, 0 while it is tried
-	checks        invariant.Checks
-	lost          bool // the log was told that no majority vouches for what is known here
+	self                   string
+	run                    uint64
+	config                 ports.ProcessConfig
+	acceptor               *paxos.Acceptor
+	reconfigurer           *paxos.Reconfigurer
+	proposer               *paxos.Proposer
+	learner                *voterview.Learner
+	databases              *records.Store
+	changeNumbers          map[string]uint64 // key of a cell or record to the number of its newest change
+	changeNumber           uint64
+	acceptedRevisions      map[string]acceptedRevision // of each register
+	pollers                map[string]*poller
+	groups                 map[string]*group
+	routingTable           ports.RoutingTable
+	tableRevision          uint64
+	pendingProposals       map[string]func(int64, paxos.Outcome)
+	catchUpAt              map[string]int64
+	pendingAnnouncements   map[uint64]*pendingAnnouncement
+	pendingCalls           map[uint64]*pendingCall
+	pendingChanges         map[string]*pendingChange // by name, while they are decided here
+	heartbeatsSinceForward map[string]int            // announcements of a database since one was passed on
+	lastHeartbeatHere      map[string]int64          // when a database announced itself here last
+	proposalCount          uint64
+	announcementNumber     uint64
+	activeMembership       uint64 // number of the membership that the acceptor votes under, as far as it is on disk
+	activatedAt            int64  // since when, 0 if it did when this process started
+	removedAt              int64  // since when this process, which leaves, does not vote any more
+	draining               bool
+	startedAt              int64
+	lastStep               int64
+	pacing                 pacing
+	disconnectedAt         int64 // when this process was last without a majority's lease
+	lackedLease            bool  // this process lacked a lease once
+	nextCompare            int64
+	nextExpiry             int64
+	nextSweep              int64
+	nextCatchUp            int64 // when registers in doubt are looked for again
+	compareTurn            int
+	pushNeeded             bool              // something that nodes are to be told
+	membershipChange       uint64            // number of the newest change of the membership, or of what this process votes under
+	convergedTables        map[string]uint64 // see schema.Poll, of each voter
+	convergedTable         uint64
+	due                    int64
+	loopback               []*schema.Envelope
+	effects                Effects
+	watermark              uint64 // of the newest entries handed out
+	unsynced               []unsyncedStep
+	syncedCells            map[string]*schema.RegisterState // what this voter accepted, as far as it is on disk
+	diskUnhealthy          bool                             // the disk refuses
+	repairWatermark        uint64                           // mark of the snapshot that ends that
+	diskRetryAt            int64                            // when it is tried again, 0 while it is tried
+	checks                 invariant.Checks
+	contactLostLogged      bool // the log was told that no majority vouches for what is known here
 }
 
 // NewCore makes a control process on top of an acceptor that was restored, or is
 // new; run must be another than any earlier run's.
-func NewCore(b ports.Boot, v *paxos.Acceptor, run uint64) *Core {
-	self := b.ControlNode()
-	c := &Core{self: self, run: run, boot: b, voter: v, proposer: paxos.NewProposer(self, fmt.Sprint(run), b.SeedVoters()),
+func NewCore(b ports.ProcessConfig, v *paxos.Acceptor, run uint64) *Core {
+	self := b.ControlNodeAddress()
+	c := &Core{self: self, run: run, config: b, acceptor: v, proposer: paxos.NewProposer(self, fmt.Sprint(run), b.SeedVoterAddresses()),
 		reconfigurer: paxos.NewReconfigurer(self, fmt.Sprint(run)),
-		view:         voterview.New(self, b.SeedVoters(), b.Zone, b.Name, "control", run), insts: records.New(self),
-		seqs: map[string]uint64{}, revisions: map[string]toldRevision{}, follow: map[string]*follower{}, groups: map[string]*group{},
-		pending: map[string]func(int64, paxos.Outcome){}, catching: map[string]int64{}, acks: map[uint64]*ack{}, calls: map[uint64]*call{}, orders: map[string]*order{}, beats: map[string]int{}, direct: map[string]int64{}, all: map[string]uint64{}}
-	c.proposer.Known = v.Cell
-	c.number = run // a return to an earlier run's announcement ends none of this one's
-	c.cells = map[string]*schema.Cell{}
+		learner:      voterview.New(self, b.SeedVoterAddresses(), b.Zone, b.Name, "control", run), databases: records.New(self),
+		changeNumbers: map[string]uint64{}, acceptedRevisions: map[string]acceptedRevision{}, pollers: map[string]*poller{}, groups: map[string]*group{},
+		pendingProposals: map[string]func(int64, paxos.Outcome){}, catchUpAt: map[string]int64{}, pendingAnnouncements: map[uint64]*pendingAnnouncement{}, pendingCalls: map[uint64]*pendingCall{}, pendingChanges: map[string]*pendingChange{}, heartbeatsSinceForward: map[string]int{}, lastHeartbeatHere: map[string]int64{}, convergedTables: map[string]uint64{}}
+	c.proposer.LocalState = v.RegisterState
+	c.announcementNumber = run // a return to an earlier run's announcement ends none of this one's
+	c.syncedCells = map[string]*schema.RegisterState{}
 	c.pacing = pacing{}
 	return c
 }
 
 // Start brings what the voter restored into the numbered changes.
 func (c *Core) Start(now int64) {
-	c.began, c.lastStep = now, now
-	for _, k := range c.voter.Keys() {
-		c.cells[k] = c.voter.Cell(k)
-		c.bump(k)
-		c.accepted(now, k)
+	c.startedAt, c.lastStep = now, now
+	for _, k := range c.acceptor.AcceptedKeys() {
+		c.syncedCells[k] = c.acceptor.RegisterState(k)
+		c.increment(k)
+		c.noteAccepted(now, k)
 	}
-	c.active = c.voter.Active()
-	c.adopt(now, c.voter.Membership())
+	c.activeMembership = c.acceptor.ActiveMembership()
+	c.adoptMembership(now, c.acceptor.Membership())
 }
 
-func (c *Core) bump(k string) {
-	c.seq++
-	c.seqs[k] = c.seq
-	if d := c.cells[k]; d != nil && c.revisions[k].revision != d.Value.Revision {
-		c.revisions[k] = toldRevision{revision: d.Value.Revision, seq: c.seq}
+func (c *Core) increment(k string) {
+	c.changeNumber++
+	c.changeNumbers[k] = c.changeNumber
+	if d := c.syncedCells[k]; d != nil && c.acceptedRevisions[k].revision != d.Value.Revision {
+		c.acceptedRevisions[k] = acceptedRevision{revision: d.Value.Revision, changeNumber: c.changeNumber}
 	}
-	c.changed = true
+	c.pushNeeded = true
 }
 
-func (c *Core) name() string { c.names++; return fmt.Sprintf("%s#%d#%d", c.self, c.run, c.names) }
+func (c *Core) proposalName() string {
+	c.proposalCount++
+	return fmt.Sprintf("%s#%d#%d", c.self, c.run, c.proposalCount)
+}
 
-func (c *Core) say(code result.Code, f string, a ...any) {
-	c.fx.Do = append(c.fx.Do, Say{Code: code, Text: fmt.Sprintf(f, a...)})
+func (c *Core) logf(code result.Code, f string, a ...any) {
+	c.effects.Do = append(c.effects.Do, LogEntry{Code: code, Text: fmt.Sprintf(f, a...)})
 }
 
-// SetBoot takes settings that changed.
-func (c *Core) SetBoot(b ports.Boot) {
-	c.boot = b
-	c.view.SetContacts(b.SeedVoters())
+// UpdateConfig takes settings that changed.
+func (c *Core) UpdateConfig(b ports.ProcessConfig) {
+	c.config = b
+	c.learner.SetContacts(b.SeedVoterAddresses())
 }
 
 // Due is when Step has something to do next even if nothing happens.
@@ -230,184 +233,184 @@
 
 // Step takes events, then does what is due.
 func (c *Core) Step(now int64, evs ...any) Effects {
-	c.fx, c.changed = Effects{}, false
-	if now-c.lastStep > ownerSilent {
+	c.effects, c.pushNeeded = Effects{}, false
+	if now-c.lastStep > ownerTimeout {
 		// This process itself stood still: what it heard is as old as that.
-		for id := range c.beats {
-			c.beats[id] = 0
+		for id := range c.heartbeatsSinceForward {
+			c.heartbeatsSinceForward[id] = 0
 		}
-		c.began = now
+		c.startedAt = now
 	}
 	c.lastStep = now
-	if now >= c.view.LeaseUntil() {
-		c.apart = now
+	if now >= c.learner.LeaseUntil() {
+		c.disconnectedAt = now
 	}
 	for _, e := range evs {
-		c.event(now, e)
-		c.drain(now)
+		c.handleEvent(now, e)
+		c.deliverLoopback(now)
 	}
 	c.tick(now)
-	c.drain(now)
-	if c.changed {
-		c.push(now)
-		c.drain(now)
-		c.groupsTick(now)
-		c.drain(now)
+	c.deliverLoopback(now)
+	if c.pushNeeded {
+		c.pushUpdates(now)
+		c.deliverLoopback(now)
+		c.tickGroups(now)
+		c.deliverLoopback(now)
 	}
-	c.noteContact(now)
-	c.noteViolations()
+	c.logContact(now)
+	c.logViolations()
 	c.setDue(now)
-	if len(c.fx.Log) > 0 {
-		c.mark++
-		c.fx.Mark = c.mark
+	if len(c.effects.Log) > 0 {
+		c.watermark++
+		c.effects.Watermark = c.watermark
 	}
-	return c.fx
+	return c.effects
 }
 
-// drain hands this process what it sent itself.
-func (c *Core) drain(now int64) {
-	for len(c.own) > 0 {
-		e := c.own[0]
-		c.own = c.own[1:]
-		c.envelope(now, e)
+// deliverLoopback hands this process what it sent itself.
+func (c *Core) deliverLoopback(now int64) {
+	for len(c.loopback) > 0 {
+		e := c.loopback[0]
+		c.loopback = c.loopback[1:]
+		c.handleEnvelope(now, e)
 	}
 }
 
 func (c *Core) send(ss ...step.Send) {
 	for _, s := range ss {
 		if s.To == c.self {
-			c.own = append(c.own, s.Env)
-		} else if c.pacing.mayAnswer(c.lastStep, s) {
-			c.fx.Send = append(c.fx.Send, s)
+			c.loopback = append(c.loopback, s.Envelope)
+		} else if c.pacing.admitResponse(c.lastStep, s) {
+			c.effects.Send = append(c.effects.Send, s)
 		}
 	}
 }
 
-func (c *Core) event(now int64, e any) {
+func (c *Core) handleEvent(now int64, e any) {
 	switch e := e.(type) {
 	case *schema.Envelope:
-		c.envelope(now, e)
+		c.handleEnvelope(now, e)
 	case Announce:
 		c.announce(now, e)
-	case Change:
-		c.change(now, e)
+	case ChangeTable:
+		c.requestChange(now, e)
 	case Move:
-		c.moveTo(now, e)
+		c.requestMove(now, e)
 	case CancelMove:
 		c.cancelMove(now, e)
-	case Fetch:
-		c.fetch(now, e)
-	case Said:
+	case FetchTable:
+		c.fetchTable(now, e)
+	case DatabaseReply:
 		if g := c.groups[e.Group]; g != nil {
-			g.decider.Said(now, e.Said)
-			g.dirty = true
+			g.decider.HandleDatabaseReply(now, e.Reply)
+			g.changed = true
 		}
-	case Promoted:
+	case PromoteDone:
 		if g := c.groups[e.Group]; g != nil {
-			g.decider.Promoted(now, e.OK, e.Gone)
-			g.dirty = true
+			g.decider.HandlePromotionResult(now, e.OK, e.Gone)
+			g.changed = true
 		}
 	case Stop:
-		c.leaving = true
-		c.voter.Leave()
-		c.view.Want()
-		c.allDirty() // duties are handed over
+		c.draining = true
+		c.acceptor.Drain()
+		c.learner.RequestPoll()
+		c.markAllGroupsChanged() // duties are handed over
 	case Synced:
-		c.synced(now, e.Mark)
-	case Unsynced:
-		if !c.ill {
-			c.ill = true
-			c.say(result.VoterSilent, "%s", e.Err)
+		c.handleSynced(now, e.Watermark)
+	case SyncFailed:
+		if !c.diskUnhealthy {
+			c.diskUnhealthy = true
+			c.logf(result.VoterDiskFailed, "%s", e.Cause)
 		}
-		c.diskAt = now + diskAgain
+		c.diskRetryAt = now + diskRetryInterval
 	}
 }
 
-func (c *Core) envelope(now int64, e *schema.Envelope) {
-	if paxos.IsForAcceptor(e) && c.takes() {
-		c.voted(now, c.voter.Step(now, e))
-		c.adopt(now, c.voter.Membership())
+func (c *Core) handleEnvelope(now int64, e *schema.Envelope) {
+	if paxos.IsForAcceptor(e) && c.acceptorAvailable() {
+		c.holdAcceptorEffects(now, c.acceptor.Step(now, e))
+		c.adoptMembership(now, c.acceptor.Membership())
 	}
 	if paxos.IsForProposer(e) {
-		c.proposed(now, c.proposer.Step(now, e))
+		c.takeProposerEffects(now, c.proposer.Step(now, e))
 	}
 	switch b := e.Body.(type) {
-	case *schema.Envelope_Look:
-		c.look(now, e.From, b.Look)
-	case *schema.Envelope_LookReturn:
-		if c.voter.Founds() {
+	case *schema.Envelope_Poll:
+		c.handlePoll(now, e.From, b.Poll)
+	case *schema.Envelope_PollResponse:
+		if c.acceptor.IsFounding() {
 			return // the founders learn the first membership from each other only (design 3.3)
 		}
-		if b.LookReturn.Membership != nil {
-			c.adopt(now, paxos.ReadMembership(b.LookReturn.Membership))
+		if b.PollResponse.Membership != nil {
+			c.adoptMembership(now, paxos.MembershipFromProto(b.PollResponse.Membership))
 		}
-		c.view.Step(now, e.From, b.LookReturn)
-		c.learned(now)
-	case *schema.Envelope_Announced:
-		c.merge(now, b.Announced.Instances)
-		if b.Announced.Number > 0 {
-			c.send(step.Send{To: e.From, Env: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncedReturn{AnnouncedReturn: &schema.AnnouncedReturn{Number: b.Announced.Number}}}})
+		c.learner.Step(now, e.From, b.PollResponse)
+		c.applyLearned(now)
+	case *schema.Envelope_AnnouncementForward:
+		c.mergeRecords(now, b.AnnouncementForward.Databases)
+		if b.AnnouncementForward.Number > 0 {
+			c.send(step.Send{To: e.From, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementAck{AnnouncementAck: &schema.AnnouncementAck{Number: b.AnnouncementForward.Number}}}})
 		}
-	case *schema.Envelope_AnnouncedReturn:
-		c.acked(e.From, b.AnnouncedReturn.Number)
+	case *schema.Envelope_AnnouncementAck:
+		c.countAnnouncementAck(e.From, b.AnnouncementAck.Number)
 	case *schema.Envelope_Records:
-		c.merge(now, b.Records.Records)
-		c.send(c.insts.Step(now, e).Send...) // what is newer here
+		c.mergeRecords(now, b.Records.Records)
+		c.send(c.databases.Step(now, e).Send...) // what is newer here
 	case *schema.Envelope_RangeDigests:
-		c.send(c.insts.Step(now, e).Send...)
+		c.send(c.databases.Step(now, e).Send...)
 	}
 }
 
 func (c *Core) tick(now int64) {
-	c.tryDisk(now)
-	if c.takes() {
-		c.voted(now, c.voter.Tick(now))
+	c.retryDisk(now)
+	if c.acceptorAvailable() {
+		c.holdAcceptorEffects(now, c.acceptor.Tick(now))
 	}
-	c.membershipTick(now)
-	c.proposed(now, c.proposer.Tick(now))
-	c.send(c.view.Tick(now, c.report)...)
-	c.drain(now)
-	c.refuseCalls(now)
-	c.announceAgain(now)
-	if now >= c.nextCmp {
-		c.nextCmp = now + compareEvery
-		c.turn++
-		if o := c.view.Voters()[c.turn%len(c.view.Voters())]; o != c.self {
-			c.send(c.insts.Compare(o, "", ""))
+	c.tickMembership(now)
+	c.takeProposerEffects(now, c.proposer.Tick(now))
+	c.send(c.learner.Tick(now, c.report)...)
+	c.deliverLoopback(now)
+	c.rejectCalls(now)
+	c.retryAnnouncements(now)
+	if now >= c.nextCompare {
+		c.nextCompare = now + compareInterval
+		c.compareTurn++
+		if o := c.learner.Voters()[c.compareTurn%len(c.learner.Voters())]; o != c.self {
+			c.send(c.databases.CompareRange(o, "", ""))
 		}
-		maps.DeleteFunc(c.follow, func(_ string, f *follower) bool { return now-f.at > 10*followFor })
+		maps.DeleteFunc(c.pollers, func(_ string, f *poller) bool { return now-f.lastPoll > 10*pollerTimeout })
 	}
-	if now >= c.nextGone {
-		c.nextGone = now + c.beatUs()
-		c.expire(now)
+	if now >= c.nextExpiry {
+		c.nextExpiry = now + c.heartbeatIntervalUs()
+		c.expireDatabases(now)
 	}
-	c.catchUp(now)
-	c.groupsTick(now)
+	c.catchUpRegisters(now)
+	c.tickGroups(now)
 }
 
 func (c *Core) setDue(now int64) {
-	d := min(c.proposer.Due(), c.view.Due(), c.nextCmp, c.nextGone, c.nextAll, c.moveDue(c.lastStep))
-	if c.takes() {
-		d = min(d, c.voter.Due())
+	d := min(c.proposer.Due(), c.learner.Due(), c.nextCompare, c.nextExpiry, c.nextSweep, c.moveDue(c.lastStep))
+	if c.acceptorAvailable() {
+		d = min(d, c.acceptor.Due())
 	}
-	if c.ill && c.diskAt > 0 {
-		d = min(d, c.diskAt)
+	if c.diskUnhealthy && c.diskRetryAt > 0 {
+		d = min(d, c.diskRetryAt)
 	}
-	d = min(d, c.callsDue(), c.announceDue())
-	for k, at := range c.catching {
-		if c.view.Doubt(k) {
-			d = min(d, max(at, c.nextCatch))
+	d = min(d, c.callsDue(), c.announcementsDue())
+	for k, at := range c.catchUpAt {
+		if c.learner.Unconfirmed(k) {
+			d = min(d, max(at, c.nextCatchUp))
 		}
 	}
 	for _, g := range c.groups {
-		d = min(d, g.decider.Due())
-		if g.dirty {
+		d = min(d, g.decider.NextStepAt())
+		if g.changed {
 			d = now
 		}
-		if g.sealed > g.cleared {
-			d = min(d, g.at+voterview.WaitUs)
-			if c.began+voterview.WaitUs > now {
-				d = min(d, c.began+voterview.WaitUs)
+		if g.freezeRevision > g.clearedRevision {
+			d = min(d, g.freezeAcceptedAt+voterview.LeaseEndBoundUs)
+			if c.startedAt+voterview.LeaseEndBoundUs > now {
+				d = min(d, c.startedAt+voterview.LeaseEndBoundUs)
 			}
 		}
 	}
@@ -418,7 +421,7 @@
 }
 
 // Table is the routing table in force here and its register's revision.
-func (c *Core) Table() (ports.RoutingTable, uint64) { return c.table, c.tableRev }
+func (c *Core) Table() (ports.RoutingTable, uint64) { return c.routingTable, c.tableRevision }
 
-// View is what this process learned from the voters.
-func (c *Core) View() *voterview.View { return c.view }
+// Learner is what this process learned from the voters.
+func (c *Core) Learner() *voterview.Learner { return c.learner }
--- a/coordinator/history_test.go
+++ b/coordinator/history_test.go
@@ -21,35 +21,35 @@
 // what was acknowledged.
 type history struct {
 	*cluster
-	routes  int
-	call    uint64
-	acked   uint64                        // newest table acknowledged
-	sent    uint64                        // newest table sent
-	started map[string]uint64             // what was acknowledged when a process started
-	shown   map[string]uint64             // the newest table that a process worked by in this run
-	frozen  map[string][]*schema.Envelope // what came for one that stands still
-	toward  map[string]int                // bytes sent to each
-	slow    map[string]int64              // bytes a second on the way to one, 0 for any number
-	free    map[string]int64              // when that way is free
-	bad     string
+	routes         int
+	call           uint64
+	acked          uint64                        // newest table acknowledged
+	sent           uint64                        // newest table sent
+	started        map[string]uint64             // what was acknowledged when a process started
+	shown          map[string]uint64             // the newest table that a process worked by in this run
+	frozen         map[string][]*schema.Envelope // what came for one that stands still
+	bytesSentTo    map[string]int                // bytes sent to each
+	bytesPerSecond map[string]int64              // bytes a second on the way to one, 0 for any number
+	linkFreeAt     map[string]int64              // when that way is free
+	violation      string
 }
 
 // newHistory has three voters and a fourth process that is none and looks on.
-func newHistory(t *testing.T, seed uint64, routes int, drives bool, plant crashdisk.Plant) *history {
+func newHistory(t *testing.T, seed uint64, routes int, drives bool, plant crashdisk.Mutation) *history {
 	h := &history{cluster: newCluster(t, seed, 4, 3, 1), routes: routes, started: map[string]uint64{}, shown: map[string]uint64{},
-		frozen: map[string][]*schema.Envelope{}, toward: map[string]int{}, slow: map[string]int64{}, free: map[string]int64{}}
-	h.n.Take = h.take
+		frozen: map[string][]*schema.Envelope{}, bytesSentTo: map[string]int{}, bytesPerSecond: map[string]int64{}, linkFreeAt: map[string]int64{}}
+	h.network.Receive = h.deliver
 	for i, a := range h.order {
 		if drives && i < 3 {
-			h.ms[a].drive = crashdisk.New(rand.New(rand.NewPCG(seed, uint64(i))))
-			h.ms[a].drive.Plant = plant
+			h.members[a].drive = crashdisk.New(rand.New(rand.NewPCG(seed, uint64(i))))
+			h.members[a].drive.Mutation = plant
 		}
 		// The last one looks on: it never takes a lost voter's place.
-		h.ms[a].boot.QuorumMember = i < 3
+		h.members[a].boot.QuorumMember = i < 3
 		h.begin(a)
 	}
 	h.run(2_000_000)
-	whole := ports.TableChange{Revision: 1, Whole: true, Groups: []ports.Group{{Name: "g", ConnLimit: 60, Sync: 1}}}
+	whole := ports.TableChange{Revision: 1, Complete: true, Groups: []ports.Group{{Name: "g", ConnectionLimit: 60, RequiredReplicaAcks: 1}}}
 	for i := range routes {
 		whole.Routes = append(whole.Routes, historyRoute(i, 0))
 	}
@@ -63,15 +63,15 @@
 // for their names and times.
 func historyRoute(i int, turn uint64) ports.Route {
 	aim := 200_000 + int64(turn*7919%100_000)
-	return ports.Route{Name: fmt.Sprintf("route-%d", i), Host: fmt.Sprintf("host-%d.example", i), Prefix: "/", Group: "g", ExpiryUs: 800_000, AimUs: aim,
+	return ports.Route{Name: fmt.Sprintf("route-%d", i), Host: fmt.Sprintf("host-%d.example", i), Prefix: "/", Group: "g", TimeoutUs: 800_000, LatencyTargetUs: aim,
 		Source: fmt.Appendf(nil, `{"Name":"route-%d","Host":"host-%d.example","Prefix":"/","Service":"g","TimeoutMs":800,"AimMs":%d}`, i, i, aim/1000)}
 }
 
-// take carries an envelope: it counts it, holds it back on a slow way, and keeps
+// deliver carries an envelope: it counts it, holds it back on a slow way, and keeps
 // it for a process that stands still.
-func (h *history) take(to string, e *schema.Envelope) {
+func (h *history) deliver(to string, e *schema.Envelope) {
 	n := proto.Size(e)
-	h.toward[to] += n
+	h.bytesSentTo[to] += n
 	deliver := func() {
 		if _, stands := h.frozen[to]; stands {
 			h.frozen[to] = append(h.frozen[to], e)
@@ -79,12 +79,12 @@
 		}
 		h.step(to, e)
 	}
-	if h.slow[to] == 0 {
+	if h.bytesPerSecond[to] == 0 {
 		deliver()
 		return
 	}
-	h.free[to] = max(h.free[to], h.w.Now) + int64(n)*1_000_000/h.slow[to]
-	h.w.After(h.free[to]-h.w.Now, deliver)
+	h.linkFreeAt[to] = max(h.linkFreeAt[to], h.environment.Now) + int64(n)*1_000_000/h.bytesPerSecond[to]
+	h.environment.After(h.linkFreeAt[to]-h.environment.Now, deliver)
 }
 
 func (h *history) begin(a string) {
@@ -94,75 +94,75 @@
 
 func (h *history) freeze(a string) {
 	h.frozen[a] = []*schema.Envelope{}
-	h.ms[a].up, h.ms[a].hangs = false, true
+	h.members[a].up, h.members[a].hangs = false, true
 }
 
 func (h *history) thaw(a string) {
-	m, held := h.ms[a], h.frozen[a]
+	m, held := h.members[a], h.frozen[a]
 	delete(h.frozen, a)
 	m.up, m.hangs = true, false
-	h.w.R.Shuffle(len(held), func(i, j int) { held[i], held[j] = held[j], held[i] })
+	h.environment.Random.Shuffle(len(held), func(i, j int) { held[i], held[j] = held[j], held[i] })
 	for _, e := range held {
 		h.step(a, e)
 	}
-	life := m.life
+	life := m.incarnation
 	for range m.queue {
-		h.w.After(1_000, func() { h.sync(a, life) })
+		h.environment.After(1_000, func() { h.sync(a, life) })
 	}
 	h.tick(a)
 }
 
-func (h *history) cutOff(a string, broken bool) {
+func (h *history) partition(a string, broken bool) {
 	for _, o := range h.order {
-		h.n.Cut(a, o, broken)
-		h.n.Cut(o, a, broken)
+		h.network.SetPartition(a, o, broken)
+		h.network.SetPartition(o, a, broken)
 	}
 }
 
-// look holds what every process works by against what was acknowledged.
-func (h *history) look() {
-	for a, m := range h.ms {
+// checkTables holds what every process works by against what was acknowledged.
+func (h *history) checkTables() {
+	for a, m := range h.members {
 		if !m.up {
 			continue
 		}
 		t, _ := m.core.Table()
 		switch {
 		case t.Revision > 0 && t.Revision < h.started[a]:
-			h.wrong("%s works by table %d; %d was acknowledged before it started", a, t.Revision, h.started[a])
+			h.fail("%s works by table %d; %d was acknowledged before it started", a, t.Revision, h.started[a])
 		case t.Revision < h.shown[a]:
-			h.wrong("%s works by table %d after %d", a, t.Revision, h.shown[a])
+			h.fail("%s works by table %d after %d", a, t.Revision, h.shown[a])
 		case t.Revision > h.sent:
-			h.wrong("%s works by table %d, which nobody sent", a, t.Revision)
+			h.fail("%s works by table %d, which nobody sent", a, t.Revision)
 		}
 		h.shown[a] = max(h.shown[a], t.Revision)
 	}
 }
 
-func (h *history) wrong(f string, a ...any) {
-	if h.bad == "" {
-		h.bad = fmt.Sprintf("%.3f s: ", float64(h.w.Now)/1e6) + fmt.Sprintf(f, a...)
+func (h *history) fail(f string, a ...any) {
+	if h.violation == "" {
+		h.violation = fmt.Sprintf("%.3f s: ", float64(h.environment.Now)/1e6) + fmt.Sprintf(f, a...)
 	}
 }
 
 // pass lets time go by with an eye on all.
 func (h *history) pass(us int64) {
-	for until := h.w.Now + us; h.w.Now < until; {
-		h.run(min(20_000, until-h.w.Now))
-		h.look()
+	for until := h.environment.Now + us; h.environment.Now < until; {
+		h.run(min(20_000, until-h.environment.Now))
+		h.checkTables()
 	}
 }
 
 // await is the effect with a call's number, nil if it does not come.
 func (h *history) await(a string, from int, wait int64, is func(any) bool) any {
-	m := h.ms[a]
-	life := m.life
-	for until := h.w.Now + wait; ; {
-		for ; from < len(m.does); from++ {
-			if is(m.does[from]) {
-				return m.does[from]
+	m := h.members[a]
+	life := m.incarnation
+	for until := h.environment.Now + wait; ; {
+		for ; from < len(m.done); from++ {
+			if is(m.done[from]) {
+				return m.done[from]
 			}
 		}
-		if h.w.Now >= until || m.life != life {
+		if h.environment.Now >= until || m.incarnation != life {
 			return nil
 		}
 		h.pass(5_000)
@@ -172,11 +172,11 @@
 // change puts a change through a process and says what it answered.
 func (h *history) change(a string, ch ports.TableChange, wait int64) ports.Outcome {
 	h.call++
-	id, m := h.call, h.ms[a]
+	id, m := h.call, h.members[a]
 	h.sent = max(h.sent, ch.Revision)
-	from := len(m.does)
-	h.step(a, Change{ID: id, Change: ch})
-	d, ok := h.await(a, from, wait, func(d any) bool { c, ok := d.(Changed); return ok && c.ID == id }).(Changed)
+	from := len(m.done)
+	h.step(a, ChangeTable{ID: id, Change: ch})
+	d, ok := h.await(a, from, wait, func(d any) bool { c, ok := d.(ChangeTableDone); return ok && c.ID == id }).(ChangeTableDone)
 	if !ok {
 		return ports.Unavailable
 	}
@@ -186,20 +186,20 @@
 // put sends a change to one process after the other, as an operator does, until
 // it is acknowledged.
 func (h *history) put(first string, ch ports.TableChange, within int64) bool {
-	ch.Name = fmt.Sprint("change-", ch.Revision)
+	ch.Digest = fmt.Sprint("change-", ch.Revision)
 	at := slices.Index(h.order, first)
-	for until := h.w.Now + within; h.w.Now < until; at++ {
+	for until := h.environment.Now + within; h.environment.Now < until; at++ {
 		a := h.order[at%3]
-		if !h.ms[a].up {
+		if !h.members[a].up {
 			h.pass(20_000)
 			continue
 		}
 		switch o := h.change(a, ch, 1_000_000); o {
-		case ports.Agreed:
+		case ports.Committed:
 			h.acked = max(h.acked, ch.Revision)
 			return true
 		case ports.Stale, ports.Invalid:
-			h.wrong("change %d on %d through %s ended as %d", ch.Revision, ch.Base, a, o)
+			h.fail("change %d on %d through %s ended as %d", ch.Revision, ch.BaseRevision, a, o)
 			return false
 		}
 		h.pass(50_000)
@@ -213,14 +213,14 @@
 }
 
 func (h *history) amendment() ports.TableChange {
-	return ports.TableChange{Base: h.acked, Revision: h.acked + 1, Routes: []ports.Route{historyRoute(int(h.acked)%h.routes, h.acked)}}
+	return ports.TableChange{BaseRevision: h.acked, Revision: h.acked + 1, Routes: []ports.Route{historyRoute(int(h.acked)%h.routes, h.acked)}}
 }
 
 // fetch asks a process for the newest table until it hands one out, as operators do
 // that are told to come back, within a time.
 func (h *history) fetch(a string, wait int64) bool {
-	for until := h.w.Now + wait; h.w.Now < until; h.pass(100_000) {
-		if h.fetchOnce(a, until-h.w.Now) {
+	for until := h.environment.Now + wait; h.environment.Now < until; h.pass(100_000) {
+		if h.fetchOnce(a, until-h.environment.Now) {
 			return true
 		}
 	}
@@ -231,20 +231,20 @@
 // acknowledged when it was asked.
 func (h *history) fetchOnce(a string, wait int64) bool {
 	h.call++
-	id, from, acked := h.call, len(h.ms[a].does), h.acked
-	h.step(a, Fetch{ID: id})
-	d, ok := h.await(a, from, wait, func(d any) bool { f, ok := d.(Fetched); return ok && f.ID == id }).(Fetched)
+	id, from, acked := h.call, len(h.members[a].done), h.acked
+	h.step(a, FetchTable{ID: id})
+	d, ok := h.await(a, from, wait, func(d any) bool { f, ok := d.(FetchTableDone); return ok && f.ID == id }).(FetchTableDone)
 	if !ok || !d.OK {
 		return false
 	}
 	if d.Table.Revision < acked {
-		h.wrong("%s hands out table %d; %d was acknowledged", a, d.Table.Revision, acked)
+		h.fail("%s hands out table %d; %d was acknowledged", a, d.Table.Revision, acked)
 	}
 	return true
 }
 
-// away are the ways in which a voter can be away for a time.
-var away = []struct {
+// departed are the ways in which a voter can be away for a time.
+var departed = []struct {
 	name        string
 	leave, back func(h *history, a string)
 	keeps       bool // it comes back with what it said
@@ -252,22 +252,22 @@
 	{"killed", func(h *history, a string) { h.kill(a, false) }, (*history).begin, true},
 	{"wiped", func(h *history, a string) { h.kill(a, true) }, (*history).begin, false},
 	{"frozen", (*history).freeze, (*history).thaw, true},
-	{"cut off", func(h *history, a string) { h.cutOff(a, true) }, func(h *history, a string) { h.cutOff(a, false) }, true},
-	{"cut off and killed", func(h *history, a string) { h.cutOff(a, true); h.kill(a, false); h.begin(a) }, func(h *history, a string) { h.cutOff(a, false) }, true},
+	{"cut off", func(h *history, a string) { h.partition(a, true) }, func(h *history, a string) { h.partition(a, false) }, true},
+	{"cut off and killed", func(h *history, a string) { h.partition(a, true); h.kill(a, false); h.begin(a) }, func(h *history, a string) { h.partition(a, false) }, true},
 	{"heard by nobody", func(h *history, a string) {
 		for _, o := range h.order {
-			h.n.Cut(a, o, true)
+			h.network.SetPartition(a, o, true)
 		}
-	}, func(h *history, a string) { h.cutOff(a, false) }, true},
+	}, func(h *history, a string) { h.partition(a, false) }, true},
 	{"hearing nobody", func(h *history, a string) {
 		for _, o := range h.order {
-			h.n.Cut(o, a, true)
+			h.network.SetPartition(o, a, true)
 		}
-	}, func(h *history, a string) { h.cutOff(a, false) }, true},
-	{"cut off and wiped", func(h *history, a string) { h.kill(a, true); h.cutOff(a, true); h.begin(a) }, func(h *history, a string) { h.cutOff(a, false) }, false},
+	}, func(h *history, a string) { h.partition(a, false) }, true},
+	{"cut off and wiped", func(h *history, a string) { h.kill(a, true); h.partition(a, true); h.begin(a) }, func(h *history, a string) { h.partition(a, false) }, false},
 }
 
-const catchUpUs = 4_000_000
+const catchUpDurationUs = 4_000_000
 
 // TestVoterAwayThenDecides: a voter is away while 300 changes are made; as it is
 // back another one is lost, so that its word decides. It never hands out what is
@@ -276,34 +276,34 @@
 // grants it to catch up, and before that nothing is acknowledged against it.
 func TestVoterAwayThenDecides(t *testing.T) {
 	const changes = 300
-	for i, w := range away {
+	for i, w := range departed {
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
 			slowest := int64(0)
 			for seed := range uint64(max(4/slower, 2)) {
-				h := newHistory(t, 1000*uint64(i)+seed, 40, false, crashdisk.None)
+				h := newHistory(t, 1000*uint64(i)+seed, 40, false, crashdisk.NoMutation)
 				a, b, c := h.order[seed%3], h.order[(seed+1)%3], h.order[(seed+2)%3]
 				w.leave(h, a)
 				for range changes {
 					if !h.next(b, 5_000_000) {
-						t.Fatalf("seed %d: change %d is not acknowledged while one voter is away: %s", seed, h.acked+1, h.bad)
+						t.Fatalf("seed %d: change %d is not acknowledged while one voter is away: %s", seed, h.acked+1, h.violation)
 					}
 				}
 				w.back(h, a)
 				if !w.keeps && seed%2 == 0 {
-					h.pass(catchUpUs)
+					h.pass(catchUpDurationUs)
 				}
 				// The second loss, and one that looks on starts anew.
 				h.kill(b, false)
 				h.kill(h.order[3], false)
 				h.begin(h.order[3])
-				began := h.w.Now
+				began := h.environment.Now
 				h.fetch(a, 1_000_000)
 				if w.keeps || seed%2 == 0 {
 					if !h.next(a, 5_000_000) {
-						t.Fatalf("seed %d: with its word needed nothing is acknowledged: %s", seed, h.bad)
+						t.Fatalf("seed %d: with its word needed nothing is acknowledged: %s", seed, h.violation)
 					}
-					slowest = max(slowest, h.w.Now-began)
+					slowest = max(slowest, h.environment.Now-began)
 					if !h.fetch(a, 2_000_000) {
 						t.Fatalf("seed %d: it hands out nothing", seed)
 					}
@@ -316,13 +316,13 @@
 				}
 				h.pass(2_000_000)
 				h.begin(b)
-				h.pass(catchUpUs)
+				h.pass(catchUpDurationUs)
 				h.kill(c, false)
 				if !h.next(a, 5_000_000) || !h.fetch(a, 2_000_000) || !h.fetch(b, 2_000_000) {
-					t.Fatalf("seed %d: after the other's return nothing goes on: %s", seed, h.bad)
+					t.Fatalf("seed %d: after the other's return nothing goes on: %s", seed, h.violation)
 				}
-				if h.bad != "" {
-					t.Fatalf("seed %d: %s", seed, h.bad)
+				if h.violation != "" {
+					t.Fatalf("seed %d: %s", seed, h.violation)
 				}
 			}
 			t.Logf("%d changes; with its word needed a change took %d ms at the most", changes, slowest/1000)
@@ -330,89 +330,89 @@
 	}
 }
 
-// TestOlderCopyIsSeen: what the checks above rest on. The one voter that holds
+// TestOlderDiskStateIsDetected: what the checks above rest on. The one voter that holds
 // all changes is killed too; with its log nothing is lost, and with an older copy
 // of it the checks see it.
-func TestOlderCopyIsSeen(t *testing.T) {
+func TestOlderDiskStateIsDetected(t *testing.T) {
 	for _, older := range []bool{false, true} {
-		h := newHistory(t, 5, 40, false, crashdisk.None)
+		h := newHistory(t, 5, 40, false, crashdisk.NoMutation)
 		a, b, c := h.order[0], h.order[1], h.order[2]
 		h.kill(a, false)
-		before := slices.Clone(h.ms[c].disk)
+		before := slices.Clone(h.members[c].disk)
 		for range 60 {
 			if !h.next(b, 5_000_000) {
-				t.Fatalf("a change is not acknowledged: %s", h.bad)
+				t.Fatalf("a change is not acknowledged: %s", h.violation)
 			}
 		}
 		h.kill(b, false)
 		h.kill(c, false)
 		if older {
-			h.ms[c].disk = before
+			h.members[c].disk = before
 		}
 		h.begin(a)
 		h.begin(c)
 		h.pass(1_000_000)
 		served := h.fetch(a, 2_000_000)
-		if (h.bad != "") != older || !served {
-			t.Fatalf("an older copy is there %t, and it is seen: %q, served %t", older, h.bad, served)
+		if (h.violation != "") != older || !served {
+			t.Fatalf("an older copy is there %t, and it is seen: %q, served %t", older, h.violation, served)
 		}
-		t.Logf("an older copy %t: %q", older, h.bad)
+		t.Logf("an older copy %t: %q", older, h.violation)
 	}
 }
 
 // storms runs changes over drives that lose power, one after the other, and ends
 // each stretch by a closing fault. It says what broke.
-func storms(t *testing.T, seed uint64, changes int, plant crashdisk.Plant) (bad string, ended int) {
+func storms(t *testing.T, seed uint64, changes int, plant crashdisk.Mutation) (bad string, ended int) {
 	h := newHistory(t, seed, 300, true, plant)
 	done := 0
-	for done < changes && h.bad == "" {
-		for n := 5 + h.w.R.IntN(60); n > 0 && done < changes; n-- {
-			if !h.next(h.order[h.w.R.IntN(3)], 6_000_000) {
-				return fmt.Sprintf("change %d is not acknowledged in 6 s: %s", h.acked+1, h.bad), ended
+	for done < changes && h.violation == "" {
+		for n := 5 + h.environment.Random.IntN(60); n > 0 && done < changes; n-- {
+			if !h.next(h.order[h.environment.Random.IntN(3)], 6_000_000) {
+				return fmt.Sprintf("change %d is not acknowledged in 6 s: %s", h.acked+1, h.violation), ended
 			}
 			done++
 		}
 		// A change under way, which may be acknowledged or not; the fault comes at
 		// any moment of it, or right after it.
-		if h.w.Chance(0.7) {
+		if h.environment.Chance(0.7) {
 			ch := h.amendment()
-			ch.Name = fmt.Sprint("change-", ch.Revision)
+			ch.Digest = fmt.Sprint("change-", ch.Revision)
 			h.sent = max(h.sent, ch.Revision)
-			h.step(h.order[h.w.R.IntN(3)], Change{ID: 1 << 40, Change: ch})
-			h.pass(h.w.Between(0, 40_000))
+			h.step(h.order[h.environment.Random.IntN(3)], ChangeTable{ID: 1 << 40, Change: ch})
+			h.pass(h.environment.Between(0, 40_000))
 		}
 		ended++
 		h.closing()
-		h.pass(h.w.Between(100_000, 1_000_000))
+		h.pass(h.environment.Between(100_000, 1_000_000))
 		for _, a := range h.order {
-			if !h.ms[a].up {
+			if !h.members[a].up {
 				h.begin(a)
 			}
-			if m := h.ms[a]; !m.up {
+			if m := h.members[a]; !m.up {
 				return fmt.Sprintf("%s finds its log damaged", a), ended
 			}
 		}
-		h.pass(catchUpUs)
-		if !h.settle() {
-			return fmt.Sprintf("4 s after all are back nobody hands out the table %s", h.bad), ended
+		h.pass(catchUpDurationUs)
+		if !h.awaitConvergence() {
+			return fmt.Sprintf("4 s after all are back nobody hands out the table %s", h.violation), ended
 		}
 	}
-	return h.bad, ended
+	return h.violation, ended
 }
 
 // closing is one of the faults that end a day.
 func (h *history) closing() {
 	lost := -1
-	how := h.w.R.IntN(4)
-	if h.w.Chance(0.5) { // at some file operation of each drive, in the middle of a write
+	how := h.environment.Random.IntN(4)
+	if h.environment.Chance(0.5) { // at some file operation of each drive, in the middle of a write
 		how = 1
 		for _, a := range h.order[:3] {
-			h.ms[a].drive.Steps = h.w.R.IntN(10)
+			h.members[a].drive.StepsLeft = h.environment.Random.IntN(10)
 		}
-		h.pass(h.w.Between(0, 100_000))
+		h.pass(h.environment.Between(0, 100_000))
 	}
 	if how >= 2 {
-		lost = h.w.R.IntN(3)
+		lost = h.environment.Random.IntN(3)
 	}
 	for i, a := range h.order[:3] {
 		if how == 3 && i != lost {
@@ -420,23 +420,23 @@
 		}
 		h.kill(a, i == lost)
 		if how != 0 { // 0: only the processes are killed
-			h.ms[a].drive.PowerLoss()
+			h.members[a].drive.PowerLoss()
 		}
 	}
 }
 
-// settle reads back through each voter; what was under way may have come through.
-func (h *history) settle() bool {
+// awaitConvergence reads back through each voter; what was under way may have come through.
+func (h *history) awaitConvergence() bool {
 	for _, a := range h.order[:3] {
 		h.call++
-		id, from, acked := h.call, len(h.ms[a].does), h.acked
-		h.step(a, Fetch{ID: id})
-		d, ok := h.await(a, from, 4_000_000, func(d any) bool { f, ok := d.(Fetched); return ok && f.ID == id }).(Fetched)
+		id, from, acked := h.call, len(h.members[a].done), h.acked
+		h.step(a, FetchTable{ID: id})
+		d, ok := h.await(a, from, 4_000_000, func(d any) bool { f, ok := d.(FetchTableDone); return ok && f.ID == id }).(FetchTableDone)
 		if !ok || !d.OK {
 			return false
 		}
 		if d.Table.Revision < acked {
-			h.wrong("%s hands out table %d; %d was acknowledged", a, d.Table.Revision, acked)
+			h.fail("%s hands out table %d; %d was acknowledged", a, d.Table.Revision, acked)
 		}
 		h.acked = max(h.acked, d.Table.Revision)
 	}
@@ -450,29 +450,29 @@
 	const seeds, changes = max(8/slower, 2), max(300/slower, 100)
 	ended := 0
 	for seed := range uint64(seeds) {
-		bad, n := storms(t, seed, changes, crashdisk.None)
+		bad, n := storms(t, seed, changes, crashdisk.NoMutation)
 		if bad != "" {
 			t.Fatalf("seed %d: %s", seed, bad)
 		}
 		ended += n
 	}
 	t.Logf("%d seeds of %d changes, %d faults that struck all", seeds, changes, ended)
-	for _, x := range crashdisk.Planted {
-		if x.Plant == crashdisk.OldRemoved {
+	for _, x := range crashdisk.Mutations {
+		if x.Mutation == crashdisk.OldFilesRemovedEarly {
 			continue // it loses one voter's disk, which is borne; voterlog's tests see it
 		}
 		seen, first := 0, ""
 		const tries = max(6/slower, 2)
 		for seed := range uint64(tries) {
-			if bad, _ := storms(t, seed, changes, x.Plant); bad != "" {
+			if bad, _ := storms(t, seed, changes, x.Mutation); bad != "" {
 				if seen++; first == "" {
 					first = bad
 				}
 			}
 		}
-		t.Logf("planted, %s: %d of %d seeds show it, first: %s", x.What, seen, tries, first)
+		t.Logf("planted, %s: %d of %d seeds show it, first: %s", x.Name, seen, tries, first)
 		if 2*seen < tries {
-			t.Errorf("planted, %s: only %d of %d seeds show it", x.What, seen, tries)
+			t.Errorf("planted, %s: only %d of %d seeds show it", x.Name, seen, tries)
 		}
 	}
 }
@@ -485,12 +485,12 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	ns, err := h.ms[a].drive.Names("")
+	ns, err := h.members[a].drive.List("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range ns {
-		b, err := h.ms[a].drive.Read("/data/voter/" + n)
+		b, err := h.members[a].drive.ReadFile("/data/voter/" + n)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -502,18 +502,18 @@
 	start = time.Hour
 	for range 5 { // the machine may be busy
 		began := time.Now()
-		var es []*schema.VoterLog
-		l, err := voterlog.Open(folder, func(e *schema.VoterLog) { es = append(es, e) })
+		var es []*schema.WALEntry
+		l, err := voterlog.Open(folder, func(e *schema.WALEntry) { es = append(es, e) })
 		if err != nil {
 			t.Fatal(err)
 		}
-		core := Restore(h.ms[a].boot, es, 1, 3)
+		core := Restore(h.members[a].boot, es, 1, 3)
 		core.Start(1_000_000)
 		start = min(start, time.Since(began))
 		if err := l.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if !core.votes() {
+		if !core.isVoting() {
 			t.Fatal("it does not vote")
 		}
 	}
@@ -529,44 +529,44 @@
 	joinedUs     int64
 }
 
-const twoMbit = 2_000_000 / 8
+const twoMbitPerSecond = 2_000_000 / 8
 
 // comesBack starts a voter behind 2 Mbit/s and says what it was sent, with what
 // was on its way by then, and how long it took until it voted and had the newest
 // table.
 func (h *history) comesBack(a string) (bytes int, us int64, ok bool) {
-	h.slow[a], h.free[a] = twoMbit, 0
-	before, began := h.toward[a], h.w.Now
+	h.bytesPerSecond[a], h.linkFreeAt[a] = twoMbitPerSecond, 0
+	before, began := h.bytesSentTo[a], h.environment.Now
 	h.begin(a)
-	for !ok && h.w.Now-began < 60_000_000 {
+	for !ok && h.environment.Now-began < 60_000_000 {
 		h.pass(10_000)
-		t, _ := h.ms[a].core.Table()
-		ok = h.ms[a].core.votes() && t.Revision >= h.acked
+		t, _ := h.members[a].core.Table()
+		ok = h.members[a].core.isVoting() && t.Revision >= h.acked
 	}
-	us = h.w.Now - began
-	h.pass(max(h.free[a]-h.w.Now, 0))
-	h.slow[a] = 0
-	return h.toward[a] - before, us, ok
+	us = h.environment.Now - began
+	h.pass(max(h.linkFreeAt[a]-h.environment.Now, 0))
+	h.bytesPerSecond[a] = 0
+	return h.bytesSentTo[a] - before, us, ok
 }
 
 // measure has a voter away for so many changes of a table with 500 routes.
 func measure(t *testing.T, changes int) figures {
-	h := newHistory(t, 7, 500, true, crashdisk.None)
+	h := newHistory(t, 7, 500, true, crashdisk.NoMutation)
 	a, b := h.order[0], h.order[1]
 	for _, o := range h.order[:3] {
-		h.ms[o].drive.Room = 64 << 20
+		h.members[o].drive.Capacity = 64 << 20
 	}
 	var f figures
 	for _, wipe := range []bool{false, true} {
 		h.kill(a, wipe)
 		for range changes {
 			if !h.next(b, 5_000_000) {
-				t.Fatalf("change %d is not acknowledged: %s", h.acked+1, h.bad)
+				t.Fatalf("change %d is not acknowledged: %s", h.acked+1, h.violation)
 			}
 		}
 		if !wipe {
 			f.bytes, f.start = logOn(t, h, b)
-			f.peak = h.ms[b].drive.Peak
+			f.peak = h.members[b].drive.PeakBytes
 		}
 		bytes, us, ok := h.comesBack(a)
 		if !ok {
@@ -579,8 +579,8 @@
 		}
 		h.pass(2_000_000)
 	}
-	if h.bad != "" {
-		t.Fatal(h.bad)
+	if h.violation != "" {
+		t.Fatal(h.violation)
 	}
 	return f
 }
@@ -599,8 +599,8 @@
 		fs = append(fs, f)
 		t.Logf("%d changes of 500 routes: %d KB on disk, %d KB at the most; %s from start to voting; %d KB to a voter that was away, %d ms on 2 Mbit/s; %d KB and %d ms to one that lost its disk",
 			n, f.bytes>>10, f.peak>>10, f.start.Round(100*time.Microsecond), f.back>>10, f.backUs/1000, f.joined>>10, f.joinedUs/1000)
-		if f.joinedUs > catchUpUs || f.backUs > catchUpUs {
-			t.Errorf("%d changes: it is not there within %d ms", n, catchUpUs/1000)
+		if f.joinedUs > catchUpDurationUs || f.backUs > catchUpDurationUs {
+			t.Errorf("%d changes: it is not there within %d ms", n, catchUpDurationUs/1000)
 		}
 		if f.peak > 2<<20 {
 			t.Errorf("%d changes: %d bytes on disk", n, f.peak)
--- a/coordinator/leadership.go
+++ b/coordinator/leadership.go
@@ -16,36 +16,36 @@
 )
 
 type group struct {
-	decider *switchover.Group
-	sealed  uint64 // revision of the newest sealing accepted here
-	at      int64  // when
-	before  map[string]bool
-	cleared uint64                    // newest sealing that no node that looked here goes against
-	told    uint64                    // newest cleared that the others were told
-	insts   map[string]ports.Instance // announced, and those that are gone
-	order   []string                  // control processes, in the order in which they claim its duty
-	ranked  uint64                    // number of the membership that order is of
-	putting int64                     // when a change of its move was put to the vote, 0 for none
-	dirty   bool
-	rev     uint64 // newest revision of its leadership that was gone through here
+	decider              *switchover.Group
+	freezeRevision       uint64 // revision of the newest sealing accepted here
+	freezeAcceptedAt     int64  // when
+	polledBeforeFreeze   map[string]bool
+	clearedRevision      uint64                    // newest sealing that no node that looked here goes against
+	reportedCleared      uint64                    // newest cleared that the others were told
+	databases            map[string]ports.Instance // announced, and those that are gone
+	successors           []string                  // control processes, in the order in which they claim its duty
+	successorsMembership uint64                    // number of the membership that order is of
+	moveProposedAt       int64                     // when a change of its move was put to the vote, 0 for none
+	changed              bool
+	seenRevision         uint64 // newest revision of its leadership that was gone through here
 }
 
-// accepted notes when a sealing came here first: nodes that looked before may
+// noteAccepted notes when a sealing came here first: nodes that looked before may
 // work by what was before it.
-func (c *Core) accepted(now int64, k string) {
+func (c *Core) noteAccepted(now int64, k string) {
 	n, ok := strings.CutPrefix(k, voterview.LeaderPrefix)
 	if !ok {
 		return
 	}
-	l := voterview.Leadership(voterview.Chosen{Data: c.cells[k].GetValue().GetData()})
+	l := voterview.DecodeLeadership(voterview.CommittedValue{Data: c.syncedCells[k].GetValue().GetData()})
 	g := c.group(n)
-	if l.SealRev <= g.sealed {
+	if l.FreezeRevision <= g.freezeRevision {
 		return
 	}
-	g.sealed, g.at, g.before = l.SealRev, now, map[string]bool{}
-	for a, f := range c.follow {
-		if f.kind == "pool" && now-f.returned < voterview.WaitUs {
-			g.before[a] = true
+	g.freezeRevision, g.freezeAcceptedAt, g.polledBeforeFreeze = l.FreezeRevision, now, map[string]bool{}
+	for a, f := range c.pollers {
+		if f.kind == "pool" && now-f.lastResponse < voterview.LeaseEndBoundUs {
+			g.polledBeforeFreeze[a] = true
 		}
 	}
 }
@@ -53,17 +53,17 @@
 // clearedHere says whether no node that this voter sent a return before it
 // accepted the sealing relies on that return any more (design 14.6).
 func (c *Core) clearedHere(now int64, n string, g *group) bool {
-	if c.activated > 0 && now-c.activated < voterview.WaitUs {
+	if c.activatedAt > 0 && now-c.activatedAt < voterview.LeaseEndBoundUs {
 		return false // what voters of the membership before returned is not known
 	}
-	if now-g.at >= voterview.WaitUs {
+	if now-g.freezeAcceptedAt >= voterview.LeaseEndBoundUs {
 		return true
 	}
-	if now-c.began < voterview.WaitUs {
+	if now-c.startedAt < voterview.LeaseEndBoundUs {
 		return false // what an earlier run returned is not known
 	}
-	for a := range g.before {
-		if f := c.follow[a]; f == nil || f.words[n].GetRevision() < g.sealed {
+	for a := range g.polledBeforeFreeze {
+		if f := c.pollers[a]; f == nil || f.groupStatuses[n].GetRevision() < g.freezeRevision {
 			return false
 		}
 	}
@@ -77,156 +77,156 @@
 		return false
 	}
 	k := 0
-	for _, o := range c.view.Voters() {
+	for _, o := range c.learner.Voters() {
 		if o == c.self {
-			if g.sealed >= rev && g.cleared >= rev {
+			if g.freezeRevision >= rev && g.clearedRevision >= rev {
 				k++
 			}
-		} else if f := c.follow[o]; f != nil {
-			if w := f.words[n]; w.GetQuiet() && w.Revision >= rev {
+		} else if f := c.pollers[o]; f != nil {
+			if w := f.groupStatuses[n]; w.GetIdle() && w.Revision >= rev {
 				k++
 			}
 		}
 	}
-	return k > len(c.view.Voters())/2
+	return k > len(c.learner.Voters())/2
 }
 
 func (c *Core) group(n string) *group {
 	g := c.groups[n]
 	if g == nil {
-		g = &group{decider: switchover.New(), insts: map[string]ports.Instance{}}
+		g = &group{decider: switchover.New(), databases: map[string]ports.Instance{}}
 		c.groups[n] = g
 	}
 	return g
 }
 
-func (c *Core) groupsTick(now int64) {
-	if !c.votes() {
+func (c *Core) tickGroups(now int64) {
+	if !c.isVoting() {
 		return
 	}
-	all := now >= c.nextAll
+	all := now >= c.nextSweep
 	if all {
-		c.nextAll = now + allEvery
+		c.nextSweep = now + groupSweepInterval
 	}
 	var due []string
 	for n, g := range c.groups {
-		if all || g.dirty || now >= g.decider.Due() || g.sealed > g.cleared {
+		if all || g.changed || now >= g.decider.NextStepAt() || g.freezeRevision > g.clearedRevision {
 			due = append(due, n)
 		}
 	}
 	slices.Sort(due)
-	c.sayAll(now)
+	c.reportConvergedTable(now)
 	for _, n := range due {
-		c.groupTick(now, n, c.groups[n])
+		c.tickGroup(now, n, c.groups[n])
 	}
 }
 
-func (c *Core) groupTick(now int64, n string, g *group) {
-	g.dirty = false
-	if number := c.view.Membership().Number; g.ranked != number || len(g.order) != len(c.view.Voters()) {
-		g.ranked = number
-		g.order = step.Rank("change/"+n, c.view.Voters())
+func (c *Core) tickGroup(now int64, n string, g *group) {
+	g.changed = false
+	if number := c.learner.Membership().Number; g.successorsMembership != number || len(g.successors) != len(c.learner.Voters()) {
+		g.successorsMembership = number
+		g.successors = step.Rank("change/"+n, c.learner.Voters())
 	}
 	k := voterview.LeaderPrefix + n
-	v, ok := c.view.Agreed(k)
+	v, ok := c.learner.Committed(k)
 	l := &schema.Leadership{}
 	if ok {
-		l = voterview.Leadership(v)
+		l = voterview.DecodeLeadership(v)
 	}
-	if g.sealed > g.cleared && c.clearedHere(now, n, g) {
-		g.cleared = g.sealed
-		if g.told < g.cleared {
-			c.view.Want()
+	if g.freezeRevision > g.clearedRevision && c.clearedHere(now, n, g) {
+		g.clearedRevision = g.freezeRevision
+		if g.reportedCleared < g.clearedRevision {
+			c.learner.RequestPoll()
 		}
 	}
-	i := slices.IndexFunc(c.table.Groups, func(t ports.Group) bool { return t.Name == n })
+	i := slices.IndexFunc(c.routingTable.Groups, func(t ports.Group) bool { return t.Name == n })
 	if i < 0 {
 		return
 	}
-	in := switchover.Input{Group: n, Sync: c.table.Groups[i].Sync, State: l, Rev: v.Revision, Settled: !c.view.Doubt(k), Duty: c.duty(now, n, l)}
-	acts := g.decider.Acts(now, in)
-	if g.rev != v.Revision {
-		g.rev = v.Revision
+	in := switchover.Input{Group: n, RequiredReplicaAcks: c.routingTable.Groups[i].RequiredReplicaAcks, State: l, Revision: v.Revision, UpToDate: !c.learner.Unconfirmed(k), Role: c.singletonRole(now, n, l)}
+	acts := g.decider.CanAct(now, in)
+	if g.seenRevision != v.Revision {
+		g.seenRevision = v.Revision
 		if acts {
-			c.view.Want() // a majority is to be met after the change
+			c.learner.RequestPoll() // a majority is to be met after the change
 		}
 	}
 	if acts {
-		c.sum(now, n, k, g, l, &in)
-		c.wanted(n, &in)
+		c.collectInput(now, n, k, g, l, &in)
+		c.addRequestedMove(n, &in)
 	}
 	fx := g.decider.Step(now, in)
 	if acts {
-		c.moveTick(now, n, g, in)
+		c.tickMove(now, n, g, in)
 	}
 	for _, e := range fx {
 		switch e := e.(type) {
-		case switchover.Ask:
-			c.fx.Do = append(c.fx.Do, Ask{Group: n, Ask: e})
+		case switchover.DatabaseCall:
+			c.effects.Do = append(c.effects.Do, DatabaseCall{Group: n, Call: e})
 		case switchover.Promote:
-			c.fx.Do = append(c.fx.Do, Promote{Group: n, Promote: e})
-		case switchover.Say:
-			c.say(e.Code, "%s", e.Text)
-		case switchover.PutMembers:
-			b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&schema.Members{Ids: e.IDs})
+			c.effects.Do = append(c.effects.Do, Promote{Group: n, Promote: e})
+		case switchover.LogEntry:
+			c.logf(e.Code, "%s", e.Message)
+		case switchover.ProposeMembers:
+			b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&schema.GroupMembers{DatabaseIds: e.IDs})
 			if err != nil {
 				panic(err)
 			}
-			c.ask(now, paxos.Change{Name: c.name(), Key: voterview.MembersPrefix + n, Base: e.Base, Data: b, Deadline: now + changeExpiry}, func(int64, paxos.Outcome) {
-				g.decider.MembersDone()
-				g.dirty = true
+			c.propose(now, paxos.Change{ID: c.proposalName(), Key: voterview.MembersPrefix + n, BaseRevision: e.BaseRevision, Data: b, Deadline: now + changeTimeout}, func(int64, paxos.Outcome) {
+				g.decider.MembersProposalDone()
+				g.changed = true
 			})
-		case switchover.Put:
-			c.ask(now, paxos.Change{Name: c.name(), Key: k, Base: e.Base, Data: e.Data, Deadline: now + changeExpiry}, func(int64, paxos.Outcome) {
-				g.decider.PutDone()
-				g.dirty = true
+		case switchover.ProposeState:
+			c.propose(now, paxos.Change{ID: c.proposalName(), Key: k, BaseRevision: e.BaseRevision, Data: e.Data, Deadline: now + changeTimeout}, func(int64, paxos.Outcome) {
+				g.decider.StateProposalDone()
+				g.changed = true
 			})
 		}
 	}
 }
 
-// sum brings what databases and nodes said lately into a decider's input.
-func (c *Core) sum(now int64, n, k string, g *group, l *schema.Leadership, in *switchover.Input) {
-	in.Heard, in.Gone, in.Sights = map[string]int64{}, map[string]bool{}, map[string]switchover.Sight{}
-	for _, id := range slices.Sorted(maps.Keys(g.insts)) {
-		if i := g.insts[id]; i.Gone {
+// collectInput brings what databases and nodes said lately into a decider's input.
+func (c *Core) collectInput(now int64, n, k string, g *group, l *schema.Leadership, in *switchover.Input) {
+	in.LastAnnounced, in.Gone, in.HealthReports = map[string]int64{}, map[string]bool{}, map[string]switchover.HealthReport{}
+	for _, id := range slices.Sorted(maps.Keys(g.databases)) {
+		if i := g.databases[id]; i.Gone {
 			in.Gone[id] = true
 		} else {
 			in.Instances = append(in.Instances, i)
-			in.Heard[id] = now - c.insts.AgeUs(now, voterview.DatabasePrefix+id)
+			in.LastAnnounced[id] = now - c.databases.AgeUs(now, voterview.DatabasePrefix+id)
 		}
 	}
-	in.Complete = c.hearsAll(now)
-	if v, ok := c.view.Agreed(voterview.MembersPrefix + n); ok {
-		m := &schema.Members{}
+	in.InventoryComplete = c.heardAllDatabases(now)
+	if v, ok := c.learner.Committed(voterview.MembersPrefix + n); ok {
+		m := &schema.GroupMembers{}
 		if proto.Unmarshal(v.Data, m) == nil {
-			in.Members, in.MembersRev = m.Ids, v.Revision
+			in.Members, in.MembersRevision = m.DatabaseIds, v.Revision
 		}
 	}
-	in.Quiet, in.Told = true, true
-	for _, f := range c.follow {
-		if f.kind != "pool" || now-f.at > followFor {
+	in.Idle, in.AllNotified = true, true
+	for _, f := range c.pollers {
+		if f.kind != "pool" || now-f.lastPoll > pollerTimeout {
 			continue
 		}
-		in.Nodes++
-		for _, s := range f.sights {
-			if now-f.at > ownerSilent {
+		in.ReportingNodes++
+		for _, s := range f.healthReports {
+			if now-f.lastPoll > ownerTimeout {
 				continue
 			}
-			w := in.Sights[s.Id]
-			w.Nodes++
-			if s.Cut {
-				w.Cut++
+			w := in.HealthReports[s.DatabaseId]
+			w.UnreachableFrom++
+			if s.Disconnected {
+				w.DisconnectedFrom++
 			}
-			w.FailingUs = max(w.FailingUs, s.FailingUs+now-f.at)
-			in.Sights[s.Id] = w
+			w.LongestFailingUs = max(w.LongestFailingUs, s.FailingUs+now-f.lastPoll)
+			in.HealthReports[s.DatabaseId] = w
 		}
-		w := f.words[n]
-		in.Quiet = in.Quiet && w.GetQuiet() && w.GetRevision() >= in.Rev
-		in.Told = in.Told && w.GetRevision() >= l.SealRev
-		if p := (ports.Position{Term: w.GetAckedTerm(), Number: w.GetAckedNumber()}); in.Acked.Before(p) {
-			in.Acked = p
+		w := f.groupStatuses[n]
+		in.Idle = in.Idle && w.GetIdle() && w.GetRevision() >= in.Revision
+		in.AllNotified = in.AllNotified && w.GetRevision() >= l.FreezeRevision
+		if p := (ports.Position{Term: w.GetAckedTerm(), Number: w.GetAckedNumber()}); in.Acknowledged.Before(p) {
+			in.Acknowledged = p
 		}
 	}
-	in.Cleared = c.cleared(now, n, g, l.SealRev)
+	in.NoOlderRevisionInUse = c.cleared(now, n, g, l.FreezeRevision)
 }
