--- a/coordinator/learners_test.go
+++ b/coordinator/learners_test.go
@@ -16,69 +16,69 @@
 	"stoneford/voterview"
 )
 
-// troubleSeeds is how many seeds run of the schedules with several troubles.
-const troubleSeeds = max(8/slower, 2)
+// faultSeeds is how many seeds run of the schedules with several troubles.
+const faultSeeds = max(8/slower, 2)
 
-// learner is a process that learns what the voters agreed and does not vote, as a
+// testLearner is a process that learns what the voters agreed and does not vote, as a
 // pool node does.
-type learner struct {
-	at   string
-	view *voterview.View
-	// untold has what voters know to be agreed not reach it: a fault that is planted.
-	untold bool
+type testLearner struct {
+	address string
+	learner *voterview.Learner
+	// commitsUnreported has what voters know to be agreed not reach it: a fault that is planted.
+	commitsUnreported bool
 }
 
 // attachLearner starts a learner on a cluster's network.
-func (c *cluster) attachLearner(at string) *learner {
-	l := &learner{at: at}
-	take := c.n.Take
-	c.n.Take = func(to string, e *schema.Envelope) {
-		if to != l.at {
+func (c *cluster) attachLearner(at string) *testLearner {
+	l := &testLearner{address: at}
+	take := c.network.Receive
+	c.network.Receive = func(to string, e *schema.Envelope) {
+		if to != l.address {
 			take(to, e)
-		} else if r := e.GetLookReturn(); r != nil {
-			if l.untold {
-				r.Chosen = nil
+		} else if r := e.GetPollResponse(); r != nil {
+			if l.commitsUnreported {
+				r.Committed = nil
 			}
-			l.view.Step(c.w.Now, e.From, r)
+			l.learner.Step(c.environment.Now, e.From, r)
 		}
 	}
 	l.restart(c)
 	var tick func()
 	tick = func() {
-		for _, s := range l.view.Tick(c.w.Now, func() voterview.Report { return voterview.Report{Table: l.revision()} }) {
-			c.n.Send(l.at, s)
+		for _, s := range l.learner.Tick(c.environment.Now, func() voterview.Report { return voterview.Report{TableRevision: l.revision()} }) {
+			c.network.Send(l.address, s)
 		}
-		c.w.After(10_000, tick)
+		c.environment.After(10_000, tick)
 	}
 	tick()
 	return l
 }
 
 // restart has the learner forget everything.
-func (l *learner) restart(c *cluster) {
-	l.view = voterview.New(l.at, c.order[:3], "z", "node", "pool", c.w.R.Uint64())
+func (l *testLearner) restart(c *cluster) {
+	l.learner = voterview.New(l.address, c.order[:3], "z", "node", "pool", c.environment.Random.Uint64())
 }
 
 // revision is the register's revision of the routing table that the learner knows.
-func (l *learner) revision() uint64 {
-	known, _ := l.view.Agreed(voterview.TableKey)
+func (l *testLearner) revision() uint64 {
+	known, _ := l.learner.Committed(voterview.TableKey)
 	return known.Revision
 }
 
 // leased reports whether the learner holds a lease.
-func (l *learner) leased(now int64) bool { return now < l.view.LeaseUntil() }
+func (l *testLearner) leased(now int64) bool { return now < l.learner.LeaseUntil() }
 
-// cutOff cuts a process off from others in both directions, or mends that.
-func (c *cluster) cutOff(a string, broken bool, others ...string) {
+// partition cuts a process off from others in both directions, or mends that.
+func (c *cluster) partition(a string, broken bool, others ...string) {
 	for _, o := range others {
-		c.n.Cut(a, o, broken)
-		c.n.Cut(o, a, broken)
+		c.network.SetPartition(a, o, broken)
+		c.network.SetPartition(o, a, broken)
 	}
 }
 
 // formedCluster is a cluster of so many control processes that bear the loss of two,
 // with the first routing table taken.
-func formedCluster(t *testing.T, seed uint64, processes int) (*cluster, *callers) {
+func formedCluster(t *testing.T, seed uint64, processes int) (*cluster, *testCallers) {
 	t.Helper()
 	c := newCluster(t, seed, processes, 3, 2)
 	k := newCallers(c)
@@ -89,7 +89,7 @@
 	if c.formed() != 5 {
 		t.Fatalf("seed %d: %d voters of 5 formed", seed, c.formed())
 	}
-	if o := k.take(tableOrder(0, 1, "first"), c.order...); o != ports.Agreed {
+	if o := k.changeUntilDecided(tableChange(0, 1, "first"), c.order...); o != ports.Committed {
 		t.Fatalf("seed %d: the first order ended as %d", seed, o)
 	}
 	k.run(1_000_000)
@@ -99,32 +99,32 @@
 // missedRevision has a revision accepted by three voters of five while the other two
 // and a learner are cut off, and one of the three lost before the cut ends. A majority
 // is there and has agreed; it returns the learner 5 s later.
-func missedRevision(t *testing.T, seed uint64, untold bool) (*learner, int64) {
+func missedRevision(t *testing.T, seed uint64, untold bool) (*testLearner, int64) {
 	t.Helper()
 	c, k := formedCluster(t, seed, 5)
 	l := c.attachLearner("10.0.9.9:7441")
-	l.untold = untold
+	l.commitsUnreported = untold
 	k.run(1_000_000)
-	if l.revision() == 0 || !l.leased(c.w.Now) {
+	if l.revision() == 0 || !l.leased(c.environment.Now) {
 		t.Fatalf("seed %d: the learner did not begin", seed)
 	}
 	accepting, away := c.order[:3], c.order[3:]
 	for _, a := range away {
-		c.cutOff(a, true, accepting...)
-		c.cutOff(l.at, true, accepting...)
+		c.partition(a, true, accepting...)
+		c.partition(l.address, true, accepting...)
 	}
-	if o := k.take(tableOrder(1, 2, "second"), accepting[0]); o != ports.Agreed {
+	if o := k.changeUntilDecided(tableChange(1, 2, "second"), accepting[0]); o != ports.Committed {
 		t.Fatalf("seed %d: the second order ended as %d", seed, o)
 	}
 	// Those that were away hear of it before the cut is over for the learner.
 	for _, a := range away {
-		c.cutOff(a, false, accepting...)
+		c.partition(a, false, accepting...)
 	}
 	k.run(300_000)
 	c.kill(accepting[2], false)
-	c.cutOff(l.at, false, accepting...)
+	c.partition(l.address, false, accepting...)
 	k.run(5_000_000)
-	return l, c.w.Now
+	return l, c.environment.Now
 }
 
 // TestALearnerLearnsWhatItMissed: the learner has to learn what the voters agreed,
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestPlantedDecisionsUntold: where nobody tells it what was agreed, it stays behind.
-func TestPlantedDecisionsUntold(t *testing.T) {
+// TestMutationCommittedValuesUnreported: where nobody tells it what was agreed, it stays behind.
+func TestMutationCommittedValuesUnreported(t *testing.T) {
 	for seed := range uint64(6) {
 		if l, now := missedRevision(t, seed, true); l.revision() != 1 || l.leased(now) {
 			t.Errorf("seed %d: the learner knows revision %d", seed, l.revision())
@@ -146,30 +146,30 @@
 	}
 }
 
-// TestLearnersLearnUnderTroubles: orders come one after the other while control
+// TestLearnersLearnUnderFaults: orders come one after the other while control
 // processes are killed, cut off and lose their disks, two troubles at a time, and
 // learners start anew. Once a majority has been calm for as long as processes are
 // given, each learner knows the newest order that was taken and holds a lease.
-func TestLearnersLearnUnderTroubles(t *testing.T) {
+func TestLearnersLearnUnderFaults(t *testing.T) {
 	const calm = 4_000_000
-	for seed := range uint64(troubleSeeds) {
+	for seed := range uint64(faultSeeds) {
 		c, k := formedCluster(t, seed, 5+int(seed%2))
-		var learners []*learner
+		var learners []*testLearner
 		for i := range 4 {
 			learners = append(learners, c.attachLearner(fmt.Sprintf("10.0.9.%d:7441", i+1)))
 		}
 		taken := uint64(1)
 		for range 2 {
-			taken = troubled(c, k, learners, taken)
+			taken = underFaults(c, k, learners, taken)
 			k.run(calm)
 			for _, l := range learners {
-				known, _ := l.view.Agreed(voterview.TableKey)
-				if held := c.decoded(known.Data); held.Revision < taken || !l.leased(c.w.Now) {
-					t.Errorf("seed %d: %s works by revision %d after %d ms of calm, holds a lease: %t; %d was taken", seed, l.at, held.Revision, calm/1000, l.leased(c.w.Now), taken)
+				known, _ := l.learner.Committed(voterview.TableKey)
+				if held := c.decoded(known.Data); held.Revision < taken || !l.leased(c.environment.Now) {
+					t.Errorf("seed %d: %s works by revision %d after %d ms of calm, holds a lease: %t; %d was taken", seed, l.address, held.Revision, calm/1000, l.leased(c.environment.Now), taken)
 				}
 			}
 			for _, a := range c.order {
-				if !c.ms[a].up {
+				if !c.members[a].up {
 					c.start(a)
 				}
 			}
@@ -178,34 +178,34 @@
 	}
 }
 
-// troubled sends orders while two control processes are cut off, loses a third one
+// underFaults sends orders while two control processes are cut off, loses a third one
 // about when the cut ends, and has learners start anew at any moment. The one that
 // was lost stays dead. It returns the newest revision taken.
-func troubled(c *cluster, k *callers, learners []*learner, taken uint64) uint64 {
-	r := c.w.R
+func underFaults(c *cluster, k *testCallers, learners []*testLearner, taken uint64) uint64 {
+	r := c.environment.Random
 	hit := slices.Clone(c.order)
 	r.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
 	cut, dies, others := hit[:2], hit[2], hit[2:]
-	began := c.w.Now
-	ends := began + c.w.Between(1_000_000, 2_500_000)
+	began := c.environment.Now
+	ends := began + c.environment.Between(1_000_000, 2_500_000)
 	for _, a := range cut {
-		c.w.After(c.w.Between(0, 300_000), func() { c.cutOff(a, true, others...) })
-		c.w.After(ends-began, func() { c.cutOff(a, false, others...) })
+		c.environment.After(c.environment.Between(0, 300_000), func() { c.partition(a, true, others...) })
+		c.environment.After(ends-began, func() { c.partition(a, false, others...) })
 	}
-	c.w.After(ends-began+c.w.Between(-200_000, 400_000), func() { c.kill(dies, false) })
+	c.environment.After(ends-began+c.environment.Between(-200_000, 400_000), func() { c.kill(dies, false) })
 	for _, l := range learners {
 		if r.IntN(2) == 0 {
-			c.w.After(c.w.Between(0, 4_000_000), func() { l.restart(c) })
+			c.environment.After(c.environment.Between(0, 4_000_000), func() { l.restart(c) })
 		}
 	}
-	for c.w.Now < ends {
+	for c.environment.Now < ends {
 		revision := taken + 1
-		if k.take(tableOrder(taken, revision, "under troubles"), others...) == ports.Agreed {
+		if k.changeUntilDecided(tableChange(taken, revision, "under troubles"), others...) == ports.Committed {
 			taken = revision
 		}
-		k.run(c.w.Between(1_000, 400_000))
+		k.run(c.environment.Between(1_000, 400_000))
 	}
-	k.run(max(ends+500_000-c.w.Now, 0))
+	k.run(max(ends+500_000-c.environment.Now, 0))
 	return taken
 }
 
@@ -219,43 +219,43 @@
 	return t
 }
 
-// slowWay has what a cluster sends to a learner come over a way of so many bytes a
+// slowLink has what a cluster sends to a learner come over a way of so many bytes a
 // second, in order, behind what is on it already.
-func (c *cluster) slowWay(l *learner, bytesPerSecond int64) (sent *int64) {
+func (c *cluster) slowLink(l *testLearner, bytesPerSecond int64) (sent *int64) {
 	sent = new(int64)
 	free := int64(0)
-	take := c.n.Take
-	c.n.Take = func(to string, e *schema.Envelope) {
-		if to != l.at {
+	take := c.network.Receive
+	c.network.Receive = func(to string, e *schema.Envelope) {
+		if to != l.address {
 			take(to, e)
 			return
 		}
 		n := int64(proto.Size(e))
 		*sent += n
-		free = max(free, c.w.Now) + n*1_000_000/bytesPerSecond
-		c.w.After(free-c.w.Now, func() { take(to, e) })
+		free = max(free, c.environment.Now) + n*1_000_000/bytesPerSecond
+		c.environment.After(free-c.environment.Now, func() { take(to, e) })
 	}
 	return sent
 }
 
 // largeTable is a first order with so many routes, none of which packs well.
 func (c *cluster) largeTable(routes int) ports.TableChange {
-	order := tableOrder(0, 1, "large")
+	order := tableChange(0, 1, "large")
 	for i := range routes {
 		source := make([]byte, 40)
 		for j := range source {
-			source[j] = byte(c.w.R.Uint32())
+			source[j] = byte(c.environment.Random.Uint32())
 		}
 		name := fmt.Sprint("route-", i)
-		order.Routes = append(order.Routes, ports.Route{Name: name, Host: name, Prefix: "/", Group: "g", ExpiryUs: 800_000, Source: source})
+		order.Routes = append(order.Routes, ports.Route{Name: name, Host: name, Prefix: "/", Group: "g", TimeoutUs: 800_000, Source: source})
 	}
 	return order
 }
 
-// TestALearnerOnASlowWayStartsInAStorm: a learner behind 2 Mbit/s starts anew while
+// TestALearnerOnASlowLinkStartsInAStorm: a learner behind 2 Mbit/s starts anew while
 // changes come five times a second and the control processes hold 60 registers more and
 // know of 90 databases. It is never further behind than a part of what a change may take, and holds a lease.
-func TestALearnerOnASlowWayStartsInAStorm(t *testing.T) {
+func TestALearnerOnASlowLinkStartsInAStorm(t *testing.T) {
 	const (
 		behindMost = 2_000_000
 		startsIn   = 2_500_000
@@ -267,16 +267,16 @@
 		c.start(a)
 	}
 	k.run(8_000_000)
-	if o := k.take(c.largeTable(160), c.order...); o != ports.Agreed {
+	if o := k.changeUntilDecided(c.largeTable(160), c.order...); o != ports.Committed {
 		t.Fatalf("the first order ended as %d", o)
 	}
 	for i := range 90 {
-		id := fmt.Sprintf("i-%010x", c.w.R.Uint32())
-		k.announce(c.order[i%5], ports.Instance{ID: id, Group: fmt.Sprint("group-", i/3), Address: fmt.Sprintf("10.1.%d.%d:8080", i, i), Zone: "zone-of-it", Capacity: 4, Call: 1, Primary: i%3 == 0})
+		id := fmt.Sprintf("i-%010x", c.environment.Random.Uint32())
+		k.announce(c.order[i%5], ports.Instance{ID: id, Group: fmt.Sprint("group-", i/3), Address: fmt.Sprintf("10.1.%d.%d:8080", i, i), Zone: "zone-of-it", Capacity: 4, AnnouncementNumber: 1, Primary: i%3 == 0})
 	}
 	for i := range 60 {
 		key, data := fmt.Sprintf("members/group-%02d", i), strings.Repeat("member-", 10)
-		if v := c.change(c.order[i%5], key, fmt.Sprint(data, i)); v != paxos.Agreed {
+		if v := c.change(c.order[i%5], key, fmt.Sprint(data, i)); v != paxos.Committed {
 			t.Fatalf("%s ended as %d", key, v)
 		}
 	}
@@ -285,28 +285,28 @@
 	// What a node has its looks leave at once for: commits that wait for a lease.
 	var wants func()
 	wants = func() {
-		if !l.leased(c.w.Now) {
-			l.view.Want()
+		if !l.leased(c.environment.Now) {
+			l.learner.RequestPoll()
 		}
-		c.w.After(100_000, wants)
+		c.environment.After(100_000, wants)
 	}
 	wants()
-	sent := c.slowWay(l, rate)
-	storm := stormSeen{at: map[uint64]int64{1: c.w.Now}}
-	taken, started := uint64(1), c.w.Now
+	sent := c.slowLink(l, rate)
+	storm := stormFigures{at: map[uint64]int64{1: c.environment.Now}}
+	taken, started := uint64(1), c.environment.Now
 	for n := range 100 {
 		if n == 20 {
 			l.restart(c)
-			started = c.w.Now
+			started = c.environment.Now
 		}
-		if k.take(tableOrder(taken, taken+1, "storm"), c.order[n%5]) == ports.Agreed {
+		if k.changeUntilDecided(tableChange(taken, taken+1, "storm"), c.order[n%5]) == ports.Committed {
 			taken++
-			storm.at[taken] = c.w.Now
+			storm.at[taken] = c.environment.Now
 		}
 		for range 10 {
 			k.run(20_000)
-			if c.w.Now-started >= startsIn {
-				storm.look(c, l, 20_000)
+			if c.environment.Now-started >= startsIn {
+				storm.observe(c, l, 20_000)
 			}
 		}
 	}
@@ -316,45 +316,45 @@
 	}
 }
 
-// stormSeen is how a learner fares in a storm of changes.
-type stormSeen struct {
+// stormFigures is how a learner fares in a storm of changes.
+type stormFigures struct {
 	at        map[uint64]int64 // when each revision was acknowledged
 	behind    int64            // for how long, at the most, a newer one was there
 	leaseless int64            // how long it had no lease
 }
 
-// look takes a learner's state down, each so many microseconds.
-func (s *stormSeen) look(c *cluster, l *learner, every int64) {
-	known, _ := l.view.Agreed(voterview.TableKey)
+// observe takes a learner's state down, each so many microseconds.
+func (s *stormFigures) observe(c *cluster, l *testLearner, every int64) {
+	known, _ := l.learner.Committed(voterview.TableKey)
 	if next, ok := s.at[c.decoded(known.Data).Revision+1]; ok {
-		s.behind = max(s.behind, c.w.Now-next)
+		s.behind = max(s.behind, c.environment.Now-next)
 	}
-	if !l.leased(c.w.Now) {
+	if !l.leased(c.environment.Now) {
 		s.leaseless += every
 	}
 }
 
-// TestWhoAsksForTheVotersIsToldNoMore: a learner that has no lease asks processes that
+// TestVotersOnlyPollReturnsOnlyTheMembership: a learner that has no lease asks processes that
 // do not vote who the voters are, again and again. They send it that and not all that
 // they know.
-func TestWhoAsksForTheVotersIsToldNoMore(t *testing.T) {
+func TestVotersOnlyPollReturnsOnlyTheMembership(t *testing.T) {
 	c, k := formedCluster(t, 5, 6)
-	i := slices.IndexFunc(c.order, func(a string) bool { return !c.ms[a].core.votes() })
+	i := slices.IndexFunc(c.order, func(a string) bool { return !c.members[a].core.isVoting() })
 	spare := c.order[i]
 	for i := range 60 {
-		k.announce(c.order[(i+1)%6], ports.Instance{ID: fmt.Sprint("i-", i), Group: "g", Address: "10.1.1.1:8080", Zone: "z", Call: 1})
+		k.announce(c.order[(i+1)%6], ports.Instance{ID: fmt.Sprint("i-", i), Group: "g", Address: "10.1.1.1:8080", Zone: "z", AnnouncementNumber: 1})
 	}
 	k.run(6_000_000)
-	l := &learner{at: "10.0.9.9:7441"}
+	l := &testLearner{address: "10.0.9.9:7441"}
 	largest := 0
-	take := c.n.Take
-	c.n.Take = func(to string, e *schema.Envelope) {
-		if to == l.at && e.From == spare {
+	take := c.network.Receive
+	c.network.Receive = func(to string, e *schema.Envelope) {
+		if to == l.address && e.From == spare {
 			largest = max(largest, proto.Size(e))
 		}
 		take(to, e)
 	}
-	c.n.Send(l.at, step.Send{To: spare, Env: &schema.Envelope{From: l.at, Body: &schema.Envelope_Look{Look: &schema.Look{Number: 1, Kind: "pool", Run: 7, VotersOnly: true}}}})
+	c.network.Send(l.address, step.Send{To: spare, Envelope: &schema.Envelope{From: l.address, Body: &schema.Envelope_Poll{Poll: &schema.Poll{Number: 1, Kind: "pool", Run: 7, VotersOnly: true}}}})
 	k.run(500_000)
 	if largest == 0 || largest > 1_000 {
 		t.Errorf("it was returned %d bytes", largest)
--- a/coordinator/membership_test.go
+++ b/coordinator/membership_test.go
@@ -11,25 +11,25 @@
 
 // add has one more machine, with an empty disk, that is told these seeds.
 func (c *cluster) add(number int, lost int, seeds []string) string {
-	b := ports.Boot{Name: fmt.Sprint("m", number), IP: fmt.Sprintf("10.0.0.%d", number), PortFirst: 7440, Seeds: seeds, QuorumMember: true,
-		LostAtOnce: ports.Tolerance{Machines: lost}, Zone: "z"}
-	a := b.ControlNode()
+	b := ports.ProcessConfig{Name: fmt.Sprint("m", number), IP: fmt.Sprintf("10.0.0.%d", number), PortFirst: 7440, Seeds: seeds, QuorumMember: true,
+		Tolerance: ports.Tolerance{Machines: lost}, Zone: "z"}
+	a := b.ControlNodeAddress()
 	c.order = append(c.order, a)
-	c.ms[a] = &member{boot: b}
+	c.members[a] = &member{boot: b}
 	c.start(a)
 	return a
 }
 
 // leave stops a process in order; it ends when it may, or when its time is over.
 func (c *cluster) leave(a string) int64 {
-	began := c.w.Now
+	began := c.environment.Now
 	c.step(a, Stop{})
-	c.run(leaveWait)
-	for c.w.Now-began < 5_300_000 && !c.ms[a].core.MayEnd(c.w.Now) {
+	c.run(minDrainDuration)
+	for c.environment.Now-began < 5_300_000 && !c.members[a].core.MayStop(c.environment.Now) {
 		c.run(50_000)
 	}
 	c.kill(a, true)
-	return c.w.Now - began
+	return c.environment.Now - began
 }
 
 // voters are the addresses that all running processes take for the voters.
@@ -37,11 +37,11 @@
 	t.Helper()
 	var want []string
 	for _, a := range c.order {
-		m := c.ms[a]
+		m := c.members[a]
 		if !m.up {
 			continue
 		}
-		got := m.core.view.Membership().Addresses()
+		got := m.core.learner.Membership().Addresses()
 		if want == nil {
 			want = got
 		}
@@ -52,15 +52,15 @@
 	return want
 }
 
-// settled has all voters vote.
-func (c *cluster) settled(t *testing.T, size int) []string {
+// upToDate has all voters vote.
+func (c *cluster) upToDate(t *testing.T, size int) []string {
 	t.Helper()
 	vs := c.voters(t)
 	if len(vs) != size {
 		t.Fatalf("%d voters: %v", len(vs), vs)
 	}
 	for _, a := range vs {
-		if m := c.ms[a]; !m.up || !m.core.votes() {
+		if m := c.members[a]; !m.up || !m.core.isVoting() {
 			t.Fatalf("%s is a voter and does not vote; up %t", a, m.up)
 		}
 	}
@@ -70,7 +70,7 @@
 // agree has a change agreed through a process.
 func (c *cluster) agree(t *testing.T, a, data string) {
 	t.Helper()
-	if v := c.change(a, "x", data); v != paxos.Agreed {
+	if v := c.change(a, "x", data); v != paxos.Committed {
 		t.Fatalf("a change through %s ended as %d", a, v)
 	}
 }
@@ -85,7 +85,7 @@
 func startCluster(t *testing.T, seed uint64, n, seeds, lost int) *cluster {
 	t.Helper()
 	c := newCluster(t, seed, n, seeds, lost)
-	c.n.Drop, c.n.Double = 0.02, 0.02
+	c.network.LossShare, c.network.DuplicateShare = 0.02, 0.02
 	for _, a := range slices.Clone(c.order) {
 		c.start(a)
 	}
@@ -100,29 +100,29 @@
 func TestReplacedUntilNoFounderIsLeft(t *testing.T) {
 	for seed := range uint64(20) {
 		c := startCluster(t, seed, 3, 3, 1)
-		vs := c.settled(t, 3)
+		vs := c.upToDate(t, 3)
 		c.agree(t, vs[0], "first")
 		for i := range 7 {
-			vs = c.settled(t, 3)
-			victim := vs[c.w.R.IntN(3)]
+			vs = c.upToDate(t, 3)
+			victim := vs[c.environment.Random.IntN(3)]
 			if i < 3 {
 				victim = fmt.Sprintf("10.0.0.%d:7440", i+1) // the founders go first
 			}
 			c.kill(victim, true)
 			c.run(1_000_000)
-			live := slices.DeleteFunc(slices.Clone(vs), func(a string) bool { return !c.ms[a].up })
+			live := slices.DeleteFunc(slices.Clone(vs), func(a string) bool { return !c.members[a].up })
 			number := 10 + i
 			if i == 6 {
 				number = 1 // an address used before
 			}
 			a := c.add(number, 1, []string{seedOf(live[0]), seedOf(live[1])})
-			c.run(catchUpUs)
-			vs = c.settled(t, 3)
+			c.run(catchUpDurationUs)
+			vs = c.upToDate(t, 3)
 			if !slices.Contains(vs, a) {
 				t.Fatalf("seed %d: %s does not vote: %v", seed, a, vs)
 			}
 			// The next loss comes at once: a disk, and what was agreed is there.
-			lost := vs[c.w.R.IntN(3)]
+			lost := vs[c.environment.Random.IntN(3)]
 			c.kill(lost, true)
 			other := vs[0]
 			if other == lost {
@@ -130,12 +130,12 @@
 			}
 			c.agree(t, other, fmt.Sprint("after ", i))
 			c.start(lost)
-			c.run(catchUpUs)
-			c.settled(t, 3)
+			c.run(catchUpDurationUs)
+			c.upToDate(t, 3)
 			c.reads(t, lost, fmt.Sprint("after ", i))
 		}
 		for i := range 3 {
-			if old := c.ms[fmt.Sprintf("10.0.0.%d:7440", i+1)]; i > 0 && old.up {
+			if old := c.members[fmt.Sprintf("10.0.0.%d:7440", i+1)]; i > 0 && old.up {
 				t.Fatalf("seed %d: founder %d is still there", seed, i+1)
 			}
 		}
@@ -151,18 +151,18 @@
 func TestPlannedReplacement(t *testing.T) {
 	for seed := range uint64(20) {
 		c := startCluster(t, seed, 3, 3, 1)
-		vs := c.settled(t, 3)
+		vs := c.upToDate(t, 3)
 		c.agree(t, vs[0], "before")
-		a := c.add(9, 1, c.ms[vs[0]].boot.Seeds)
+		a := c.add(9, 1, c.members[vs[0]].boot.Seeds)
 		c.run(1_000_000)
-		if got := c.settled(t, 3); slices.Contains(got, a) {
+		if got := c.upToDate(t, 3); slices.Contains(got, a) {
 			t.Fatalf("seed %d: a newcomer votes though nobody is lost: %v", seed, got)
 		}
 		took := c.leave(vs[1])
 		if took > 3_000_000 {
 			t.Errorf("seed %d: it took %d ms to hand a vote over", seed, took/1000)
 		}
-		if got := c.settled(t, 3); !slices.Contains(got, a) {
+		if got := c.upToDate(t, 3); !slices.Contains(got, a) {
 			t.Fatalf("seed %d: %v vote", seed, got)
 		}
 		c.kill(vs[0], true)
@@ -171,86 +171,86 @@
 	}
 }
 
-// TestLeavingWithNobodyToTakeItsPlace: a voter that is restarted in order does not
+// TestDrainingWithNobodyToReplaceIt: a voter that is restarted in order does not
 // wait for a successor that is not there, and votes again as it did.
-func TestLeavingWithNobodyToTakeItsPlace(t *testing.T) {
+func TestDrainingWithNobodyToReplaceIt(t *testing.T) {
 	c := startCluster(t, 3, 3, 3, 1)
-	vs := c.settled(t, 3)
-	number := c.ms[vs[0]].core.view.Membership().Number
+	vs := c.upToDate(t, 3)
+	number := c.members[vs[0]].core.learner.Membership().Number
 	c.step(vs[0], Stop{})
-	c.run(leaveWait)
-	if !c.ms[vs[0]].core.MayEnd(c.w.Now) {
+	c.run(minDrainDuration)
+	if !c.members[vs[0]].core.MayStop(c.environment.Now) {
 		t.Fatal("it waits for nobody")
 	}
 	c.kill(vs[0], false)
 	c.start(vs[0])
 	c.run(2_000_000)
-	if c.settled(t, 3); c.ms[vs[0]].core.view.Membership().Number != number {
+	if c.upToDate(t, 3); c.members[vs[0]].core.learner.Membership().Number != number {
 		t.Fatal("the voters changed")
 	}
 }
 
-// TestNobodyIsReplacedOnAMereCut: where nobody new has come, a voter that is cut
+// TestNobodyIsReplacedOnAPartitionAlone: where nobody new has come, a voter that is cut
 // off for long stays a voter.
-func TestNobodyIsReplacedOnAMereCut(t *testing.T) {
+func TestNobodyIsReplacedOnAPartitionAlone(t *testing.T) {
 	c := startCluster(t, 4, 3, 3, 1)
-	vs := c.settled(t, 3)
-	number := c.ms[vs[0]].core.view.Membership().Number
+	vs := c.upToDate(t, 3)
+	number := c.members[vs[0]].core.learner.Membership().Number
 	for _, o := range vs[1:] {
-		c.n.Cut(vs[0], o, true)
-		c.n.Cut(o, vs[0], true)
+		c.network.SetPartition(vs[0], o, true)
+		c.network.SetPartition(o, vs[0], true)
 	}
 	c.run(20_000_000)
 	c.agree(t, vs[1], "without it")
-	c.n.Mend()
+	c.network.Repair()
 	c.run(2_000_000)
-	if c.settled(t, 3); c.ms[vs[0]].core.view.Membership().Number != number {
+	if c.upToDate(t, 3); c.members[vs[0]].core.learner.Membership().Number != number {
 		t.Fatal("the voters changed")
 	}
 	c.reads(t, vs[0], "without it")
 }
 
-// TestACutOffVoterIsReplaced: a voter that is cut off is replaced by a spare; when
+// TestAPartitionedVoterIsReplaced: a voter that is cut off is replaced by a spare; when
 // it is back it finds itself removed, agrees nothing meanwhile, also together with
 // another process that knows the old voters only, and waits as a candidate.
-func TestACutOffVoterIsReplaced(t *testing.T) {
+func TestAPartitionedVoterIsReplaced(t *testing.T) {
 	for seed := range uint64(10) {
 		c := startCluster(t, seed, 4, 3, 1)
-		vs := c.settled(t, 3)
+		vs := c.upToDate(t, 3)
 		old := vs[0]
 		for _, o := range c.order {
 			if o != old {
-				c.n.Cut(old, o, true)
-				c.n.Cut(o, old, true)
+				c.network.SetPartition(old, o, true)
+				c.network.SetPartition(o, old, true)
 			}
 		}
 		c.run(4_000_000)
 		for _, o := range c.order {
-			if m := c.ms[o]; o != old && (slices.Contains(m.core.view.Voters(), old) || len(m.core.view.Voters()) != 3) {
-				t.Fatalf("seed %d: %s takes %v for the voters", seed, o, m.core.view.Voters())
+			if m := c.members[o]; o != old && (slices.Contains(m.core.learner.Voters(), old) || len(m.core.learner.Voters()) != 3) {
+				t.Fatalf("seed %d: %s takes %v for the voters", seed, o, m.core.learner.Voters())
 			}
 		}
 		c.agree(t, vs[1], "without it")
-		if v := c.change(old, "x", "behind the cut"); v == paxos.Agreed || v == paxos.Lost {
+		if v := c.change(old, "x", "behind the cut"); v == paxos.Committed || v == paxos.Conflict {
 			t.Fatalf("seed %d: behind the cut a change ended as %d", seed, v)
 		}
-		if now := c.w.Now; c.ms[old].core.view.LeaseUntil() > now {
+		if now := c.environment.Now; c.members[old].core.learner.LeaseUntil() > now {
 			t.Fatalf("seed %d: it has a lease behind the cut", seed)
 		}
-		c.n.Mend()
+		c.network.Repair()
 		c.run(2_000_000)
-		if got := c.settled(t, 3); slices.Contains(got, old) {
+		if got := c.upToDate(t, 3); slices.Contains(got, old) {
 			t.Fatalf("seed %d: %v vote", seed, got)
 		}
-		if c.ms[old].core.votes() {
+		if c.members[old].core.isVoting() {
 			t.Fatalf("seed %d: the removed voter votes", seed)
 		}
 		c.reads(t, old, "without it")
 		// It is the spare now.
-		vs = c.settled(t, 3)
+		vs = c.upToDate(t, 3)
 		c.kill(vs[1], true)
-		c.run(catchUpUs)
-		if got := c.settled(t, 3); !slices.Contains(got, old) {
+		c.run(catchUpDurationUs)
+		if got := c.upToDate(t, 3); !slices.Contains(got, old) {
 			t.Fatalf("seed %d: the spare does not vote: %v", seed, got)
 		}
 	}
@@ -260,7 +260,7 @@
 // vote, or of voters that are all cut off but one, finds the voters.
 func TestSeedsThatNameNoVoter(t *testing.T) {
 	c := startCluster(t, 6, 5, 3, 1)
-	vs := c.settled(t, 3)
+	vs := c.upToDate(t, 3)
 	var spares []string
 	for _, a := range c.order {
 		if !slices.Contains(vs, a) {
@@ -269,7 +269,7 @@
 	}
 	a := c.add(20, 1, spares)
 	c.run(2_000_000)
-	c.settled(t, 3)
+	c.upToDate(t, 3)
 	c.agree(t, a, "through it")
 	b := c.add(21, 1, []string{seedOf(vs[0]), "10.9.9.9:8782", "10.9.9.8:8782"})
 	c.run(2_000_000)
@@ -283,24 +283,24 @@
 	middle := 0
 	for seed := range uint64(60) {
 		c := startCluster(t, seed, 3, 3, 1)
-		vs := c.settled(t, 3)
+		vs := c.upToDate(t, 3)
 		c.agree(t, vs[0], "before")
-		gone := vs[c.w.R.IntN(3)]
+		gone := vs[c.environment.Random.IntN(3)]
 		c.kill(gone, true)
 		c.run(1_000_000)
-		a := c.add(9, 1, c.ms[vs[0]].boot.Seeds)
+		a := c.add(9, 1, c.members[vs[0]].boot.Seeds)
 		live := slices.DeleteFunc([]string{vs[0], vs[1], vs[2], a}, func(o string) bool { return o == gone })
 		changing := func() bool {
-			before := c.ms[live[0]].core.voter.Membership().Number
+			before := c.members[live[0]].core.acceptor.Membership().Number
 			return slices.ContainsFunc(live, func(o string) bool {
-				v := c.ms[o].core.voter
-				return v.Sealed() || v.Membership().Number != before || slices.Contains(v.Membership().Addresses(), a) && !c.ms[a].core.votes()
+				v := c.members[o].core.acceptor
+				return v.Sealed() || v.Membership().Number != before || slices.Contains(v.Membership().Addresses(), a) && !c.members[a].core.isVoting()
 			})
 		}
 		for i := 0; i < 1500 && !changing(); i++ {
 			c.run(2_000)
 		}
-		c.run(c.w.Between(0, 12_000))
+		c.run(c.environment.Between(0, 12_000))
 		if changing() {
 			middle++
 		}
@@ -308,10 +308,10 @@
 			c.kill(o, false)
 		}
 		for _, o := range live {
-			c.w.After(c.w.Between(0, 500_000), func() { c.start(o) })
+			c.environment.After(c.environment.Between(0, 500_000), func() { c.start(o) })
 		}
 		c.run(6_000_000)
-		if got := c.settled(t, 3); slices.Contains(got, gone) {
+		if got := c.upToDate(t, 3); slices.Contains(got, gone) {
 			t.Fatalf("seed %d: %v vote", seed, got)
 		}
 		c.reads(t, a, "before")
@@ -322,58 +322,58 @@
 	}
 }
 
-// TestNewVotersVouchForNoOldLease: what the voters of the membership before were
+// TestNewVotersConfirmNoOldLease: what the voters of the membership before were
 // asked is not known to a new one, so it says nothing of leases until they have run
 // out (design 14.4).
-func TestNewVotersVouchForNoOldLease(t *testing.T) {
+func TestNewVotersConfirmNoOldLease(t *testing.T) {
 	c := startCluster(t, 8, 3, 3, 1)
-	vs := c.settled(t, 3)
+	vs := c.upToDate(t, 3)
 	c.kill(vs[0], true)
 	c.run(1_000_000)
-	a := c.add(9, 1, c.ms[vs[1]].boot.Seeds)
+	a := c.add(9, 1, c.members[vs[1]].boot.Seeds)
 	for range 400 {
 		c.run(10_000)
-		if c.ms[a].core.votes() {
+		if c.members[a].core.isVoting() {
 			break
 		}
 	}
-	if !c.ms[a].core.votes() {
+	if !c.members[a].core.isVoting() {
 		t.Fatal("it does not vote")
 	}
 	for _, o := range []string{a, vs[1], vs[2]} {
-		core := c.ms[o].core
+		core := c.members[o].core
 		g := core.group("g")
-		g.sealed, g.at, g.before = 1, c.w.Now, map[string]bool{}
-		if core.votes() && core.clearedHere(c.w.Now, "g", g) {
+		g.freezeRevision, g.freezeAcceptedAt, g.polledBeforeFreeze = 1, c.environment.Now, map[string]bool{}
+		if core.isVoting() && core.clearedHere(c.environment.Now, "g", g) {
 			t.Errorf("%s vouches for leases that it did not see", o)
 		}
-		if at := core.activated + 1_210_000; !core.clearedHere(at, "g", g) {
+		if at := core.activatedAt + 1_210_000; !core.clearedHere(at, "g", g) {
 			t.Errorf("%s does not say so later either", o)
 		}
 	}
 }
 
-// TestADatabaseThatMovesIsPassedOn: a database whose control process is lost
+// TestAnnouncementOfARehomedDatabaseIsForwardedAtOnce: a database whose control process is lost
 // announces itself to another one, which tells the others with the first call: they
 // have counted its silence meanwhile.
-func TestADatabaseThatMovesIsPassedOn(t *testing.T) {
+func TestAnnouncementOfARehomedDatabaseIsForwardedAtOnce(t *testing.T) {
 	c := startCluster(t, 11, 3, 3, 1)
-	c.n.Drop, c.n.Double = 0, 0
-	vs := c.settled(t, 3)
+	c.network.LossShare, c.network.DuplicateShare = 0, 0
+	vs := c.upToDate(t, 3)
 	call := uint64(0)
 	beat := func(a string) {
 		call++
-		c.step(a, Announce{ID: call, Instance: ports.Instance{ID: "db", Group: "g", Address: "10.1.1.1:1", Zone: "z", Primary: true, Call: call}})
+		c.step(a, Announce{ID: call, Instance: ports.Instance{ID: "db", Group: "g", Address: "10.1.1.1:1", Zone: "z", Primary: true, AnnouncementNumber: call}})
 	}
 	for range 6 {
 		beat(vs[0])
-		c.run(defaultBeatUs)
+		c.run(defaultHeartbeatInterval)
 	}
 	c.kill(vs[0], false)
 	c.run(4_000_000)
 	beat(vs[1])
 	c.run(200_000)
-	if age := c.ms[vs[2]].core.insts.AgeUs(c.w.Now, "database/db"); age > 300_000 {
+	if age := c.members[vs[2]].core.databases.AgeUs(c.environment.Now, "database/db"); age > 300_000 {
 		t.Fatalf("another process heard of it %d ms ago", age/1000)
 	}
 }
--- a/coordinator/moves.go
+++ b/coordinator/moves.go
@@ -35,8 +35,8 @@
 	}
 )
 
-// Moved ends a Move or a CancelMove.
-type Moved struct {
+// MoveDone ends a Move or a CancelMove.
+type MoveDone struct {
 	ID     uint64
 	Result MoveResult
 }
@@ -49,39 +49,39 @@
 }
 
 const (
-	mostBehind = 8
-	moveAgain  = 4_000_000 // a change of a move that nobody ended is put again
-	moveWithin = changeExpiry
+	maxLaggingNames   = 8
+	moveRetryInterval = 4_000_000 // a change of a move that nobody ended is put again
+	moveTimeout       = changeTimeout
 )
 
 // moveUnavailable ends what was asked of a move where no majority can be asked.
 var moveUnavailable = MoveResult{Outcome: ports.Unavailable, Problem: "no majority of control processes can be reached now; look at the moves, then ask again"}
 
-// lookedBy notes by which routing table whoever looks works, and what a voter
+// notePollerTable notes by which routing table whoever looks works, and what a voter
 // says of those that look at it.
-func (c *Core) lookedBy(now int64, from string, f *follower, m *schema.Look) {
+func (c *Core) notePollerTable(now int64, from string, f *poller, m *schema.Poll) {
 	t := f.tables[m.Run]
-	f.tables[m.Run] = tableSeen{at: now, revision: max(t.revision, m.Table)}
-	maps.DeleteFunc(f.tables, func(_ uint64, t tableSeen) bool { return now-t.at > 2*voterview.WaitUs })
-	f.behind = m.Behind
-	if m.All > c.all[from] && slices.Contains(c.view.Voters(), from) {
-		c.all[from] = m.All // once true it stays so
-		c.stagedDirty()
+	f.tables[m.Run] = polledTable{polledAt: now, revision: max(t.revision, m.TableRevision)}
+	maps.DeleteFunc(f.tables, func(_ uint64, t polledTable) bool { return now-t.polledAt > 2*voterview.LeaseEndBoundUs })
+	f.lagging = m.Lagging
+	if m.ConvergedTable > c.convergedTables[from] && slices.Contains(c.learner.Voters(), from) {
+		c.convergedTables[from] = m.ConvergedTable // once true it stays so
+		c.markPlacedGroupsChanged()
 	}
 }
 
-// allHere is the newest routing table of which this voter can say: no process
+// convergedTableHere is the newest routing table of which this voter can say: no process
 // has a lease through it while working by an older one, now or later. Whoever
 // looked within the time that a lease may last works by it; and what this voter
 // returns from now on shows that its disk holds it (design 15.3).
-func (c *Core) allHere(now int64) uint64 {
-	if !c.votes() || now-c.began < voterview.WaitUs || c.activated > 0 && now-c.activated < voterview.WaitUs {
+func (c *Core) convergedTableHere(now int64) uint64 {
+	if !c.isVoting() || now-c.startedAt < voterview.LeaseEndBoundUs || c.activatedAt > 0 && now-c.activatedAt < voterview.LeaseEndBoundUs {
 		return 0 // what an earlier run returned is not known
 	}
-	low := min(c.voter.Cell(voterview.TableKey).GetValue().GetRevision(), c.tableRev)
-	for _, f := range c.follow {
+	low := min(c.acceptor.RegisterState(voterview.TableKey).GetValue().GetRevision(), c.tableRevision)
+	for _, f := range c.pollers {
 		for _, t := range f.tables {
-			if now-t.at < voterview.WaitUs {
+			if now-t.polledAt < voterview.LeaseEndBoundUs {
 				low = min(low, t.revision)
 			}
 		}
@@ -89,41 +89,41 @@
 	return low
 }
 
-// sayAll tells the others at once where a move waits for that.
-func (c *Core) sayAll(now int64) {
-	a := c.allHere(now)
-	if a <= c.allTold {
+// reportConvergedTable tells the others at once where a move waits for that.
+func (c *Core) reportConvergedTable(now int64) {
+	a := c.convergedTableHere(now)
+	if a <= c.convergedTable {
 		return
 	}
-	c.allTold = a
-	c.all[c.self] = max(c.all[c.self], a)
-	if c.staged() {
-		c.view.Want()
-		c.stagedDirty()
+	c.convergedTable = a
+	c.convergedTables[c.self] = max(c.convergedTables[c.self], a)
+	if c.anyMoveStaged() {
+		c.learner.RequestPoll()
+		c.markPlacedGroupsChanged()
 	}
 }
 
-// allHold says that every process that has a lease works by a routing table, and
+// majorityConverged says that every process that has a lease works by a routing table, and
 // that no other will have one: a majority of voters says so, and whoever has a
 // lease has it from a majority.
-func (c *Core) allHold(table uint64) bool {
+func (c *Core) majorityConverged(table uint64) bool {
 	k := 0
-	for _, o := range c.view.Voters() {
-		if c.all[o] >= table {
+	for _, o := range c.learner.Voters() {
+		if c.convergedTables[o] >= table {
 			k++
 		}
 	}
-	return k > len(c.view.Voters())/2
+	return k > len(c.learner.Voters())/2
 }
 
-// behind names those that looked here lately and work by an older routing table
+// laggingProcesses names those that looked here lately and work by an older routing table
 // than this process.
-func (c *Core) behind(now int64) []string {
+func (c *Core) laggingProcesses(now int64) []string {
 	var ns []string
-	for _, a := range slices.Sorted(maps.Keys(c.follow)) {
-		f := c.follow[a]
+	for _, a := range slices.Sorted(maps.Keys(c.pollers)) {
+		f := c.pollers[a]
 		for _, t := range f.tables {
-			if now-t.at < voterview.WaitUs && t.revision < c.tableRev && !slices.Contains(ns, f.name) && len(ns) < mostBehind {
+			if now-t.polledAt < voterview.LeaseEndBoundUs && t.revision < c.tableRevision && !slices.Contains(ns, f.name) && len(ns) < maxLaggingNames {
 				ns = append(ns, f.name)
 			}
 		}
@@ -133,7 +133,7 @@
 
 // move is a group's newest move, and its register's revision.
 func (c *Core) move(n string) (*schema.Move, uint64) {
-	v, ok := c.view.Agreed(voterview.MovePrefix + n)
+	v, ok := c.learner.Committed(voterview.MovePrefix + n)
 	m := &schema.Move{}
 	if !ok || proto.Unmarshal(v.Data, m) != nil {
 		return &schema.Move{}, v.Revision
@@ -141,101 +141,103 @@
 	return m, v.Revision
 }
 
-func phaseOf(m *schema.Move) ports.MovePhase { return ports.MovePhase(m.Phase) }
+func movePhase(m *schema.Move) ports.MovePhase { return ports.MovePhase(m.Phase) }
 
-// pends says that a placement's move has not begun: the register is of an
+// isMovePending says that a placement's move has not begun: the register is of an
 // earlier one.
-func pends(p ports.Placement, m *schema.Move) bool { return !p.Back && p.Table > m.Table }
+func isMovePending(p ports.Placement, m *schema.Move) bool {
+	return !p.Reverted && p.TableRevision > m.TableRevision
+}
 
-func (c *Core) staged() bool {
-	return slices.ContainsFunc(c.table.Placements, func(p ports.Placement) bool {
+func (c *Core) anyMoveStaged() bool {
+	return slices.ContainsFunc(c.routingTable.Placements, func(p ports.Placement) bool {
 		m, _ := c.move(p.Group)
-		return pends(p, m) || phaseOf(m) == ports.MoveStaged
+		return isMovePending(p, m) || movePhase(m) == ports.MoveStaged
 	})
 }
 
-func (c *Core) stagedDirty() {
-	for _, p := range c.table.Placements {
-		c.group(p.Group).dirty = true
+func (c *Core) markPlacedGroupsChanged() {
+	for _, p := range c.routingTable.Placements {
+		c.group(p.Group).changed = true
 	}
 }
 
-// at says which zones belong to a site, which is a zone or a region.
-func (c *Core) at(site string) func(zone string) bool {
+// inSite says which zones belong to a site, which is a zone or a region.
+func (c *Core) inSite(site string) func(zone string) bool {
 	return func(zone string) bool {
-		return zone == site || c.boot.Zones[zone] == site || zone == c.boot.Zone && c.boot.Region == site
+		return zone == site || c.config.Zones[zone] == site || zone == c.config.Zone && c.config.Region == site
 	}
 }
 
-// wanted is what the routing table and the move say of a group's primary.
-func (c *Core) wanted(n string, in *switchover.Input) {
-	p, ok := c.table.Placement(n)
+// addRequestedMove is what the routing table and the move say of a group's primary.
+func (c *Core) addRequestedMove(n string, in *switchover.Input) {
+	p, ok := c.routingTable.Placement(n)
 	if !ok {
 		return
 	}
-	in.Move = switchover.Move{At: c.at(p.Site), Site: p.Site}
+	in.Move = switchover.SiteMove{InSite: c.inSite(p.Site), Site: p.Site}
 	m, _ := c.move(n)
-	if c.view.Doubt(voterview.MovePrefix + n) {
+	if c.learner.Unconfirmed(voterview.MovePrefix + n) {
 		return
 	}
-	switch phaseOf(m) {
+	switch movePhase(m) {
 	case ports.MoveStaged:
-		in.Move.Look = m.Table == p.Table && c.allHold(m.Table)
+		in.Move.CheckCandidate = m.TableRevision == p.TableRevision && c.majorityConverged(m.TableRevision)
 	case ports.MoveAgreed:
 		// An operator's next placement waits until this one has ended.
-		in.Move = switchover.Move{At: c.at(m.To), Site: m.To, Table: m.Table, Begin: true}
+		in.Move = switchover.SiteMove{InSite: c.inSite(m.ToSite), Site: m.ToSite, TableRevision: m.TableRevision, Committed: true}
 	}
 }
 
-// moveTick takes a group's move on to its next phase.
-func (c *Core) moveTick(now int64, n string, g *group, in switchover.Input) {
+// tickMove takes a group's move on to its next phase.
+func (c *Core) tickMove(now int64, n string, g *group, in switchover.Input) {
 	k := voterview.MovePrefix + n
-	p, has := c.table.Placement(n)
-	if !has || !in.Settled || c.view.Doubt(k) || g.putting > 0 && now-g.putting < moveAgain {
+	p, has := c.routingTable.Placement(n)
+	if !has || !in.UpToDate || c.learner.Unconfirmed(k) || g.moveProposedAt > 0 && now-g.moveProposedAt < moveRetryInterval {
 		return
 	}
 	m, rev := c.move(n)
-	open := in.Rev > 0 && ports.Phase(in.State.Phase) == ports.PhaseOpen
+	open := in.Revision > 0 && ports.Phase(in.State.Phase) == ports.PhaseServing
 	to := func(ph ports.MovePhase, cause string) {
 		x := proto.Clone(m).(*schema.Move)
 		x.Phase, x.Cause = uint32(ph), cause
-		c.putMove(now, n, g, rev, x)
+		c.proposeMove(now, n, g, rev, x)
 	}
-	switch ph := phaseOf(m); {
+	switch ph := movePhase(m); {
 	case ph == ports.MoveAgreed:
-		i, known := g.insts[in.State.Primary]
-		if !open || in.State.Table < m.Table || !known {
+		i, known := g.databases[in.State.Primary]
+		if !open || in.State.TableRevision < m.TableRevision || !known {
 			return
 		}
-		if c.at(m.To)(i.Zone) {
+		if c.inSite(m.ToSite)(i.Zone) {
 			to(ports.MoveSwitched, in.State.Cause)
 		} else {
 			to(ports.MoveFailed, in.State.Cause)
 		}
-	case pends(p, m):
-		c.putMove(now, n, g, rev, &schema.Move{To: p.Site, From: p.From, Table: p.Table, Phase: uint32(ports.MoveStaged)})
+	case isMovePending(p, m):
+		c.proposeMove(now, n, g, rev, &schema.Move{ToSite: p.Site, FromSite: p.PreviousSite, TableRevision: p.TableRevision, Phase: uint32(ports.MoveStaged)})
 	case ph == ports.MoveStaged:
-		if level, _ := g.decider.Level(); in.Move.Look && open && level && c.allHold(m.Table) {
+		if level, _ := g.decider.MoveCandidate(); in.Move.CheckCandidate && open && level && c.majorityConverged(m.TableRevision) {
 			to(ports.MoveAgreed, "")
 		}
-	case (ph == ports.MoveFailed || ph == ports.MoveCancelled) && p.Table == m.Table && !p.Back:
+	case (ph == ports.MoveFailed || ph == ports.MoveCancelled) && p.TableRevision == m.TableRevision && !p.Reverted:
 		// The table is to say again where the group is.
-		site := m.From
-		if i, ok := g.insts[in.State.GetPrimary()]; ok && !c.at(site)(i.Zone) {
+		site := m.FromSite
+		if i, ok := g.databases[in.State.GetPrimary()]; ok && !c.inSite(site)(i.Zone) {
 			site = i.Zone
 		}
-		g.putting = now
-		c.place(now, c.tableRev, c.table, ports.Placement{Group: n, Site: site, From: p.Site, Back: true}, func(int64, paxos.Outcome) {
-			g.putting, g.dirty = 0, true
+		g.moveProposedAt = now
+		c.proposePlacement(now, c.tableRevision, c.routingTable, ports.Placement{Group: n, Site: site, PreviousSite: p.Site, Reverted: true}, func(int64, paxos.Outcome) {
+			g.moveProposedAt, g.changed = 0, true
 		})
 	}
 }
 
-func (c *Core) putMove(now int64, n string, g *group, base uint64, m *schema.Move) {
-	g.putting = now
-	c.say(result.MoveAdvanced, "%s to %s by table %d: %s %s", n, m.To, m.Table, phaseOf(m), m.Cause)
-	c.ask(now, paxos.Change{Name: c.name(), Key: voterview.MovePrefix + n, Base: base, Data: encodeMove(m), Deadline: now + changeExpiry}, func(int64, paxos.Outcome) {
-		g.putting, g.dirty = 0, true
+func (c *Core) proposeMove(now int64, n string, g *group, base uint64, m *schema.Move) {
+	g.moveProposedAt = now
+	c.logf(result.MoveAdvanced, "%s to %s by table %d: %s %s", n, m.ToSite, m.TableRevision, movePhase(m), m.Cause)
+	c.propose(now, paxos.Change{ID: c.proposalName(), Key: voterview.MovePrefix + n, BaseRevision: base, Data: encodeMove(m), Deadline: now + changeTimeout}, func(int64, paxos.Outcome) {
+		g.moveProposedAt, g.changed = 0, true
 	})
 }
 
@@ -247,34 +249,34 @@
 	return b
 }
 
-// place puts a placement into the routing table that stands at base; its own
+// proposePlacement puts a placement into the routing table that stands at base; its own
 // register revision is the next one.
-func (c *Core) place(now int64, base uint64, t ports.RoutingTable, p ports.Placement, f func(int64, paxos.Outcome)) {
-	p.Table = base + 1
-	c.ask(now, paxos.Change{Name: c.name(), Key: voterview.TableKey, Base: base, Data: routingtable.Encode(routingtable.Place(t, p)), Deadline: now + changeExpiry}, f)
+func (c *Core) proposePlacement(now int64, base uint64, t ports.RoutingTable, p ports.Placement, f func(int64, paxos.Outcome)) {
+	p.TableRevision = base + 1
+	c.propose(now, paxos.Change{ID: c.proposalName(), Key: voterview.TableKey, BaseRevision: base, Data: routingtable.Encode(routingtable.WithPlacement(t, p)), Deadline: now + changeTimeout}, f)
 }
 
-// moveTo puts a group's new site into the newest routing table.
-func (c *Core) moveTo(now int64, e Move) {
-	if !c.admit(now, e.ID, moveWithin, Moved{ID: e.ID, Result: moveUnavailable}) {
+// requestMove puts a group's new site into the newest routing table.
+func (c *Core) requestMove(now int64, e Move) {
+	if !c.admitCall(now, e.ID, moveTimeout, MoveDone{ID: e.ID, Result: moveUnavailable}) {
 		return
 	}
 	ret := func(now int64, o ports.Outcome, table uint64, f string, a ...any) {
-		c.answer(now, e.ID, Moved{ID: e.ID, Result: MoveResult{Outcome: o, Table: table, Problem: fmt.Sprintf(f, a...)}})
+		c.finishCall(now, e.ID, MoveDone{ID: e.ID, Result: MoveResult{Outcome: o, Table: table, Problem: fmt.Sprintf(f, a...)}})
 	}
-	c.bothRead(now, e.Group, func(now int64, t ports.RoutingTable, rev uint64, m *schema.Move, _ uint64, ok bool) {
+	c.readTableAndMove(now, e.Group, func(now int64, t ports.RoutingTable, rev uint64, m *schema.Move, _ uint64, ok bool) {
 		if !ok {
 			ret(now, ports.Unavailable, 0, "no majority of control processes replied")
 			return
 		}
 		p, has := t.Placement(e.Group)
-		at := c.at(e.Site)
+		at := c.inSite(e.Site)
 		zone, some := "", false
 		l := &schema.Leadership{}
-		if v, ok := c.view.Agreed(voterview.LeaderPrefix + e.Group); ok {
-			l = voterview.Leadership(v)
+		if v, ok := c.learner.Committed(voterview.LeaderPrefix + e.Group); ok {
+			l = voterview.DecodeLeadership(v)
 		}
-		for _, i := range c.group(e.Group).insts {
+		for _, i := range c.group(e.Group).databases {
 			some = some || !i.Gone && at(i.Zone)
 			if i.ID == l.Primary {
 				zone = i.Zone
@@ -290,19 +292,19 @@
 		case zone == "":
 			ret(now, ports.Stale, 0, "%s has no primary that is announced", e.Group)
 			return
-		case has && pends(p, m) || phaseOf(m).UnderWay():
-			ret(now, ports.Stale, m.Table, "%s is being moved to %s already", e.Group, p.Site)
+		case has && isMovePending(p, m) || movePhase(m).InProgress():
+			ret(now, ports.Stale, m.TableRevision, "%s is being moved to %s already", e.Group, p.Site)
 			return
 		}
 		from := zone
-		if has && c.at(p.Site)(zone) {
+		if has && c.inSite(p.Site)(zone) {
 			from = p.Site
 		}
-		c.place(now, rev, t, ports.Placement{Group: e.Group, Site: e.Site, From: from}, func(now int64, o paxos.Outcome) {
+		c.proposePlacement(now, rev, t, ports.Placement{Group: e.Group, Site: e.Site, PreviousSite: from}, func(now int64, o paxos.Outcome) {
 			switch o.Verdict {
-			case paxos.Agreed:
-				ret(now, ports.Agreed, rev+1, "")
-			case paxos.Lost:
+			case paxos.Committed:
+				ret(now, ports.Committed, rev+1, "")
+			case paxos.Conflict:
 				ret(now, ports.Stale, 0, "the routing table was changed at the same time; ask again")
 			default:
 				ret(now, ports.Unavailable, 0, "whether it was taken is not known; look at the moves")
@@ -311,18 +313,18 @@
 	})
 }
 
-// bothRead reads the routing table and a group's move through a majority.
-func (c *Core) bothRead(now int64, n string, f func(now int64, t ports.RoutingTable, rev uint64, m *schema.Move, mrev uint64, ok bool)) {
-	c.read(now, voterview.TableKey, func(now int64, o paxos.Outcome) {
+// readTableAndMove reads the routing table and a group's move through a majority.
+func (c *Core) readTableAndMove(now int64, n string, f func(now int64, t ports.RoutingTable, rev uint64, m *schema.Move, mrev uint64, ok bool)) {
+	c.readRegister(now, voterview.TableKey, func(now int64, o paxos.Outcome) {
 		t, err := routingtable.Decode(o.Value.GetData())
-		if o.Verdict != paxos.Agreed || err != nil {
+		if o.Verdict != paxos.Committed || err != nil {
 			f(now, t, 0, nil, 0, false)
 			return
 		}
 		rev := o.Value.GetRevision()
-		c.read(now, voterview.MovePrefix+n, func(now int64, o paxos.Outcome) {
+		c.readRegister(now, voterview.MovePrefix+n, func(now int64, o paxos.Outcome) {
 			m := &schema.Move{}
-			ok := o.Verdict == paxos.Agreed && proto.Unmarshal(o.Value.GetData(), m) == nil
+			ok := o.Verdict == paxos.Committed && proto.Unmarshal(o.Value.GetData(), m) == nil
 			f(now, t, rev, m, o.Value.GetRevision(), ok)
 		})
 	})
@@ -330,34 +332,34 @@
 
 // cancelMove ends a move that is not agreed yet.
 func (c *Core) cancelMove(now int64, e CancelMove) {
-	if !c.admit(now, e.ID, moveWithin, Moved{ID: e.ID, Result: moveUnavailable}) {
+	if !c.admitCall(now, e.ID, moveTimeout, MoveDone{ID: e.ID, Result: moveUnavailable}) {
 		return
 	}
 	ret := func(now int64, o ports.Outcome, table uint64, problem string) {
-		c.answer(now, e.ID, Moved{ID: e.ID, Result: MoveResult{Outcome: o, Table: table, Problem: problem}})
+		c.finishCall(now, e.ID, MoveDone{ID: e.ID, Result: MoveResult{Outcome: o, Table: table, Problem: problem}})
 	}
-	c.bothRead(now, e.Group, func(now int64, t ports.RoutingTable, _ uint64, m *schema.Move, rev uint64, ok bool) {
+	c.readTableAndMove(now, e.Group, func(now int64, t ports.RoutingTable, _ uint64, m *schema.Move, rev uint64, ok bool) {
 		p, has := t.Placement(e.Group)
 		switch {
 		case !ok:
 			ret(now, ports.Unavailable, 0, "no majority of control processes replied")
 			return
-		case has && pends(p, m) && phaseOf(m) != ports.MoveAgreed:
-			m = &schema.Move{To: p.Site, From: p.From, Table: p.Table}
-		case phaseOf(m) == ports.MoveAgreed:
-			ret(now, ports.Stale, m.Table, "all work by the new table: the switch is being carried out")
+		case has && isMovePending(p, m) && movePhase(m) != ports.MoveAgreed:
+			m = &schema.Move{ToSite: p.Site, FromSite: p.PreviousSite, TableRevision: p.TableRevision}
+		case movePhase(m) == ports.MoveAgreed:
+			ret(now, ports.Stale, m.TableRevision, "all work by the new table: the switch is being carried out")
 			return
-		case phaseOf(m) != ports.MoveStaged:
-			ret(now, ports.Stale, m.Table, "no move of it is staged")
+		case movePhase(m) != ports.MoveStaged:
+			ret(now, ports.Stale, m.TableRevision, "no move of it is staged")
 			return
 		}
 		m.Phase, m.Cause = uint32(ports.MoveCancelled), "an operator took it back"
-		c.ask(now, paxos.Change{Name: c.name(), Key: voterview.MovePrefix + e.Group, Base: rev, Data: encodeMove(m), Deadline: now + changeExpiry}, func(now int64, o paxos.Outcome) {
+		c.propose(now, paxos.Change{ID: c.proposalName(), Key: voterview.MovePrefix + e.Group, BaseRevision: rev, Data: encodeMove(m), Deadline: now + changeTimeout}, func(now int64, o paxos.Outcome) {
 			switch o.Verdict {
-			case paxos.Agreed:
-				ret(now, ports.Agreed, m.Table, "")
-			case paxos.Lost:
-				ret(now, ports.Stale, m.Table, "the move went on at the same time; look at the moves")
+			case paxos.Committed:
+				ret(now, ports.Committed, m.TableRevision, "")
+			case paxos.Conflict:
+				ret(now, ports.Stale, m.TableRevision, "the move went on at the same time; look at the moves")
 			default:
 				ret(now, ports.Unavailable, 0, "whether it was taken back is not known; look at the moves")
 			}
@@ -367,84 +369,84 @@
 
 // MoveState is how a group's placement and its newest move stand.
 type MoveState struct {
-	Group   string   `json:"group"`
-	Site    string   `json:"site"` // as the routing table says
-	Phase   string   `json:"phase"`
-	To      string   `json:"to,omitempty"`
-	From    string   `json:"from,omitempty"`
-	Table   uint64   `json:"table,omitempty"` // register revision that all have to work by
-	Cause   string   `json:"cause,omitempty"`
-	Behind  []string `json:"behind,omitempty"` // who works by an older table
-	Waits   string   `json:"waits,omitempty"`  // what a staged move waits for
-	Primary string   `json:"primary,omitempty"`
-	Zone    string   `json:"zone,omitempty"` // of the primary
-	Floor   uint64   `json:"floor,omitempty"`
+	Group         string   `json:"group"`
+	Site          string   `json:"site"` // as the routing table says
+	Phase         string   `json:"phase"`
+	To            string   `json:"to,omitempty"`
+	From          string   `json:"from,omitempty"`
+	Table         uint64   `json:"table,omitempty"` // register revision that all have to work by
+	Cause         string   `json:"cause,omitempty"`
+	Lagging       []string `json:"behind,omitempty"` // who works by an older table
+	WaitingFor    string   `json:"waits,omitempty"`  // what a staged move waits for
+	Primary       string   `json:"primary,omitempty"`
+	Zone          string   `json:"zone,omitempty"` // of the primary
+	RequiredTable uint64   `json:"floor,omitempty"`
 }
 
 // Moves are the placements in the routing table and how they stand.
 func (c *Core) Moves(now int64) []MoveState {
 	ss := []MoveState{}
-	for _, p := range c.table.Placements {
+	for _, p := range c.routingTable.Placements {
 		m, _ := c.move(p.Group)
-		s := MoveState{Group: p.Group, Site: p.Site, Phase: phaseOf(m).String(), To: m.To, From: m.From, Table: m.Table, Cause: m.Cause}
-		if v, ok := c.view.Agreed(voterview.LeaderPrefix + p.Group); ok {
-			l := voterview.Leadership(v)
-			s.Primary, s.Floor = l.Primary, l.Table
-			if i, ok := c.group(p.Group).insts[l.Primary]; ok {
+		s := MoveState{Group: p.Group, Site: p.Site, Phase: movePhase(m).String(), To: m.ToSite, From: m.FromSite, Table: m.TableRevision, Cause: m.Cause}
+		if v, ok := c.learner.Committed(voterview.LeaderPrefix + p.Group); ok {
+			l := voterview.DecodeLeadership(v)
+			s.Primary, s.RequiredTable = l.Primary, l.TableRevision
+			if i, ok := c.group(p.Group).databases[l.Primary]; ok {
 				s.Zone = i.Zone
 			}
 		}
-		if pends(p, m) && phaseOf(m) != ports.MoveAgreed {
-			s.Phase, s.To, s.From, s.Table, s.Cause = ports.MoveStaged.String(), p.Site, p.From, p.Table, ""
+		if isMovePending(p, m) && movePhase(m) != ports.MoveAgreed {
+			s.Phase, s.To, s.From, s.Table, s.Cause = ports.MoveStaged.String(), p.Site, p.PreviousSite, p.TableRevision, ""
 		}
 		if s.Phase == ports.MoveStaged.String() {
-			s.Behind, s.Waits = c.waits(now, p.Group, s.Table)
+			s.Lagging, s.WaitingFor = c.moveWaitsFor(now, p.Group, s.Table)
 		}
 		ss = append(ss, s)
 	}
 	return ss
 }
 
-// waits says what a staged move waits for, as far as this process knows.
-func (c *Core) waits(now int64, n string, table uint64) ([]string, string) {
-	if c.allHold(table) {
-		if _, why := c.group(n).decider.Level(); why != "" {
+// moveWaitsFor says what a staged move waits for, as far as this process knows.
+func (c *Core) moveWaitsFor(now int64, n string, table uint64) ([]string, string) {
+	if c.majorityConverged(table) {
+		if _, why := c.group(n).decider.MoveCandidate(); why != "" {
 			return nil, why
 		}
 		return nil, "a database at the site to be level"
 	}
-	ns := c.behind(now)
+	ns := c.laggingProcesses(now)
 	k := 0
-	for _, o := range c.view.Voters() {
-		if f := c.follow[o]; f != nil && now-f.at < followFor {
-			for _, b := range f.behind {
+	for _, o := range c.learner.Voters() {
+		if f := c.pollers[o]; f != nil && now-f.lastPoll < pollerTimeout {
+			for _, b := range f.lagging {
 				if !slices.Contains(ns, b) {
 					ns = append(ns, b)
 				}
 			}
 		}
-		if c.all[o] >= table {
+		if c.convergedTables[o] >= table {
 			k++
 		}
 	}
 	slices.Sort(ns)
-	return ns, fmt.Sprintf("all processes to work by table %d: %d of %d control processes say so", table, k, len(c.view.Voters()))
+	return ns, fmt.Sprintf("all processes to work by table %d: %d of %d control processes say so", table, k, len(c.learner.Voters()))
 }
 
 // moveDue is when the oldest look that a staged move waits for falls out.
 func (c *Core) moveDue(now int64) int64 {
-	if !c.votes() || !c.staged() {
+	if !c.isVoting() || !c.anyMoveStaged() {
 		return math.MaxInt64
 	}
 	d := int64(math.MaxInt64)
-	for _, f := range c.follow {
+	for _, f := range c.pollers {
 		for _, t := range f.tables {
-			if at := t.at + voterview.WaitUs; at > now && t.revision < c.tableRev {
+			if at := t.polledAt + voterview.LeaseEndBoundUs; at > now && t.revision < c.tableRevision {
 				d = min(d, at)
 			}
 		}
 	}
-	if at := c.began + voterview.WaitUs; at > now {
+	if at := c.startedAt + voterview.LeaseEndBoundUs; at > now {
 		d = min(d, at)
 	}
 	return d
--- a/coordinator/moves_http.go
+++ b/coordinator/moves_http.go
@@ -15,12 +15,12 @@
 const MovesPath = "/v1/moves"
 
 const (
-	movesTime = 6 * time.Second
-	mostAsked = 64 << 10
+	moveRequestTimeout  = 6 * time.Second
+	maxMoveRequestBytes = 64 << 10
 )
 
-// MoveAsked is the body of a POST.
-type MoveAsked struct {
+// MoveRequest is the body of a POST.
+type MoveRequest struct {
 	Group string `json:"group"`
 	Site  string `json:"site"` // a zone or a region
 }
@@ -34,75 +34,75 @@
 	Moves   []MoveState `json:"moves,omitempty"`
 }
 
-// movesAsked asks the loop for the moves.
-type movesAsked struct{ id uint64 }
+// movesRequest asks the loop for the moves.
+type movesRequest struct{ id uint64 }
 
-// movesKnown ends a movesAsked: the moves as this process knows them, and whether
+// movesReply ends a movesRequest: the moves as this process knows them, and whether
 // it is in contact with a majority.
-type movesKnown struct {
+type movesReply struct {
 	moves   []MoveState
 	contact bool
 }
 
 // Move asks that a group's primary serve at another site.
 func (p *Process) Move(ctx context.Context, group, site string) MoveResult {
-	v, _ := p.call(ctx, func(id uint64) any { return Move{ID: id, Group: group, Site: site} }).(Moved)
+	v, _ := p.call(ctx, func(id uint64) any { return Move{ID: id, Group: group, Site: site} }).(MoveDone)
 	return v.Result
 }
 
 // CancelMove takes a move back that is staged.
 func (p *Process) CancelMove(ctx context.Context, group string) MoveResult {
-	v, _ := p.call(ctx, func(id uint64) any { return CancelMove{ID: id, Group: group} }).(Moved)
+	v, _ := p.call(ctx, func(id uint64) any { return CancelMove{ID: id, Group: group} }).(MoveDone)
 	return v.Result
 }
 
 // Moves are the placements and how they stand, as this process knows, and whether
 // it is in contact with a majority.
 func (p *Process) Moves(ctx context.Context) ([]MoveState, bool) {
-	v, ok := p.call(ctx, func(id uint64) any { return movesAsked{id} }).(movesKnown)
+	v, ok := p.call(ctx, func(id uint64) any { return movesRequest{id} }).(movesReply)
 	return v.moves, ok && v.contact
 }
 
 // MountMoves puts the moves' handlers on an operators' mux.
 func (p *Process) MountMoves(m *http.ServeMux) {
 	m.HandleFunc("GET "+MovesPath, func(w http.ResponseWriter, r *http.Request) {
-		ctx, stop := context.WithTimeout(r.Context(), movesTime)
+		ctx, stop := context.WithTimeout(r.Context(), moveRequestTimeout)
 		defer stop()
 		ms, ok := p.Moves(ctx)
 		if !ok {
-			reply(w, MoveReply{Code: result.NoVoterMajority, Moves: ms})
+			writeReply(w, MoveReply{Code: result.NoVoterMajority, Moves: ms})
 			return
 		}
-		reply(w, MoveReply{Code: result.OK, Moves: ms})
+		writeReply(w, MoveReply{Code: result.OK, Moves: ms})
 	})
 	m.HandleFunc("POST "+MovesPath, func(w http.ResponseWriter, r *http.Request) {
-		var a MoveAsked
-		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostAsked))
+		var a MoveRequest
+		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMoveRequestBytes))
 		d.DisallowUnknownFields()
 		if err := d.Decode(&a); err != nil || a.Group == "" || a.Site == "" {
-			reply(w, MoveReply{Code: result.OperatorBadJSON, Problem: `the body is {"group": "...", "site": "..."}`})
+			writeReply(w, MoveReply{Code: result.OperatorBadJSON, Problem: `the body is {"group": "...", "site": "..."}`})
 			return
 		}
-		ctx, stop := context.WithTimeout(r.Context(), movesTime)
+		ctx, stop := context.WithTimeout(r.Context(), moveRequestTimeout)
 		defer stop()
-		ended(w, p.Move(ctx, a.Group, a.Site))
+		writeMoveResult(w, p.Move(ctx, a.Group, a.Site))
 	})
 	m.HandleFunc("DELETE "+MovesPath+"/{group}", func(w http.ResponseWriter, r *http.Request) {
-		ctx, stop := context.WithTimeout(r.Context(), movesTime)
+		ctx, stop := context.WithTimeout(r.Context(), moveRequestTimeout)
 		defer stop()
-		ended(w, p.CancelMove(ctx, r.PathValue("group")))
+		writeMoveResult(w, p.CancelMove(ctx, r.PathValue("group")))
 	})
 }
 
-func ended(w http.ResponseWriter, r MoveResult) {
-	c := map[ports.Outcome]result.Code{ports.Agreed: result.OK, ports.Stale: result.WrongState, ports.Invalid: result.NoSuchThing,
+func writeMoveResult(w http.ResponseWriter, r MoveResult) {
+	c := map[ports.Outcome]result.Code{ports.Committed: result.OK, ports.Stale: result.WrongState, ports.Invalid: result.NotFound,
 		ports.Unavailable: result.ChangeUncertain}[r.Outcome]
-	reply(w, MoveReply{Code: c, Problem: r.Problem, Table: r.Table})
+	writeReply(w, MoveReply{Code: c, Problem: r.Problem, Table: r.Table})
 }
 
-func reply(w http.ResponseWriter, r MoveReply) {
+func writeReply(w http.ResponseWriter, r MoveReply) {
 	row := r.Code.Row()
-	r.Text = row.Text
+	r.Text = row.Meaning
 	b, err := json.Marshal(r)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
--- a/coordinator/process.go
+++ b/coordinator/process.go
@@ -24,89 +24,89 @@
 )
 
 const (
-	lineLength  = 4096
-	mostAtOnce  = 128
-	promoteWait = 1500 * time.Millisecond
-	leaveWait   = 400_000 // microseconds
-	leaveTick   = 100 * time.Millisecond
-	// leaveReserve is what is left of the time until the kill when a process that
+	inboxLength        = 4096
+	maxEventsPerStep   = 128
+	promoteTimeout     = 1500 * time.Millisecond
+	minDrainDuration   = 400_000 // microseconds
+	drainCheckInterval = 100 * time.Millisecond
+	// drainReserve is what is left of the time until the kill when a process that
 	// could not hand its vote over ends.
-	leaveReserve = 700_000
-	openAgain    = 500 * time.Millisecond
+	drainReserve      = 700_000
+	openRetryInterval = 500 * time.Millisecond
 )
 
 // Process is one control process.
 type Process struct {
-	dbs   ports.Databases
-	prov  ports.Provider
-	boot  ports.Boot
-	core  *Core
-	store *writer
-	links *links.Links
-	in    chan any
-	began time.Time
-	ids   atomic.Uint64
-	wait  sync.Map        // id to chan any
-	ctx   context.Context // ends with the process
-	stop  context.CancelFunc
+	databases    ports.Databases
+	provider     ports.Provider
+	config       ports.ProcessConfig
+	core         *Core
+	logWriter    *writer
+	links        *links.Transport
+	inbox        chan any
+	startedAt    time.Time
+	lastCallID   atomic.Uint64
+	waitingCalls sync.Map        // id to chan any
+	ctx          context.Context // ends with the process
+	cancel       context.CancelFunc
 }
 
 var _ ports.ControlProcess = (*Process)(nil)
 
 // NewProcess makes a control process; what its disk holds is read when it runs.
-func NewProcess(b ports.Boot, dbs ports.Databases, prov ports.Provider) (ports.ControlProcess, error) {
+func NewProcess(b ports.ProcessConfig, dbs ports.Databases, prov ports.Provider) (ports.ControlProcess, error) {
 	// Calls may come before it runs.
 	ctx, stop := context.WithCancel(context.Background())
-	return &Process{dbs: dbs, prov: prov, boot: b, in: make(chan any, lineLength), began: time.Now(), ctx: ctx, stop: stop}, nil
+	return &Process{databases: dbs, provider: prov, config: b, inbox: make(chan any, inboxLength), startedAt: time.Now(), ctx: ctx, cancel: stop}, nil
 }
 
 // nowUs is this process's monotonic time; it starts at a second, so that 0 can
 // stand for never.
-func (p *Process) nowUs() int64 { return time.Since(p.began).Microseconds() + 1_000_000 }
+func (p *Process) nowUs() int64 { return time.Since(p.startedAt).Microseconds() + 1_000_000 }
 
-// open opens the voter's log, trying on while the disk refuses; what is called
+// openLog opens the voter's log, trying on while the disk refuses; what is called
 // meanwhile is told that it cannot be done here. It returns nil when the context
 // ends first.
-func (p *Process) open(ctx context.Context) *Core {
+func (p *Process) openLog(ctx context.Context) *Core {
 	for {
 		c, err := p.restore()
 		if err == nil {
 			return c
 		}
-		log.WithFields(log.Fields{"code": int(result.VoterSilent)}).WithError(err).Error(result.VoterSilent.String())
-		again := time.After(openAgain)
+		log.WithFields(log.Fields{"code": int(result.VoterDiskFailed)}).WithError(err).Error(result.VoterDiskFailed.String())
+		again := time.After(openRetryInterval)
 		for waiting := true; waiting; {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-again:
 				waiting = false
-			case e := <-p.in:
-				p.bounce(e)
+			case e := <-p.inbox:
+				p.rejectCall(e)
 			}
 		}
 	}
 }
 
-// bounce ends a call that cannot be served.
-func (p *Process) bounce(e any) {
+// rejectCall ends a call that cannot be served.
+func (p *Process) rejectCall(e any) {
 	switch e := e.(type) {
 	case Announce:
-		p.end(e.ID, Announced{ID: e.ID})
-	case Change:
-		p.end(e.ID, Changed{ID: e.ID, Result: ports.ChangeResult{Outcome: ports.Unavailable}})
-	case Fetch:
-		p.end(e.ID, Fetched{ID: e.ID})
+		p.finishCall(e.ID, AnnounceDone{ID: e.ID})
+	case ChangeTable:
+		p.finishCall(e.ID, ChangeTableDone{ID: e.ID, Result: ports.ChangeResult{Outcome: ports.Unavailable}})
+	case FetchTable:
+		p.finishCall(e.ID, FetchTableDone{ID: e.ID})
 	case Move:
-		p.end(e.ID, Moved{ID: e.ID, Result: moveUnavailable})
+		p.finishCall(e.ID, MoveDone{ID: e.ID, Result: moveUnavailable})
 	case CancelMove:
-		p.end(e.ID, Moved{ID: e.ID, Result: moveUnavailable})
-	case movesAsked:
-		p.end(e.id, nil)
-	case stateAsked:
-		p.end(e.id, nil)
-	case ports.Boot:
-		p.boot = e
+		p.finishCall(e.ID, MoveDone{ID: e.ID, Result: moveUnavailable})
+	case movesRequest:
+		p.finishCall(e.id, nil)
+	case stateRequest:
+		p.finishCall(e.id, nil)
+	case ports.ProcessConfig:
+		p.config = e
 	}
 }
 
@@ -118,41 +118,41 @@
 	if _, err := rand.Read(r[:]); err != nil {
 		return nil, err
 	}
-	folder := filepath.Join(p.boot.DataFolder, "voter")
-	var es []*schema.VoterLog
-	keep := func(l *schema.VoterLog) { es = append(es, l) }
+	folder := filepath.Join(p.config.DataFolder, "voter")
+	var es []*schema.WALEntry
+	keep := func(l *schema.WALEntry) { es = append(es, l) }
 	st, err := voterlog.Open(folder, keep)
-	if voterlog.ErrDamaged.Has(err) {
-		to, moved := voterlog.SetAside(folder)
+	if voterlog.ErrCorrupt.Has(err) {
+		to, moved := voterlog.Quarantine(folder)
 		log.WithFields(log.Fields{"code": int(result.LogDamaged), "moved_to": to}).WithError(err).Error(result.LogDamaged.String())
 		if moved != nil {
 			return nil, moved
 		}
 		es = nil
 		st, err = voterlog.Open(folder, keep)
-		p.boot.Bootstrap = false // what was here is lost: nothing is founded anew
+		p.config.Bootstrap = false // what was here is lost: nothing is founded anew
 	}
 	if err != nil {
 		return nil, err
 	}
-	st.SetDiskSize(int(p.boot.DiskMB) << 20)
-	p.store = newWriter(st, p.post)
-	return Restore(p.boot, es, binary.LittleEndian.Uint64(r[:])|1, binary.LittleEndian.Uint64(r[8:])|1), nil
+	st.SetDiskSize(int(p.config.DiskMB) << 20)
+	p.logWriter = newWriter(st, p.post)
+	return Restore(p.config, es, binary.LittleEndian.Uint64(r[:])|1, binary.LittleEndian.Uint64(r[8:])|1), nil
 }
 
 // Run serves until the context ends, then leaves in order.
 func (p *Process) Run(ctx context.Context) (err error) {
 	var cl cleanup.Stack
 	defer func() { err = errors.Join(err, cl.Run()) }()
-	if p.core = p.open(ctx); p.core == nil {
-		p.stop()
+	if p.core = p.openLog(ctx); p.core == nil {
+		p.cancel()
 		return nil
 	}
-	cl.Push(p.store.close)
+	cl.Push(p.logWriter.close)
 	work := p.ctx
-	cl.Push(func() error { p.stop(); return nil })
-	p.links = links.New(work, p.boot.ControlNode(), links.Local(p.boot.ControlNode()), p.take)
-	ln, err := net.Listen("tcp", p.boot.Listen(p.boot.ControlNode()))
+	cl.Push(func() error { p.cancel(); return nil })
+	p.links = links.New(work, p.config.ControlNodeAddress(), links.LocalAddress(p.config.ControlNodeAddress()), p.deliver)
+	ln, err := net.Listen("tcp", p.config.ListenAddress(p.config.ControlNodeAddress()))
 	if err != nil {
 		return err
 	}
@@ -160,11 +160,11 @@
 	go func() { failed <- p.links.Serve(ln) }()
 	p.core.Start(p.nowUs())
 	go p.serveState(work)
-	log.WithFields(log.Fields{"name": p.boot.Name, "listen": p.boot.ControlNode()}).Info("stoneford-control is up")
+	log.WithFields(log.Fields{"name": p.config.Name, "listen": p.config.ControlNodeAddress()}).Info("stoneford-control is up")
 	t := time.NewTimer(0)
 	defer t.Stop()
 	done := ctx.Done()
-	var leave leaving
+	var leave draining
 	var evs []any
 	for {
 		evs = evs[:0]
@@ -174,15 +174,15 @@
 		case <-done:
 			done = nil
 			evs = append(evs, Stop{})
-			leave = p.beginLeaving()
+			leave = p.beginDraining()
 		case <-leave.tick:
 		case <-t.C:
-		case e := <-p.in:
+		case e := <-p.inbox:
 			evs = append(evs, e)
 		}
-		for more := true; more && len(evs) < mostAtOnce; {
+		for more := true; more && len(evs) < maxEventsPerStep; {
 			select {
-			case e := <-p.in:
+			case e := <-p.inbox:
 				evs = append(evs, e)
 			default:
 				more = false
@@ -196,37 +196,37 @@
 	}
 }
 
-// leaving is a process's way out: it hands its vote over where another may take it.
-type leaving struct {
-	tick        <-chan time.Time
-	least, most int64 // by the process's monotonic time
+// draining is a process's way out: it hands its vote over where another may take it.
+type draining struct {
+	tick                   <-chan time.Time
+	earliestEnd, latestEnd int64 // by the process's monotonic time
 }
 
-func (p *Process) beginLeaving() leaving {
-	least := p.nowUs() + leaveWait
-	return leaving{tick: time.Tick(leaveTick), least: least, most: max(least, p.nowUs()+p.boot.Bounds.GraceUs-leaveReserve)}
+func (p *Process) beginDraining() draining {
+	least := p.nowUs() + minDrainDuration
+	return draining{tick: time.Tick(drainCheckInterval), earliestEnd: least, latestEnd: max(least, p.nowUs()+p.config.Bounds.GraceUs-drainReserve)}
 }
 
 // over reports whether the process may end: its vote is handed over, or nobody is
 // there to take it, or the time that it was given is nearly over.
-func (l leaving) over(p *Process) bool {
+func (l draining) over(p *Process) bool {
 	if l.tick == nil {
 		return false
 	}
 	now := p.nowUs()
-	return now >= l.least && p.core.MayEnd(now) || now >= l.most
+	return now >= l.earliestEnd && p.core.MayStop(now) || now >= l.latestEnd
 }
 
-func (p *Process) take(e *schema.Envelope) {
+func (p *Process) deliver(e *schema.Envelope) {
 	select {
-	case p.in <- e:
+	case p.inbox <- e:
 	default: // whatever matters is repeated by its sender
 	}
 }
 
 func (p *Process) post(e any) {
 	select {
-	case p.in <- e:
+	case p.inbox <- e:
 	case <-p.ctx.Done():
 	}
 }
@@ -234,44 +234,44 @@
 func (p *Process) step(evs []any) {
 	for i, e := range evs {
 		switch e := e.(type) {
-		case ports.Boot:
-			p.core.SetBoot(e)
+		case ports.ProcessConfig:
+			p.core.UpdateConfig(e)
 			evs[i] = nil
-		case stateAsked:
-			p.end(e.id, p.stateNow(e.whole))
+		case stateRequest:
+			p.finishCall(e.id, p.stateNow(e.withItems))
 			evs[i] = nil
-		case movesAsked:
+		case movesRequest:
 			now := p.nowUs()
-			p.end(e.id, movesKnown{p.core.Moves(now), p.core.inContact(now)})
+			p.finishCall(e.id, movesReply{p.core.Moves(now), p.core.inContact(now)})
 			evs[i] = nil
 		}
 	}
 	fx := p.core.Step(p.nowUs(), evs...)
 	if len(fx.Log) > 0 {
 		es := fx.Log
-		if p.store.due.Load() && !es[0].Snapshot {
-			es = []*schema.VoterLog{p.core.Snapshot()}
+		if p.logWriter.snapshotDue.Load() && !es[0].Snapshot {
+			es = []*schema.WALEntry{p.core.Snapshot()}
 		}
-		p.store.write(es, fx.Mark)
+		p.logWriter.write(es, fx.Watermark)
 	}
 	for _, s := range fx.Send {
-		p.links.Send(s.To, s.Env)
+		p.links.Send(s.To, s.Envelope)
 	}
 	for _, d := range fx.Do {
 		switch d := d.(type) {
-		case Announced:
-			p.end(d.ID, d)
-		case Changed:
-			p.end(d.ID, d)
-		case Fetched:
-			p.end(d.ID, d)
-		case Moved:
-			p.end(d.ID, d)
-		case Ask:
-			go p.ask(d)
+		case AnnounceDone:
+			p.finishCall(d.ID, d)
+		case ChangeTableDone:
+			p.finishCall(d.ID, d)
+		case FetchTableDone:
+			p.finishCall(d.ID, d)
+		case MoveDone:
+			p.finishCall(d.ID, d)
+		case DatabaseCall:
+			go p.callDatabase(d)
 		case Promote:
 			go p.promote(d)
-		case Say:
+		case LogEntry:
 			log.WithFields(log.Fields{"code": int(d.Code), "what": d.Text}).Info(d.Code.String())
 		}
 	}
@@ -283,29 +283,29 @@
 	return min(wait, time.Duration(until-p.nowUs())*time.Microsecond)
 }
 
-func (p *Process) ask(d Ask) {
-	wait := time.Duration(d.Ask.WaitUs) * time.Microsecond
-	if d.Ask.Kind != ports.Status {
-		if wait = p.leaseLeft(d.Ask.Until, wait); wait <= 0 {
-			p.post(Said{Group: d.Group, Said: switchover.Said{ID: d.Ask.ID, Withdrawn: true}})
+func (p *Process) callDatabase(d DatabaseCall) {
+	wait := time.Duration(d.Call.TimeoutUs) * time.Microsecond
+	if d.Call.Kind != ports.Status {
+		if wait = p.leaseLeft(d.Call.Until, wait); wait <= 0 {
+			p.post(DatabaseReply{Group: d.Group, Reply: switchover.DatabaseReply{ID: d.Call.ID, NotSent: true}})
 			return
 		}
 	}
 	ctx, stop := context.WithTimeout(p.ctx, wait)
 	defer stop()
-	i := d.Ask.Instance
-	st, code, err := p.dbs.Do(ctx, i.Address, i.Group, i.ID, ports.Op{Own: true, St: ports.Statement{Kind: d.Ask.Kind}, Term: d.Ask.Term})
-	s := switchover.Said{ID: d.Ask.ID, Status: st}
+	i := d.Call.Instance
+	st, code, err := p.databases.Do(ctx, i.Address, i.Group, i.ID, ports.Op{Internal: true, Statement: ports.Statement{Kind: d.Call.Kind}, Term: d.Call.Term})
+	s := switchover.DatabaseReply{ID: d.Call.ID, Status: st}
 	switch {
 	case err != nil && code != ports.WrongInstance:
 		// One that bounces a connection, because it has too many, is there.
-		s.Err, s.NotThere = err.Error(), code == ports.Done && !errors.Is(err, context.DeadlineExceeded) && !isTimeout(err)
+		s.Err, s.Absent = err.Error(), code == ports.Done && !errors.Is(err, context.DeadlineExceeded) && !isTimeout(err)
 	case code == ports.WrongInstance:
-		s.Err, s.NotThere = "another database is there", true
+		s.Err, s.Absent = "another database is there", true
 	case code != ports.Done:
 		s.Err = "the database bounced it"
 	}
-	p.post(Said{Group: d.Group, Said: s})
+	p.post(DatabaseReply{Group: d.Group, Reply: s})
 }
 
 func isTimeout(err error) bool {
@@ -314,29 +314,29 @@
 }
 
 func (p *Process) promote(d Promote) {
-	wait := p.leaseLeft(d.Promote.Until, promoteWait)
+	wait := p.leaseLeft(d.Promote.Until, promoteTimeout)
 	if wait <= 0 {
-		p.post(Promoted{Group: d.Group})
+		p.post(PromoteDone{Group: d.Group})
 		return
 	}
 	ctx, stop := context.WithTimeout(p.ctx, wait)
 	defer stop()
-	code, err := p.prov.Promote(ctx, d.Group, d.Promote.ID, d.Promote.Owner, d.Promote.Fence)
+	code, err := p.provider.Promote(ctx, d.Group, d.Promote.ID, d.Promote.Owner, d.Promote.FencingToken)
 	log.WithFields(log.Fields{"group": d.Group, "database": d.Promote.ID, "status": code}).Info("the platform was asked for a primary")
-	p.post(Promoted{Group: d.Group, OK: err == nil && code == http.StatusOK, Gone: err == nil && code == http.StatusConflict})
+	p.post(PromoteDone{Group: d.Group, OK: err == nil && code == http.StatusOK, Gone: err == nil && code == http.StatusConflict})
 }
 
-func (p *Process) end(id uint64, v any) {
-	if ch, ok := p.wait.LoadAndDelete(id); ok {
+func (p *Process) finishCall(id uint64, v any) {
+	if ch, ok := p.waitingCalls.LoadAndDelete(id); ok {
 		ch.(chan any) <- v
 	}
 }
 
 // call posts an event made with a new id and waits for what ends it.
 func (p *Process) call(ctx context.Context, build func(id uint64) any) any {
-	id := p.ids.Add(1)
+	id := p.lastCallID.Add(1)
 	ch := make(chan any, 1)
-	p.wait.Store(id, ch)
+	p.waitingCalls.Store(id, ch)
 	p.post(build(id))
 	select {
 	case v := <-ch:
@@ -344,31 +344,31 @@
 	case <-ctx.Done():
 	case <-p.ctx.Done():
 	}
-	p.wait.Delete(id)
+	p.waitingCalls.Delete(id)
 	return nil
 }
 
-// Announce implements ports.Control.
+// Announce implements ports.ControlAddress.
 func (p *Process) Announce(ctx context.Context, i ports.Instance) (bool, string) {
-	v, ok := p.call(ctx, func(id uint64) any { return Announce{ID: id, Instance: i} }).(Announced)
+	v, ok := p.call(ctx, func(id uint64) any { return Announce{ID: id, Instance: i} }).(AnnounceDone)
 	return ok && v.OK, ""
 }
 
-// Change implements ports.Control.
+// Change implements ports.ControlAddress.
 func (p *Process) Change(ctx context.Context, c ports.TableChange) ports.ChangeResult {
-	v, _ := p.call(ctx, func(id uint64) any { return Change{ID: id, Change: c} }).(Changed)
+	v, _ := p.call(ctx, func(id uint64) any { return ChangeTable{ID: id, Change: c} }).(ChangeTableDone)
 	return v.Result
 }
 
-// Fetch implements ports.Control.
+// Fetch implements ports.ControlAddress.
 func (p *Process) Fetch(ctx context.Context) (ports.RoutingTable, bool) {
-	v, ok := p.call(ctx, func(id uint64) any { return Fetch{ID: id} }).(Fetched)
+	v, ok := p.call(ctx, func(id uint64) any { return FetchTable{ID: id} }).(FetchTableDone)
 	return v.Table, ok && v.OK
 }
 
-// CutLinks breaks the process's links to others until they are mended, for
+// SetLinksBroken breaks the process's links to others until they are mended, for
 // trials; it has to run.
-func (p *Process) CutLinks(broken bool) { p.links.Cut(broken) }
+func (p *Process) SetLinksBroken(broken bool) { p.links.SetPartitioned(broken) }
 
-// SetBoot implements ports.ControlProcess.
-func (p *Process) SetBoot(b ports.Boot) { p.post(b) }
+// UpdateConfig implements ports.ControlProcess.
+func (p *Process) UpdateConfig(b ports.ProcessConfig) { p.post(b) }
--- a/coordinator/process_test.go
+++ b/coordinator/process_test.go
@@ -34,7 +34,7 @@
 
 func run(t *testing.T, folder string, first bool) *running {
 	t.Helper()
-	b := ports.Boot{Name: "control-1", IP: "127.0.0.77", PortFirst: 7440, Seeds: []string{"127.0.0.77:8782"}, Bootstrap: first, QuorumMember: true,
+	b := ports.ProcessConfig{Name: "control-1", IP: "127.0.0.77", PortFirst: 7440, Seeds: []string{"127.0.0.77:8782"}, Bootstrap: first, QuorumMember: true,
 		DataFolder: folder, DiskMB: 64, Zone: "z"}
 	p, err := NewProcess(b, noDatabases{}, noProvider{})
 	if err != nil {
@@ -60,9 +60,9 @@
 }
 
 func table(revision uint64) ports.TableChange {
-	return ports.TableChange{Name: fmt.Sprint("change-", revision), Base: revision - 1, Revision: revision, Whole: true,
-		Groups: []ports.Group{{Name: "g", ConnLimit: 60, Sync: 1}},
-		Routes: []ports.Route{{Name: "r", Host: "h", Prefix: "/", Group: "g", ExpiryUs: 800_000, AimUs: int64(revision)}}}
+	return ports.TableChange{Digest: fmt.Sprint("change-", revision), BaseRevision: revision - 1, Revision: revision, Complete: true,
+		Groups: []ports.Group{{Name: "g", ConnectionLimit: 60, RequiredReplicaAcks: 1}},
+		Routes: []ports.Route{{Name: "r", Host: "h", Prefix: "/", Group: "g", TimeoutUs: 800_000, LatencyTargetUs: int64(revision)}}}
 }
 
 // change sends an order until it is acknowledged.
@@ -72,7 +72,7 @@
 		o := r.Change(ctx, table(revision)).Outcome
 		stop()
 		if o != ports.Unavailable {
-			return o == ports.Agreed
+			return o == ports.Committed
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -85,7 +85,7 @@
 	ctx, stop := context.WithTimeout(r.t.Context(), 5*time.Second)
 	defer stop()
 	began := time.Now()
-	if ok, _ := r.Announce(ctx, ports.Instance{ID: "db", Group: "g", Address: "10.0.0.1:1", Call: 1}); ok {
+	if ok, _ := r.Announce(ctx, ports.Instance{ID: "db", Group: "g", Address: "10.0.0.1:1", AnnouncementNumber: 1}); ok {
 		r.t.Fatal("an announcement is acknowledged")
 	}
 	if o := r.Change(ctx, table(9)).Outcome; o != ports.Unavailable {
@@ -133,7 +133,7 @@
 	p.refused()
 	p.end()
 	p = run(t, folder, true)
-	time.Sleep(2 * openAgain)
+	time.Sleep(2 * openRetryInterval)
 	p.refused()
 	takes()
 	for revision := uint64(1); revision <= 3; revision++ {
@@ -147,7 +147,7 @@
 	}
 	refuse()
 	p = run(t, folder, false)
-	time.Sleep(2 * openAgain)
+	time.Sleep(2 * openRetryInterval)
 	p.refused()
 	takes()
 	if err := os.Rename(aside, voter); err != nil {
--- a/coordinator/rejoin_test.go
+++ b/coordinator/rejoin_test.go
@@ -8,11 +8,11 @@
 	"stoneford/voterview"
 )
 
-// TestCutOffTakesNobodyForGone: a control process that was cut off from the
+// TestPartitionedExpiresNoDatabaseInMoves: a control process that was cut off from the
 // others heard nothing of the databases that announce themselves to these. Once
 // it is back it takes none of them for gone; one that is silent towards all is
 // taken for gone all the same.
-func TestCutOffTakesNobodyForGone(t *testing.T) {
+func TestPartitionedExpiresNoDatabaseInMoves(t *testing.T) {
 	for seed := range uint64(30) {
 		c := newCluster(t, seed, 3, 3, 1)
 		for _, a := range c.order {
@@ -23,31 +23,31 @@
 		silent := false
 		announce := func(id string) {
 			call++
-			c.step(c.order[1], Announce{ID: call, Instance: ports.Instance{ID: id, Group: "g", Address: "10.1.1.1:1", Call: call}})
+			c.step(c.order[1], Announce{ID: call, Instance: ports.Instance{ID: id, Group: "g", Address: "10.1.1.1:1", AnnouncementNumber: call}})
 		}
 		var beat func()
 		beat = func() {
 			if announce("stays"); !silent {
 				announce("ends")
 			}
-			c.w.After(defaultBeatUs, beat)
+			c.environment.After(defaultHeartbeatInterval, beat)
 		}
 		beat()
 		c.run(10_000_000)
 		gone := func(id string) (by []string) {
 			for _, a := range c.order {
-				if r := c.ms[a].core.insts.Get(voterview.DatabasePrefix + id); r == nil || voterview.Instance(r).Gone {
+				if r := c.members[a].core.databases.Get(voterview.DatabasePrefix + id); r == nil || voterview.DecodeInstance(r).Gone {
 					by = append(by, a)
 				}
 			}
 			return by
 		}
 		for _, o := range c.order[1:] {
-			c.n.Cut(c.order[0], o, true)
-			c.n.Cut(o, c.order[0], true)
+			c.network.SetPartition(c.order[0], o, true)
+			c.network.SetPartition(o, c.order[0], true)
 		}
-		c.run(c.w.Between(8_000_000, 20_000_000))
-		c.n.Mend()
+		c.run(c.environment.Between(8_000_000, 20_000_000))
+		c.network.Repair()
 		for range 500 {
 			c.run(20_000)
 			if by := gone("stays"); len(by) > 0 {
@@ -55,7 +55,7 @@
 			}
 		}
 		silent = true
-		c.run(goneFactor*defaultBeatUs + 8_000_000)
+		c.run(missedHeartbeatLimit*defaultHeartbeatInterval + 8_000_000)
 		if by := gone("ends"); fmt.Sprint(by) != fmt.Sprint(c.order) {
 			t.Fatalf("seed %d: a silent database is gone for %v only", seed, by)
 		}
--- a/coordinator/state.go
+++ b/coordinator/state.go
@@ -18,34 +18,34 @@
 
 // State is what this process knows of the fleet; whole brings the routing
 // table's items.
-func (c *Core) State(now int64, whole bool) fleetstate.State {
-	s := fleetstate.State{Name: c.boot.Name, Kind: fleetstate.KindControl, Zone: c.boot.Zone, Node: c.self, Run: c.run, Leaving: c.leaving,
-		Ready: c.votes(), Membership: c.view.Membership().Number, Candidates: c.candidateStates(now), Voters: c.view.VoterStates(now), LeaseLeftUs: c.view.LeaseUntil() - now,
-		Registers: c.view.RegisterStates(), Table: fleetstate.Routing(c.table, c.tableRev, whole), Violations: c.Violations()}
+func (c *Core) State(now int64, whole bool) fleetstate.ProcessState {
+	s := fleetstate.ProcessState{Name: c.config.Name, Kind: fleetstate.KindControl, Zone: c.config.Zone, Node: c.self, Run: c.run, Draining: c.draining,
+		Ready: c.isVoting(), Membership: c.learner.Membership().Number, Candidates: c.candidateStates(now), Voters: c.learner.VoterStates(now), LeaseLeftUs: c.learner.LeaseUntil() - now,
+		Registers: c.learner.RegisterStates(), Table: fleetstate.DescribeTable(c.routingTable, c.tableRevision, whole), Violations: c.Violations()}
 	for i := range s.Registers {
 		r := &s.Registers[i]
-		if v := c.voter.Cell(r.Key).GetValue(); v != nil {
-			r.Accepted, r.Changes = v.Revision, slices.Clone(v.Changes)
+		if v := c.acceptor.RegisterState(r.Key).GetValue(); v != nil {
+			r.Accepted, r.Changes = v.Revision, slices.Clone(v.ChangeIds)
 		}
 	}
-	s.Control = &fleetstate.Control{Databases: c.databaseStates(now), Leaders: c.leaderStates(now), Nodes: c.nodeStates(now)}
+	s.Control = &fleetstate.ControlState{Databases: c.databaseStates(now), Leaders: c.leaderStates(now), Nodes: c.nodeStates(now)}
 	return s
 }
 
 func (c *Core) candidateStates(now int64) []fleetstate.Candidate {
 	var out []fleetstate.Candidate
-	for _, o := range c.voter.Candidates(now, candidateFor) {
-		out = append(out, fleetstate.Candidate{Node: o.Address, Zone: o.Zone, Disk: fleetstate.DiskName(o.Life), Counts: o.Counts, HeardUs: now - o.At})
+	for _, o := range c.acceptor.Candidates(now, candidateTimeout) {
+		out = append(out, fleetstate.Candidate{Node: o.Address, Zone: o.Zone, Disk: fleetstate.DiskName(o.DiskID), CountsForQuorum: o.Eligible, HeardUs: now - o.RequestedAt})
 	}
 	return out
 }
 
 func (c *Core) databaseStates(now int64) []fleetstate.Database {
 	ds := []fleetstate.Database{}
-	c.insts.Each(voterview.DatabasePrefix, func(r *schema.Record) {
-		i := voterview.Instance(r)
+	c.databases.ForEach(voterview.DatabasePrefix, func(r *schema.Record) {
+		i := voterview.DecodeInstance(r)
 		ds = append(ds, fleetstate.Database{ID: i.ID, Group: i.Group, Address: i.Address, Zone: i.Zone, Capacity: i.Capacity,
-			Primary: i.Primary, Leaving: i.Leaving, Gone: i.Gone, HeardUs: max(c.insts.AgeUs(now, r.Key), 0)})
+			Primary: i.Primary, Draining: i.Draining, Gone: i.Gone, HeardUs: max(c.databases.AgeUs(now, r.Key), 0)})
 	})
 	slices.SortFunc(ds, func(a, b fleetstate.Database) int {
 		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.ID, b.ID))
@@ -57,16 +57,16 @@
 	ls := []fleetstate.Leadership{}
 	for _, n := range slices.Sorted(maps.Keys(c.groups)) {
 		k := voterview.LeaderPrefix + n
-		s := fleetstate.Leadership{Group: n, Doubt: c.view.Doubt(k), Phase: "none", Acts: c.acts(now, n)}
-		if v, ok := c.view.Agreed(k); ok {
-			l := voterview.Leadership(v)
+		s := fleetstate.Leadership{Group: n, Unconfirmed: c.learner.Unconfirmed(k), Phase: "none", CanAct: c.ownsGroup(now, n)}
+		if v, ok := c.learner.Committed(k); ok {
+			l := voterview.DecodeLeadership(v)
 			s.Revision, s.Term, s.Primary, s.Address, s.Phase = v.Revision, l.Term, l.Primary, l.Address, fleetstate.PhaseName(ports.Phase(l.Phase))
-			s.Cause, s.Holder, s.Fence, s.Old, s.ExpectUs = l.Cause, l.Holder, l.Fence, l.Old, l.ExpectUs
+			s.Cause, s.RoleOwner, s.FencingToken, s.PreviousPrimary, s.LastFailoverUs = l.Cause, l.RoleOwner, l.FencingToken, l.PreviousPrimary, l.LastFailoverUs
 		}
-		if v, ok := c.view.Agreed(voterview.MembersPrefix + n); ok {
-			m := &schema.Members{}
+		if v, ok := c.learner.Committed(voterview.MembersPrefix + n); ok {
+			m := &schema.GroupMembers{}
 			if proto.Unmarshal(v.Data, m) == nil {
-				s.Members = m.Ids
+				s.Members = m.DatabaseIds
 			}
 		}
 		ls = append(ls, s)
@@ -76,15 +76,15 @@
 
 func (c *Core) nodeStates(now int64) []fleetstate.Node {
 	ns := []fleetstate.Node{}
-	for _, a := range slices.Sorted(maps.Keys(c.follow)) {
-		f := c.follow[a]
-		s := fleetstate.Node{Name: f.name, Node: a, Kind: f.kind, Run: f.run, HeardUs: max(now-f.at, 0), Leaving: f.leaving}
-		for _, g := range f.sights {
-			s.Sightings = append(s.Sightings, fleetstate.Sighting{ID: g.Id, FailingUs: g.FailingUs, Cut: g.Cut})
+	for _, a := range slices.Sorted(maps.Keys(c.pollers)) {
+		f := c.pollers[a]
+		s := fleetstate.Node{Name: f.name, Node: a, Kind: f.kind, Run: f.run, HeardUs: max(now-f.lastPoll, 0), Draining: f.draining}
+		for _, g := range f.healthReports {
+			s.HealthReports = append(s.HealthReports, fleetstate.HealthReport{DatabaseID: g.DatabaseId, FailingUs: g.FailingUs, Disconnected: g.Disconnected})
 		}
-		for _, n := range slices.Sorted(maps.Keys(f.words)) {
-			w := f.words[n]
-			s.Groups = append(s.Groups, fleetstate.Word{Group: n, Revision: w.Revision, Acked: ports.Position{Term: w.AckedTerm, Number: w.AckedNumber}, Quiet: w.Quiet})
+		for _, n := range slices.Sorted(maps.Keys(f.groupStatuses)) {
+			w := f.groupStatuses[n]
+			s.Groups = append(s.Groups, fleetstate.GroupStatus{Group: n, Revision: w.Revision, Acknowledged: ports.Position{Term: w.AckedTerm, Number: w.AckedNumber}, Idle: w.Idle})
 		}
 		ns = append(ns, s)
 	}
@@ -94,19 +94,19 @@
 	return ns
 }
 
-// stateAsked asks the loop for the state.
-type stateAsked struct {
-	id    uint64
-	whole bool
+// stateRequest asks the loop for the state.
+type stateRequest struct {
+	id        uint64
+	withItems bool
 }
 
 // State is what this process knows, put together now by its loop.
-func (p *Process) State(ctx context.Context, whole bool) (fleetstate.State, bool) {
-	s, ok := p.call(ctx, func(id uint64) any { return stateAsked{id, whole} }).(fleetstate.State)
+func (p *Process) State(ctx context.Context, whole bool) (fleetstate.ProcessState, bool) {
+	s, ok := p.call(ctx, func(id uint64) any { return stateRequest{id, whole} }).(fleetstate.ProcessState)
 	return s, ok
 }
 
-func (p *Process) stateNow(whole bool) fleetstate.State {
+func (p *Process) stateNow(whole bool) fleetstate.ProcessState {
 	now := p.nowUs()
 	s := p.core.State(now, whole)
 	s.UpUs = now - 1_000_000
@@ -115,7 +115,7 @@
 
 // serveState tells operators the state; the process runs without that too.
 func (p *Process) serveState(ctx context.Context) {
-	at, ok := p.boot.State(p.boot.PortFirst)
+	at, ok := p.config.StateAddress(p.config.PortFirst)
 	if !ok {
 		return
 	}
--- a/coordinator/stored_test.go
+++ b/coordinator/stored_test.go
@@ -39,11 +39,13 @@
 	message proto.Message
 	read    func(v *schema.Value) proto.Message
 }{
-	{"leader/orders", &schema.Leadership{Term: 6, Primary: "db-2", Address: "10.0.1.2:5432", Phase: 1, Holder: "10.0.0.3:7001", Fence: 12, Cause: "it is silent",
-		ExpectUs: 1_500_001, Old: "db-1", SealRev: 44, Asked: true, Table: 30, HolderRun: 99},
-		func(v *schema.Value) proto.Message { return voterview.Leadership(voterview.Chosen{Data: v.GetData()}) }},
-	{"members/orders", &schema.Members{Ids: []string{"db-1", "db-2", "db-3"}}, readAs(&schema.Members{})},
-	{"move/orders", &schema.Move{To: "zone-2", From: "zone-1", Table: 31, Phase: 2, Cause: "asked for"}, readAs(&schema.Move{})},
+	{"leader/orders", &schema.Leadership{Term: 6, Primary: "db-2", Address: "10.0.1.2:5432", Phase: 1, RoleOwner: "10.0.0.3:7001", FencingToken: 12, Cause: "it is silent",
+		LastFailoverUs: 1_500_001, PreviousPrimary: "db-1", FreezeRevision: 44, PromotionRequested: true, TableRevision: 30, RoleOwnerRun: 99},
+		func(v *schema.Value) proto.Message {
+			return voterview.DecodeLeadership(voterview.CommittedValue{Data: v.GetData()})
+		}},
+	{"members/orders", &schema.GroupMembers{DatabaseIds: []string{"db-1", "db-2", "db-3"}}, readAs(&schema.GroupMembers{})},
+	{"move/orders", &schema.Move{ToSite: "zone-2", FromSite: "zone-1", TableRevision: 31, Phase: 2, Cause: "asked for"}, readAs(&schema.Move{})},
 }
 
 // TestRegisterKeys: registers and records are found under the keys that they were
@@ -71,23 +73,23 @@
 // its last entry with an earlier value.
 func recordVoter(t *testing.T, folder string) {
 	t.Helper()
-	l, err := voterlog.Open(folder, func(*schema.VoterLog) {})
+	l, err := voterlog.Open(folder, func(*schema.WALEntry) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := []*schema.Voter{{Address: "10.0.0.1:7001", Life: 21}, {Address: "10.0.0.2:7001", Life: 22}, {Address: "10.0.0.3:7001", Life: 23}}
-	first := &schema.VoterLog{Snapshot: true, Life: 21, Active: 4, Membership: &schema.Membership{Number: 4, Voters: v, Previous: v[:1]}}
-	es := [][]*schema.VoterLog{{first}}
+	v := []*schema.Voter{{Address: "10.0.0.1:7001", DiskId: 21}, {Address: "10.0.0.2:7001", DiskId: 22}, {Address: "10.0.0.3:7001", DiskId: 23}}
+	first := &schema.WALEntry{Snapshot: true, DiskId: 21, ActiveMembership: 4, Membership: &schema.Membership{Number: 4, Voters: v, Previous: v[:1]}}
+	es := [][]*schema.WALEntry{{first}}
 	for i, x := range storedRegisters {
 		b, err := proto.MarshalOptions{Deterministic: true}.Marshal(x.message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := &schema.Ballot{Membership: 4, Round: uint64(10 + i), Proposer: "10.0.0.2:7001"}
-		first.Cells = append(first.Cells, &schema.Cell{Key: x.key, Promised: at, Accepted: at, Value: &schema.Value{Revision: 1, Data: []byte("earlier")}})
-		later := &schema.Ballot{Membership: 4, Round: uint64(20 + i), Proposer: "10.0.0.3:7001"}
-		es = append(es, []*schema.VoterLog{{Cells: []*schema.Cell{{Key: x.key, Promised: later, Accepted: later,
-			Value: &schema.Value{Revision: uint64(2 + i), Changes: []string{"change-" + x.key}, Data: b}}}}})
+		at := &schema.Ballot{Membership: 4, Number: uint64(10 + i), Proposer: "10.0.0.2:7001"}
+		first.Registers = append(first.Registers, &schema.RegisterState{Key: x.key, Promised: at, Accepted: at, Value: &schema.Value{Revision: 1, Data: []byte("earlier")}})
+		later := &schema.Ballot{Membership: 4, Number: uint64(20 + i), Proposer: "10.0.0.3:7001"}
+		es = append(es, []*schema.WALEntry{{Registers: []*schema.RegisterState{{Key: x.key, Promised: later, Accepted: later,
+			Value: &schema.Value{Revision: uint64(2 + i), ChangeIds: []string{"change-" + x.key}, Data: b}}}}})
 	}
 	for _, e := range es {
 		if err := l.Write(e, nil); err != nil {
@@ -100,19 +102,19 @@
 }
 
 // holds compares what a process restored from the fixture holds.
-func holds(t *testing.T, s *schema.VoterLog) {
+func holds(t *testing.T, s *schema.WALEntry) {
 	t.Helper()
-	if s.Life != 21 || s.Active != 4 || s.Membership.GetNumber() != 4 || len(s.Membership.GetVoters()) != 3 || len(s.Cells) != len(storedRegisters) {
-		t.Fatalf("life %d, active %d, membership %v, %d registers", s.Life, s.Active, s.Membership, len(s.Cells))
+	if s.DiskId != 21 || s.ActiveMembership != 4 || s.Membership.GetNumber() != 4 || len(s.Membership.GetVoters()) != 3 || len(s.Registers) != len(storedRegisters) {
+		t.Fatalf("life %d, active %d, membership %v, %d registers", s.DiskId, s.ActiveMembership, s.Membership, len(s.Registers))
 	}
 	for i, x := range storedRegisters {
 		t.Run(x.key, func(t *testing.T) {
-			at := slices.IndexFunc(s.Cells, func(c *schema.Cell) bool { return c.Key == x.key })
+			at := slices.IndexFunc(s.Registers, func(c *schema.RegisterState) bool { return c.Key == x.key })
 			if at < 0 {
 				t.Fatal("it is not there")
 			}
-			c := s.Cells[at]
-			if c.Value.GetRevision() != uint64(2+i) || !slices.Equal(c.Value.GetChanges(), []string{"change-" + x.key}) || c.Accepted.GetRound() != uint64(20+i) || c.Promised.GetProposer() != "10.0.0.3:7001" {
+			c := s.Registers[at]
+			if c.Value.GetRevision() != uint64(2+i) || !slices.Equal(c.Value.GetChangeIds(), []string{"change-" + x.key}) || c.Accepted.GetNumber() != uint64(20+i) || c.Promised.GetProposer() != "10.0.0.3:7001" {
 				t.Errorf("the register is %v", c)
 			}
 			if got := x.read(c.Value); !proto.Equal(got, x.message) {
@@ -136,12 +138,12 @@
 	if err := os.CopyFS(folder, os.DirFS(fixture)); err != nil {
 		t.Fatal(err)
 	}
-	var es []*schema.VoterLog
-	l, err := voterlog.Open(filepath.Join(folder, "voter"), func(e *schema.VoterLog) { es = append(es, e) })
+	var es []*schema.WALEntry
+	l, err := voterlog.Open(filepath.Join(folder, "voter"), func(e *schema.WALEntry) { es = append(es, e) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	b := ports.Boot{Name: "control-1", Zone: "zone-1", IP: "10.0.0.1", Seeds: []string{"10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001"}}
+	b := ports.ProcessConfig{Name: "control-1", Zone: "zone-1", IP: "10.0.0.1", Seeds: []string{"10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001"}}
 	holds(t, Restore(b, es, 1, 2).Snapshot())
 }
--- a/coordinator/writer.go
+++ b/coordinator/writer.go
@@ -8,43 +8,43 @@
 	"stoneford/voterlog"
 )
 
-// closeWait is how long an ending process waits for its disk.
-const closeWait = 200 * time.Millisecond
+// closeTimeout is how long an ending process waits for its disk.
+const closeTimeout = 200 * time.Millisecond
 
 // writer has the disk to itself, so that nobody else waits for it. What comes
 // while a sync is under way is written together by the next one.
 type writer struct {
-	log   *voterlog.Log
-	jobs  chan job
-	post  func(any)
-	due   atomic.Bool // a snapshot is to take the place of the next entries
-	ended chan struct{}
+	log         *voterlog.Log
+	jobs        chan writeJob
+	post        func(any)
+	snapshotDue atomic.Bool // a snapshot is to take the place of the next entries
+	ended       chan struct{}
 }
 
-type job struct {
-	es   []*schema.VoterLog
-	mark uint64
+type writeJob struct {
+	entries   []*schema.WALEntry
+	watermark uint64
 }
 
-// writeLine is more than the core hands out unsynced (mostHeld and the
+// writeQueueLength is more than the core hands out unsynced (maxUnsyncedSteps and the
 // snapshots of a disk that refuses).
-const writeLine = 4 * mostHeld
+const writeQueueLength = 4 * maxUnsyncedSteps
 
 func newWriter(l *voterlog.Log, post func(any)) *writer {
-	w := &writer{log: l, jobs: make(chan job, writeLine), post: post, ended: make(chan struct{})}
-	w.due.Store(l.Due())
+	w := &writer{log: l, jobs: make(chan writeJob, writeQueueLength), post: post, ended: make(chan struct{})}
+	w.snapshotDue.Store(l.SnapshotDue())
 	go w.run()
 	return w
 }
 
-func (w *writer) write(es []*schema.VoterLog, mark uint64) { w.jobs <- job{es, mark} }
+func (w *writer) write(es []*schema.WALEntry, mark uint64) { w.jobs <- writeJob{es, mark} }
 
 // close ends the writer; a disk that hangs is left alone.
 func (w *writer) close() error {
 	close(w.jobs)
 	select {
 	case <-w.ended:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 	return nil
 }
@@ -53,17 +53,17 @@
 	defer close(w.ended)
 	failed := false
 	for j := range w.jobs {
-		es, mark := j.es, j.mark
+		es, mark := j.entries, j.watermark
 		for more := true; more; {
 			select {
 			case k, ok := <-w.jobs:
 				if more = ok; !ok {
 					break
 				}
-				if k.es[0].Snapshot {
+				if k.entries[0].Snapshot {
 					es = nil // it holds all that came before
 				}
-				es, mark = append(es, k.es...), k.mark
+				es, mark = append(es, k.entries...), k.watermark
 			default:
 				more = false
 			}
@@ -73,12 +73,12 @@
 		}
 		if err := w.log.Write(es, nil); err != nil {
 			failed = true
-			w.post(Unsynced{Err: err.Error()})
+			w.post(SyncFailed{Cause: err.Error()})
 			continue
 		}
 		failed = false
-		w.due.Store(w.log.Due())
-		w.post(Synced{Mark: mark})
+		w.snapshotDue.Store(w.log.SnapshotDue())
+		w.post(Synced{Watermark: mark})
 	}
 	_ = w.log.Close()
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -46,12 +46,12 @@
 		defer stop()
 		go bootfile.Watch(ctx, c, b, func(b *schema.Boot, err error) {
 			if err != nil {
-				log.WithFields(log.Fields{"code": int(result.BootInvalid)}).WithError(err).Error(result.BootInvalid.String())
+				log.WithFields(log.Fields{"code": int(result.ConfigInvalid)}).WithError(err).Error(result.ConfigInvalid.String())
 				return
 			}
 			setLevel(b)
 			changed(s, b)
-			log.WithFields(log.Fields{"code": int(result.BootChanged)}).Info(result.BootChanged.String())
+			log.WithFields(log.Fields{"code": int(result.ConfigChanged)}).Info(result.ConfigChanged.String())
 		})
 		return s.Run(ctx)
 	}}
--- a/databaseclient/client.go
+++ b/databaseclient/client.go
@@ -24,7 +24,7 @@
 	Received  int64  `json:"received"`
 	Applied   int64  `json:"applied"`
 	Following string `json:"following"`
-	Leaving   bool   `json:"leaving"`
+	Draining  bool   `json:"leaving"`
 	Health    string `json:"health"`
 }
 
@@ -48,10 +48,10 @@
 
 // Run is what a run returns.
 type Run struct {
-	Bounced string   `json:"refused"`
-	Results []Result `json:"results"`
-	Epoch   uint64   `json:"epoch"`
-	Applied int64    `json:"applied"`
+	Rejected string   `json:"refused"`
+	Results  []Result `json:"results"`
+	Epoch    uint64   `json:"epoch"`
+	Applied  int64    `json:"applied"`
 }
 
 // Member is one database's place, as the platform is told of it.
@@ -63,48 +63,48 @@
 // Client is safe for use by many goroutines. It sends a call once: a redirection
 // is not followed, and net/http sends a POST or DELETE again only where none of
 // its bytes left.
-type Client struct{ h *http.Client }
+type Client struct{ http *http.Client }
 
 // New makes a client whose connections come from a local address, or from any.
 func New(from net.Addr) *Client {
-	return &Client{h: &http.Client{Transport: &http.Transport{
+	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 700 * time.Millisecond, KeepAlive: 5 * time.Second, LocalAddr: from}).DialContext,
 		MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// ErrNeverLeft marks a call of which no byte reached the other side.
-var ErrNeverLeft = errors.New("never left")
+// ErrNotSent marks a call of which no byte reached the other side.
+var ErrNotSent = errors.New("never left")
 
-var errAnswer = errors.New("not an answer to this call")
+var errWrongReply = errors.New("not an answer to this call")
 
-func (c *Client) do(ctx context.Context, method, url string, in, out any) error {
+func (c *Client) call(ctx context.Context, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		b, err := json.Marshal(in)
 		if err != nil {
-			return fmt.Errorf("%w: %w", ErrNeverLeft, err)
+			return fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 		body = bytes.NewReader(b)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, url, body)
+	request, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrNeverLeft, err)
+		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	rs, err := c.h.Do(r)
+	response, err := c.http.Do(request)
 	if err != nil {
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			return fmt.Errorf("%w: %w", ErrNeverLeft, err)
+			return fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 		return err
 	}
-	defer rs.Body.Close()
-	if rs.StatusCode != http.StatusOK && rs.StatusCode != http.StatusConflict {
-		t, _ := io.ReadAll(io.LimitReader(rs.Body, 200))
-		return fmt.Errorf("status %d: %s", rs.StatusCode, bytes.TrimSpace(t))
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusConflict {
+		t, _ := io.ReadAll(io.LimitReader(response.Body, 200))
+		return fmt.Errorf("status %d: %s", response.StatusCode, bytes.TrimSpace(t))
 	}
-	b, err := io.ReadAll(rs.Body)
+	b, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
@@ -113,79 +113,79 @@
 
 // Open opens a connection in the name of one run of a pool node: a later run
 // of the same node voids those of the earlier.
-func (c *Client) Open(ctx context.Context, addr, owner string, run uint64) (int64, error) {
+func (c *Client) Open(ctx context.Context, address, owner string, run uint64) (int64, error) {
 	var o struct {
 		Connection int64 `json:"connection"`
 	}
 	in := map[string]any{"owner": owner, "run": run}
-	err := c.do(ctx, http.MethodPost, "http://"+addr+"/v1/connections", in, &o)
+	err := c.call(ctx, http.MethodPost, "http://"+address+"/v1/connections", in, &o)
 	return o.Connection, err
 }
 
 // Close closes a connection.
-func (c *Client) Close(ctx context.Context, addr string, id int64) error {
+func (c *Client) Close(ctx context.Context, address string, id int64) error {
 	var o struct{}
-	return c.do(ctx, http.MethodDelete, fmt.Sprintf("http://%s/v1/connections/%d", addr, id), nil, &o)
+	return c.call(ctx, http.MethodDelete, fmt.Sprintf("http://%s/v1/connections/%d", address, id), nil, &o)
 }
 
 // Run runs ops over a connection. What does not hold a result for each op, up to
 // the first that failed, is no answer to it.
-func (c *Client) Run(ctx context.Context, addr string, id int64, epoch uint64, readOnly bool, ops []Op) (Run, error) {
+func (c *Client) Run(ctx context.Context, address string, id int64, epoch uint64, readOnly bool, ops []Op) (Run, error) {
 	var o Run
 	in := map[string]any{"epoch": epoch, "read_only": readOnly, "ops": ops}
-	err := c.do(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/connections/%d", addr, id), in, &o)
-	if err == nil && !o.answers(ops) {
-		err = fmt.Errorf("%w: %d results for %d ops", errAnswer, len(o.Results), len(ops))
+	err := c.call(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/connections/%d", address, id), in, &o)
+	if err == nil && !o.matches(ops) {
+		err = fmt.Errorf("%w: %d results for %d ops", errWrongReply, len(o.Results), len(ops))
 	}
 	return o, err
 }
 
-func (r Run) answers(ops []Op) bool {
+func (r Run) matches(ops []Op) bool {
 	n := len(r.Results)
 	failed := n > 0 && r.Results[n-1].Error != ""
-	return r.Bounced != "" || n == len(ops) || failed && n < len(ops)
+	return r.Rejected != "" || n == len(ops) || failed && n < len(ops)
 }
 
 // Poll asks for the status, waiting until the positions are reached or the
 // time is over.
-func (c *Client) Poll(ctx context.Context, addr string, received, applied, waitUs int64) (Status, error) {
+func (c *Client) Poll(ctx context.Context, address string, received, applied, waitUs int64) (Status, error) {
 	var s Status
-	u := "http://" + addr + "/v1/status"
+	u := "http://" + address + "/v1/status"
 	if waitUs > 0 {
 		u += fmt.Sprintf("?received=%d&applied=%d&wait_us=%d", received, applied, waitUs)
 	}
-	return s, c.do(ctx, http.MethodGet, u, nil, &s)
+	return s, c.call(ctx, http.MethodGet, u, nil, &s)
 }
 
 // Seal has a database take no log and no statement below an epoch. One that
 // bounces tells its status all the same.
-func (c *Client) Seal(ctx context.Context, addr string, epoch uint64) (Status, error) {
+func (c *Client) Seal(ctx context.Context, address string, epoch uint64) (Status, error) {
 	var s Status
-	return s, c.do(ctx, http.MethodPost, "http://"+addr+"/v1/seal", map[string]uint64{"epoch": epoch}, &s)
+	return s, c.call(ctx, http.MethodPost, "http://"+address+"/v1/seal", map[string]uint64{"epoch": epoch}, &s)
 }
 
 // Takeover asks the platform to make the target the group's primary in an
 // epoch and the others its followers.
 func (c *Client) Takeover(ctx context.Context, platform, group, target, identity string, epoch uint64, ms []Member) error {
-	return c.platform(ctx, platform, "takeover", map[string]any{"group": group, "target": target, "identity": identity, "epoch": epoch, "members": ms})
+	return c.callPlatform(ctx, platform, "takeover", map[string]any{"group": group, "target": target, "identity": identity, "epoch": epoch, "members": ms})
 }
 
 // Replace asks the platform to put a new, empty database in the place of the
 // copy of that identity.
-func (c *Client) Replace(ctx context.Context, platform, database, addr, identity string) error {
-	return c.platform(ctx, platform, "replace", map[string]any{"database": database, "address": addr, "identity": identity})
+func (c *Client) Replace(ctx context.Context, platform, database, address, identity string) error {
+	return c.callPlatform(ctx, platform, "replace", map[string]any{"database": database, "address": address, "identity": identity})
 }
 
 // StopMachine asks the platform to stop a machine's pool node with its grace.
 func (c *Client) StopMachine(ctx context.Context, platform, machine string) error {
-	return c.platform(ctx, platform, "stop", map[string]any{"machine": machine})
+	return c.callPlatform(ctx, platform, "stop", map[string]any{"machine": machine})
 }
 
-func (c *Client) platform(ctx context.Context, platform, what string, in any) error {
+func (c *Client) callPlatform(ctx context.Context, platform, what string, in any) error {
 	var o struct {
 		Error string `json:"error"`
 	}
-	if err := c.do(ctx, http.MethodPost, "http://"+platform+"/v1/"+what, in, &o); err != nil {
+	if err := c.call(ctx, http.MethodPost, "http://"+platform+"/v1/"+what, in, &o); err != nil {
 		return err
 	}
 	if o.Error != "" {
--- a/databaseclient/client_test.go
+++ b/databaseclient/client_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// faulty is a database that reacts to whole calls, and counts them.
-func faulty(t *testing.T, react http.HandlerFunc) (address string, calls *atomic.Int64) {
+// faultyDatabase is a database that reacts to whole calls, and counts them.
+func faultyDatabase(t *testing.T, react http.HandlerFunc) (address string, calls *atomic.Int64) {
 	t.Helper()
 	calls = &atomic.Int64{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -26,12 +26,12 @@
 	return strings.TrimPrefix(s.URL, "http://"), calls
 }
 
-func says(text string) http.HandlerFunc {
+func replying(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }
 }
 
-// breaks ends the connection with what was written to it, or resets it.
-func breaks(text string, reset bool) http.HandlerFunc {
+// disconnecting ends the connection with what was written to it, or resets it.
+func disconnecting(text string, reset bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
@@ -45,36 +45,42 @@
 	}
 }
 
-const wholeRun = `{"results":[{"rows":[["a"]]},{"position":7}],"epoch":3,"applied":7}`
+const completeRun = `{"results":[{"rows":[["a"]]},{"position":7}],"epoch":3,"applied":7}`
 
 var twoOps = []Op{{Op: "statement", Text: "x"}, {Op: "commit"}}
 
-// TestARunLeavesOnce: whatever becomes of its answer, and also on a connection
+// TestRunIsSentOnce: whatever becomes of its answer, and also on a connection
 // that was used before, a run is sent once.
-func TestARunLeavesOnce(t *testing.T) {
-	elsewhere, others := faulty(t, says(wholeRun))
+func TestRunIsSentOnce(t *testing.T) {
+	otherAddress, otherCalls := faultyDatabase(t, replying(completeRun))
 	for name, react := range map[string]http.HandlerFunc{
-		"redirects, 307":         func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "http://"+elsewhere+r.URL.Path, 307) },
-		"redirects, 308":         func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "http://"+elsewhere+r.URL.Path, 308) },
-		"redirects, 303":         func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "http://"+elsewhere+r.URL.Path, 303) },
-		"resets":                 breaks("", true),
-		"hangs up":               breaks("", false),
-		"half a head":            breaks("HTTP/1.1 200", false),
-		"half a body":            breaks("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"+wholeRun[:30], false),
-		"a short body":           breaks("HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n"+wholeRun, false),
+		"redirects, 307": func(w http.ResponseWriter, r *http.Request) {
+			http.Redirect(w, r, "http://"+otherAddress+r.URL.Path, 307)
+		},
+		"redirects, 308": func(w http.ResponseWriter, r *http.Request) {
+			http.Redirect(w, r, "http://"+otherAddress+r.URL.Path, 308)
+		},
+		"redirects, 303": func(w http.ResponseWriter, r *http.Request) {
+			http.Redirect(w, r, "http://"+otherAddress+r.URL.Path, 303)
+		},
+		"resets":                 disconnecting("", true),
+		"hangs up":               disconnecting("", false),
+		"half a head":            disconnecting("HTTP/1.1 200", false),
+		"half a body":            disconnecting("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"+completeRun[:30], false),
+		"a short body":           disconnecting("HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n"+completeRun, false),
 		"silent":                 nil,
-		"more than one value":    says(wholeRun + wholeRun),
-		"no results":             says(`{}`),
-		"fewer results than ops": says(`{"results":[{"rows":[["a"]]}],"epoch":3}`),
-		"more results than ops":  says(`{"results":[{},{},{}],"epoch":3}`),
+		"more than one value":    replying(completeRun + completeRun),
+		"no results":             replying(`{}`),
+		"fewer results than ops": replying(`{"results":[{"rows":[["a"]]}],"epoch":3}`),
+		"more results than ops":  replying(`{"results":[{},{},{}],"epoch":3}`),
 	} {
 		ctx, giveUp := context.WithTimeout(t.Context(), 20*time.Second)
 		first := true
-		address, calls := faulty(t, func(w http.ResponseWriter, r *http.Request) {
+		address, calls := faultyDatabase(t, func(w http.ResponseWriter, r *http.Request) {
 			switch {
 			case first:
 				first = false
-				io.WriteString(w, wholeRun)
+				io.WriteString(w, completeRun)
 			case react == nil:
 				giveUp()
 				<-r.Context().Done()
@@ -88,34 +94,34 @@
 		}
 		out, err := c.Run(ctx, address, 4, 3, false, twoOps)
 		giveUp()
-		if err == nil || errors.Is(err, ErrNeverLeft) {
+		if err == nil || errors.Is(err, ErrNotSent) {
 			t.Errorf("%s: %+v %v", name, out, err)
 		}
 		if n := calls.Load(); n != 2 {
 			t.Errorf("%s: %d calls for two runs", name, n)
 		}
 	}
-	if n := others.Load(); n != 0 {
+	if n := otherCalls.Load(); n != 0 {
 		t.Errorf("another address was called %d times", n)
 	}
 }
 
-func TestARunThatFailsHasFewerResults(t *testing.T) {
+func TestFailedRunHasFewerResults(t *testing.T) {
 	for _, text := range []string{`{"results":[{"error":"failed"}]}`, `{"results":[{},{"error":"failed"}]}`, `{"refused":"epoch"}`} {
-		address, _ := faulty(t, says(text))
+		address, _ := faultyDatabase(t, replying(text))
 		if _, err := New(nil).Run(t.Context(), address, 4, 3, false, twoOps); err != nil {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
 }
 
-// TestALateAnswerIsNobodys: what comes after its caller's time is not read as
+// TestLateReplyIsNotReadAsNext: what comes after its caller's time is not read as
 // the next call's.
-func TestALateAnswerIsNobodys(t *testing.T) {
+func TestLateReplyIsNotReadAsNext(t *testing.T) {
 	late := make(chan struct{})
 	ctx, giveUp := context.WithCancel(t.Context())
 	var n atomic.Int64
-	address, _ := faulty(t, func(w http.ResponseWriter, _ *http.Request) {
+	address, _ := faultyDatabase(t, func(w http.ResponseWriter, _ *http.Request) {
 		if n.Add(1) == 1 {
 			giveUp()
 			<-late
@@ -136,14 +142,16 @@
 	}
 }
 
-// TestATakeoverLeavesOnce: the platform is called once, and only where it is.
-func TestATakeoverLeavesOnce(t *testing.T) {
-	elsewhere, others := faulty(t, says(`{}`))
-	address, calls := faulty(t, func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "http://"+elsewhere+r.URL.Path, 307) })
+// TestTakeoverIsSentOnce: the platform is called once, and only where it is.
+func TestTakeoverIsSentOnce(t *testing.T) {
+	otherAddress, otherCalls := faultyDatabase(t, replying(`{}`))
+	address, calls := faultyDatabase(t, func(w http.ResponseWriter, r *http.Request) {
+		http.Redirect(w, r, "http://"+otherAddress+r.URL.Path, 307)
+	})
 	if err := New(nil).Takeover(t.Context(), address, "g", "a", "i-1", 4, nil); err == nil {
 		t.Error("it was taken elsewhere")
 	}
-	if calls.Load() != 1 || others.Load() != 0 {
-		t.Error(calls.Load(), others.Load())
+	if calls.Load() != 1 || otherCalls.Load() != 0 {
+		t.Error(calls.Load(), otherCalls.Load())
 	}
 }
--- a/duties/duties.go
+++ b/duties/duties.go
@@ -18,112 +18,114 @@
 )
 
 const (
-	lookEvery  = 500_000
-	askTimeout = 2_000_000
+	pollInterval   = 500_000
+	requestTimeout = 2_000_000
 	// LeaseUs is how long a holder may act after the start of the last look
 	// that showed it as the holder.
 	LeaseUs = 2_000_000
-	// waitUs is how long a new holder waits for the one before to have ended:
+	// gracePeriodUs is how long a new holder waits for the one before to have ended:
 	// the same time with a tenth for clocks that run at different rates.
-	waitUs = LeaseUs * 11 / 10
+	gracePeriodUs = LeaseUs * 11 / 10
 )
 
-type duty struct {
-	key      string
-	state    *schema.DutyState
-	revision uint64
-	known    bool
-	next     int64
-	asked    int64 // when the question under way was put, 0 if none is
-	valid    int64 // this process holds it until
-	since    int64 // this process has held it since
-	open     int64 // since when it has had no living holder
-	leaving  bool
-	only     bool           // it was surely the only holder when it left
-	told     *schema.Grants // what the successor is told
+type role struct {
+	key               string
+	state             *schema.RoleState
+	revision          uint64
+	known             bool
+	nextPollAt        int64
+	requestedAt       int64 // when the question under way was put, 0 if none is
+	leaseUntil        int64 // this process holds it until
+	leaderSince       int64 // this process has held it since
+	vacantSince       int64 // since when it has had no living holder
+	resigned          bool
+	exclusiveAtResign bool                     // it was surely the only holder when it left
+	handedLeases      *schema.ConnectionLeases // what the successor is told
 }
 
-// mine says whether a state names this run of this process.
-func (d *Duties) mine(u *duty) bool { return u.state.Holder == d.self && u.state.Run == d.run }
+// leads says whether a state names this run of this process.
+func (d *Candidate) leads(current *role) bool {
+	return current.state.Leader == d.self && current.state.Run == d.run
+}
 
 // Effects of a step.
 type Effects struct {
-	Changes []paxos.Change
-	Taken   []string // duties this process now holds and did not before
+	Changes  []paxos.Change
+	Acquired []string // duties this process now holds and did not before
 }
 
-// Duties is one candidate's view of all duties.
-type Duties struct {
-	self       string
-	run        uint64
-	candidates []string
-	name       func() string // makes names for changes
-	grants     func(key string, now int64) *schema.Grants
-	m          map[string]*duty
-	order      []string
-	leaving    bool
+// Candidate is one candidate's view of all duties.
+type Candidate struct {
+	self          string
+	run           uint64
+	candidates    []string
+	newChangeID   func() string // makes names for changes
+	currentLeases func(key string, now int64) *schema.ConnectionLeases
+	roles         map[string]*role
+	order         []string
+	draining      bool
 }
 
 // New makes a candidate; run is another for each start of the process, name
 // must give a new name each time. grants is what a holder that leaves tells its
 // successor of a duty; nil where there is nothing to tell.
-func New(self string, run uint64, candidates []string, name func() string, grants func(key string, now int64) *schema.Grants) *Duties {
-	return &Duties{self: self, run: run, candidates: candidates, name: name, grants: grants, m: map[string]*duty{}}
+func New(self string, run uint64, candidates []string, name func() string, currentLeases func(key string, now int64) *schema.ConnectionLeases) *Candidate {
+	return &Candidate{self: self, run: run, candidates: candidates, newChangeID: name, currentLeases: currentLeases, roles: map[string]*role{}}
 }
 
-// Want names the duties there are.
-func (d *Duties) Want(keys []string) {
+// SetRoles names the duties there are.
+func (d *Candidate) SetRoles(keys []string) {
 	for _, k := range keys {
-		if d.m[k] == nil {
-			d.m[k] = &duty{key: k, state: &schema.DutyState{}}
+		if d.roles[k] == nil {
+			d.roles[k] = &role{key: k, state: &schema.RoleState{}}
 			d.order = append(d.order, k)
 		}
 	}
 	d.order = slices.DeleteFunc(d.order, func(k string) bool {
 		if !slices.Contains(keys, k) {
-			delete(d.m, k)
+			delete(d.roles, k)
 			return true
 		}
 		return false
 	})
 }
 
-// Leave has this process hand its duties over.
-func (d *Duties) Leave() { d.leaving = true }
+// Drain has this process hand its duties over.
+func (d *Candidate) Drain() { d.draining = true }
 
-// Acts says whether this process holds the duty, as far as it can know.
-func (d *Duties) Acts(k string, now int64) bool {
-	u := d.m[k]
-	return u != nil && d.mine(u) && now < u.valid && !u.leaving
+// IsLeader says whether this process holds the duty, as far as it can know.
+func (d *Candidate) IsLeader(k string, now int64) bool {
+	current := d.roles[k]
+	return current != nil && d.leads(current) && now < current.leaseUntil && !current.resigned
 }
 
-// Exclusive says whether surely no other process acts on the duty.
-func (d *Duties) Exclusive(k string, now int64) bool {
-	u := d.m[k]
-	return d.Acts(k, now) && (u.state.Handed || u.state.Term == 1 || now >= u.since+waitUs)
+// IsExclusive says whether surely no other process acts on the duty.
+func (d *Candidate) IsExclusive(k string, now int64) bool {
+	current := d.roles[k]
+	return d.IsLeader(k, now) && (current.state.HandedOver || current.state.Term == 1 || now >= current.leaderSince+gracePeriodUs)
 }
 
-// HeldUs is how long this process has held the duty, and its term.
-func (d *Duties) HeldUs(k string, now int64) (int64, uint64) {
-	if u := d.m[k]; u != nil {
-		return now - u.since, u.state.Term
+// LeadingUs is how long this process has held the duty, and its term.
+func (d *Candidate) LeadingUs(k string, now int64) (int64, uint64) {
+	if current := d.roles[k]; current != nil {
+		return now - current.leaderSince, current.state.Term
 	}
 	return 0, 0
 }
 
-// Grants is what the holder before told this one when it handed the duty over;
+// InheritedLeases is what the holder before told this one when it handed the duty over;
 // nil if it did not.
-func (d *Duties) Grants(k string) *schema.Grants {
-	if u := d.m[k]; u != nil && d.mine(u) && u.state.Handed {
-		return u.state.Grants
+func (d *Candidate) InheritedLeases(k string) *schema.ConnectionLeases {
+	if current := d.roles[k]; current != nil && d.leads(current) && current.state.HandedOver {
+		return current.state.ConnectionLeases
 	}
 	return nil
 }
 
-// Holder is the last holder seen.
-func (d *Duties) Holder(k string) string {
-	if u := d.m[k]; u != nil {
-		return u.state.Holder
+// Leader is the last holder seen.
+func (d *Candidate) Leader(k string) string {
+	if current := d.roles[k]; current != nil {
+		return current.state.Leader
 	}
 	return ""
 }
@@ -131,99 +133,99 @@
 // Tick looks at the registers and takes what has no living holder. Ranked by
 // the hash of duty and candidate, each waits a little longer than the one
 // before it, so that mostly one of them tries.
-func (d *Duties) Tick(now int64, alive func(string) bool) Effects {
-	var fx Effects
+func (d *Candidate) Tick(now int64, alive func(string) bool) Effects {
+	var effects Effects
 	for _, k := range d.order {
-		u := d.m[k]
-		if u.asked > 0 {
-			if now-u.asked > askTimeout+lookEvery {
-				u.asked = 0
+		current := d.roles[k]
+		if current.requestedAt > 0 {
+			if now-current.requestedAt > requestTimeout+pollInterval {
+				current.requestedAt = 0
 			}
 			continue
 		}
-		if u.known && (u.state.Holder == "" || !d.mine(u) && (u.state.Holder == d.self || !alive(u.state.Holder))) && !d.leaving {
-			if u.open == 0 {
-				u.open = now
+		if current.known && (current.state.Leader == "" || !d.leads(current) && (current.state.Leader == d.self || !alive(current.state.Leader))) && !d.draining {
+			if current.vacantSince == 0 {
+				current.vacantSince = now
 			}
 			// One that was named takes the duty up in its own run; the holder
 			// before it has stopped, and nobody has acted since.
-			named := u.state.Holder == d.self && u.state.Handed && u.state.Run == 0
-			if named || now-u.open >= d.rank(k, alive)*300_000 {
-				s := &schema.DutyState{Holder: d.self, Run: d.run, Term: u.state.Term + 1, Handed: named}
+			named := current.state.Leader == d.self && current.state.HandedOver && current.state.Run == 0
+			if named || now-current.vacantSince >= d.candidatesAhead(k, alive)*300_000 {
+				s := &schema.RoleState{Leader: d.self, Run: d.run, Term: current.state.Term + 1, HandedOver: named}
 				if named {
-					s.Grants = u.state.Grants
+					s.ConnectionLeases = current.state.ConnectionLeases
 				}
-				d.put(&fx, now, u, s)
+				d.propose(&effects, now, current, s)
 				continue
 			}
 		} else {
-			u.open = 0
+			current.vacantSince = 0
 		}
-		if d.leaving && d.mine(u) && u.known {
+		if d.draining && d.leads(current) && current.known {
 			if n := d.successor(k, alive); n != "" {
-				if !u.leaving {
+				if !current.resigned {
 					// Handed on says that nobody acts any more: not so while the
 					// holder before this one still may.
-					u.only = d.Exclusive(k, now)
-					if d.grants != nil && u.only {
-						u.told = d.grants(k, now)
+					current.exclusiveAtResign = d.IsExclusive(k, now)
+					if d.currentLeases != nil && current.exclusiveAtResign {
+						current.handedLeases = d.currentLeases(k, now)
 					}
 				}
-				u.leaving = true // from here on it gives nothing any more
-				d.put(&fx, now, u, &schema.DutyState{Holder: n, Term: u.state.Term + 1, Handed: u.only, Grants: u.told})
+				current.resigned = true // from here on it gives nothing any more
+				d.propose(&effects, now, current, &schema.RoleState{Leader: n, Term: current.state.Term + 1, HandedOver: current.exclusiveAtResign, ConnectionLeases: current.handedLeases})
 				continue
 			}
 		}
-		if now >= u.next {
-			u.asked, u.next = now, now+lookEvery
-			fx.Changes = append(fx.Changes, paxos.Change{Name: d.name(), Key: k, Read: true, Deadline: now + askTimeout})
+		if now >= current.nextPollAt {
+			current.requestedAt, current.nextPollAt = now, now+pollInterval
+			effects.Changes = append(effects.Changes, paxos.Change{ID: d.newChangeID(), Key: k, ReadOnly: true, Deadline: now + requestTimeout})
 		}
 	}
-	return fx
+	return effects
 }
 
-func (d *Duties) put(fx *Effects, now int64, u *duty, s *schema.DutyState) {
+func (d *Candidate) propose(effects *Effects, now int64, current *role, s *schema.RoleState) {
 	b, err := proto.Marshal(s)
 	if err != nil {
 		panic(err)
 	}
-	u.asked, u.next, u.known = now, now+lookEvery, false
-	fx.Changes = append(fx.Changes, paxos.Change{Name: d.name(), Key: u.key, Base: u.revision, Data: b, Deadline: now + askTimeout})
+	current.requestedAt, current.nextPollAt, current.known = now, now+pollInterval, false
+	effects.Changes = append(effects.Changes, paxos.Change{ID: d.newChangeID(), Key: current.key, BaseRevision: current.revision, Data: b, Deadline: now + requestTimeout})
 }
 
-// Outcome takes the end of a change of this package.
-func (d *Duties) Outcome(now int64, o paxos.Outcome) Effects {
-	var fx Effects
-	u := d.m[o.Change.Key]
-	if u == nil {
-		return fx
+// HandleOutcome takes the end of a change of this package.
+func (d *Candidate) HandleOutcome(now int64, o paxos.Outcome) Effects {
+	var effects Effects
+	current := d.roles[o.Change.Key]
+	if current == nil {
+		return effects
 	}
-	asked := u.asked
-	u.asked = 0
-	if o.Verdict != paxos.Agreed && o.Verdict != paxos.Lost {
-		return fx
+	requestedAt := current.requestedAt
+	current.requestedAt = 0
+	if o.Verdict != paxos.Committed && o.Verdict != paxos.Conflict {
+		return effects
 	}
-	s := &schema.DutyState{}
+	s := &schema.RoleState{}
 	if err := proto.Unmarshal(o.Value.GetData(), s); err != nil {
-		return fx
+		return effects
 	}
-	if o.Value.GetRevision() < u.revision {
-		return fx
+	if o.Value.GetRevision() < current.revision {
+		return effects
 	}
-	was := d.mine(u) && u.state.Term == s.Term
-	u.state, u.revision, u.known = s, o.Value.GetRevision(), true
-	if d.mine(u) && asked > 0 {
-		if !was {
-			u.since = now
-			fx.Taken = append(fx.Taken, u.key)
+	wasLeader := d.leads(current) && current.state.Term == s.Term
+	current.state, current.revision, current.known = s, o.Value.GetRevision(), true
+	if d.leads(current) && requestedAt > 0 {
+		if !wasLeader {
+			current.leaderSince = now
+			effects.Acquired = append(effects.Acquired, current.key)
 		}
-		u.valid = asked + LeaseUs
+		current.leaseUntil = requestedAt + LeaseUs
 	}
-	return fx
+	return effects
 }
 
-// rank counts the living candidates ahead of this one.
-func (d *Duties) rank(k string, alive func(string) bool) int64 {
+// candidatesAhead counts the living candidates ahead of this one.
+func (d *Candidate) candidatesAhead(k string, alive func(string) bool) int64 {
 	n := int64(0)
 	for _, c := range step.Rank(k, d.candidates) {
 		if c == d.self {
@@ -236,7 +238,7 @@
 	return n
 }
 
-func (d *Duties) successor(k string, alive func(string) bool) string {
+func (d *Candidate) successor(k string, alive func(string) bool) string {
 	for _, c := range step.Rank(k, d.candidates) {
 		if c != d.self && alive(c) {
 			return c
--- a/duties/duties_test.go
+++ b/duties/duties_test.go
@@ -9,21 +9,21 @@
 	"stoneford/schema"
 )
 
-// register is one that a majority keeps, seen from afar: changes and readings
+// fakeRegister is one that a majority keeps, seen from afar: changes and readings
 // arrive late or never, and so do their outcomes.
-type register struct {
-	v *schema.Value
+type fakeRegister struct {
+	value *schema.Value
 }
 
-func (r *register) put(c paxos.Change) paxos.Outcome {
-	o := paxos.Outcome{Change: c, Verdict: paxos.Agreed, Value: r.v}
+func (r *fakeRegister) commit(c paxos.Change) paxos.Outcome {
+	o := paxos.Outcome{Change: c, Verdict: paxos.Committed, Value: r.value}
 	switch {
-	case c.Read:
-	case c.Base != r.v.GetRevision():
-		o.Verdict = paxos.Lost
+	case c.ReadOnly:
+	case c.BaseRevision != r.value.GetRevision():
+		o.Verdict = paxos.Conflict
 	default:
-		r.v = &schema.Value{Revision: c.Base + 1, Data: c.Data}
-		o.Value = r.v
+		r.value = &schema.Value{Revision: c.BaseRevision + 1, Data: c.Data}
+		o.Value = r.value
 	}
 	return o
 }
@@ -33,26 +33,26 @@
 // two of them count as the only holder, and mostly one does.
 func TestOneIsExclusive(t *testing.T) {
 	type candidate struct {
-		d      *Duties
-		rate   float64
-		offset int64
-		silent int64
-		in     []func(now int64)
-		run    uint64
+		d           *Candidate
+		rate        float64
+		offset      int64
+		silentUntil int64
+		inbox       []func(now int64)
+		run         uint64
 	}
-	held, ticks, handed, changed := 0, 0, 0, 0
+	exclusiveTicks, ticks, handovers, leaderChanges := 0, 0, 0, 0
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		reg := &register{}
+		register := &fakeRegister{}
 		names := []string{"a", "b", "c"}
-		cs := map[string]*candidate{}
+		candidates := map[string]*candidate{}
 		n, runs := 0, uint64(0)
 		start := func(a string) {
 			runs++
 			c := &candidate{rate: 0.96 + 0.08*r.Float64(), offset: r.Int64N(1<<40) + 1_000_000, run: runs}
-			c.d = New(a, c.run, names, func() string { n++; return fmt.Sprint(n) }, func(string, int64) *schema.Grants { return &schema.Grants{} })
-			c.d.Want([]string{"duty"})
-			cs[a] = c
+			c.d = New(a, c.run, names, func() string { n++; return fmt.Sprint(n) }, func(string, int64) *schema.ConnectionLeases { return &schema.ConnectionLeases{} })
+			c.d.SetRoles([]string{"duty"})
+			candidates[a] = c
 		}
 		for _, a := range names {
 			start(a)
@@ -62,67 +62,69 @@
 			clock := func(c *candidate) int64 { return int64(float64(now)*c.rate) + c.offset }
 			switch r.IntN(300) {
 			case 0:
-				cs[names[r.IntN(3)]].silent = now + r.Int64N(6_000_000)
+				candidates[names[r.IntN(3)]].silentUntil = now + r.Int64N(6_000_000)
 			case 1:
 				start(names[r.IntN(3)])
 			case 2:
-				cs[names[r.IntN(3)]].d.Leave()
+				candidates[names[r.IntN(3)]].d.Drain()
 			}
-			only := ""
+			exclusive := ""
 			for _, a := range names {
-				c := cs[a]
-				if now < c.silent {
+				c := candidates[a]
+				if now < c.silentUntil {
 					continue
 				}
-				in := c.in
-				c.in = nil
-				for _, f := range in {
+				inbox := c.inbox
+				c.inbox = nil
+				for _, f := range inbox {
 					f(clock(c))
 				}
-				fx := c.d.Tick(clock(c), func(o string) bool { return o == a || now >= cs[o].silent && !cs[o].d.leaving && r.IntN(200) > 0 })
-				for _, ch := range fx.Changes {
+				effects := c.d.Tick(clock(c), func(o string) bool {
+					return o == a || now >= candidates[o].silentUntil && !candidates[o].d.draining && r.IntN(200) > 0
+				})
+				for _, change := range effects.Changes {
 					if r.IntN(10) == 0 {
 						continue // it never arrives
 					}
-					if o := reg.put(ch); r.IntN(10) > 0 {
-						c.in = append(c.in, func(now int64) { c.d.Outcome(now, o) })
+					if o := register.commit(change); r.IntN(10) > 0 {
+						c.inbox = append(c.inbox, func(now int64) { c.d.HandleOutcome(now, o) })
 					}
 				}
-				if c.d.Exclusive("duty", clock(c)) {
-					if only != "" {
-						t.Fatalf("seed %d at %d us: %s and %s both count as the only holder", seed, now, only, a)
+				if c.d.IsExclusive("duty", clock(c)) {
+					if exclusive != "" {
+						t.Fatalf("seed %d at %d us: %s and %s both count as the only holder", seed, now, exclusive, a)
 					}
-					only = a
+					exclusive = a
 				}
 			}
 			// One that is frozen counts too: it goes on from where it was.
 			for _, a := range names {
-				if c := cs[a]; now < c.silent && a != only && only != "" && c.d.Exclusive("duty", clock(c)) {
-					t.Fatalf("seed %d at %d us: %s froze as the only holder, and so is %s", seed, now, a, only)
+				if c := candidates[a]; now < c.silentUntil && a != exclusive && exclusive != "" && c.d.IsExclusive("duty", clock(c)) {
+					t.Fatalf("seed %d at %d us: %s froze as the only holder, and so is %s", seed, now, a, exclusive)
 				}
 			}
 			ticks++
-			if only != "" {
-				held++
-				if only != last {
-					last = only
-					changed++
-					if cs[only].d.Grants("duty") != nil {
-						handed++
+			if exclusive != "" {
+				exclusiveTicks++
+				if exclusive != last {
+					last = exclusive
+					leaderChanges++
+					if candidates[exclusive].d.InheritedLeases("duty") != nil {
+						handovers++
 					}
 				}
 			}
 			if r.IntN(60) == 0 {
 				for _, a := range names {
-					if cs[a].d.leaving {
+					if candidates[a].d.draining {
 						start(a)
 					}
 				}
 			}
 		}
 	}
-	t.Logf("held for %.2f of the time, %d changes of holder, %d of them handed on", float64(held)/float64(ticks), changed, handed)
-	if float64(held)/float64(ticks) < 0.4 || changed < 500 || handed < 50 {
+	t.Logf("held for %.2f of the time, %d changes of holder, %d of them handed on", float64(exclusiveTicks)/float64(ticks), leaderChanges, handovers)
+	if float64(exclusiveTicks)/float64(ticks) < 0.4 || leaderChanges < 500 || handovers < 50 {
 		t.Error("the runs show little")
 	}
 }
@@ -130,31 +132,31 @@
 // Two candidates over one register: one takes the duty, leaves and names the
 // other, which acts at once.
 func Example() {
-	reg, n := &register{}, 0
+	register, n := &fakeRegister{}, 0
 	name := func() string { n++; return fmt.Sprint(n) }
 	alive := func(string) bool { return true }
-	ds := []*Duties{New("a", 1, []string{"a", "b"}, name, nil), New("b", 1, []string{"a", "b"}, name, nil)}
+	candidates := []*Candidate{New("a", 1, []string{"a", "b"}, name, nil), New("b", 1, []string{"a", "b"}, name, nil)}
 	run := func(from, until int64) {
 		for now := from; now < until; now += 100_000 {
-			for _, d := range ds {
-				for _, ch := range d.Tick(now, alive).Changes {
-					d.Outcome(now, reg.put(ch))
+			for _, d := range candidates {
+				for _, change := range d.Tick(now, alive).Changes {
+					d.HandleOutcome(now, register.commit(change))
 				}
 			}
 		}
 	}
-	for _, d := range ds {
-		d.Want([]string{"sweep"})
+	for _, d := range candidates {
+		d.SetRoles([]string{"sweep"})
 	}
 	run(1_000_000, 5_000_000)
-	first, second := ds[0], ds[1]
-	if second.Exclusive("sweep", 5_000_000) {
+	first, second := candidates[0], candidates[1]
+	if second.IsExclusive("sweep", 5_000_000) {
 		first, second = second, first
 	}
-	fmt.Println(first.Exclusive("sweep", 5_000_000), second.Exclusive("sweep", 5_000_000))
-	first.Leave()
+	fmt.Println(first.IsExclusive("sweep", 5_000_000), second.IsExclusive("sweep", 5_000_000))
+	first.Drain()
 	run(5_000_000, 6_000_000)
-	fmt.Println(first.Exclusive("sweep", 6_000_000), second.Exclusive("sweep", 6_000_000))
+	fmt.Println(first.IsExclusive("sweep", 6_000_000), second.IsExclusive("sweep", 6_000_000))
 	// Output:
 	// true false
 	// false true
--- a/fleetsimulation/behaviour_test.go
+++ b/fleetsimulation/behaviour_test.go
@@ -33,7 +33,7 @@
 		plans = plans[:2]
 	}
 	rows := make([]behaviourhash.Row, len(plans))
-	each(uint64(len(plans)), 0, func(i uint64) {
+	runSeeds(uint64(len(plans)), 0, func(i uint64) {
 		p := plans[i]
 		p.Observe = behaviourhash.New()
 		f := faulty(p, 1_800_000)
@@ -66,7 +66,7 @@
 	a := faulty(p, 1_800_000)
 	p.Observe = behaviourhash.New()
 	b := faulty(p, 1_800_000)
-	if strings.Join(a.Says, "\n") != strings.Join(b.Says, "\n") || a.Now != b.Now || a.seq != b.seq || a.R.Uint64() != b.R.Uint64() {
-		t.Errorf("%d and %d events, until %d and %d", a.seq, b.seq, a.Now, b.Now)
+	if strings.Join(a.Log, "\n") != strings.Join(b.Log, "\n") || a.Now != b.Now || a.sequence != b.sequence || a.Random.Uint64() != b.Random.Uint64() {
+		t.Errorf("%d and %d events, until %d and %d", a.sequence, b.sequence, a.Now, b.Now)
 	}
 }
--- a/fleetsimulation/callers.go
+++ b/fleetsimulation/callers.go
@@ -9,58 +9,58 @@
 	"stoneford/sessiontable"
 )
 
-// routeTruth is one route as callers know it.
-type routeTruth struct {
-	name     string
-	host     string
-	group    string
-	kind     ports.ClassKind
-	expiry   int64
-	aim      int64
-	staleUs  int64
-	patience int64 // how long a caller goes on with one operation
-	writes   float64
-	txs      float64
+// callerRoute is one route as callers know it.
+type callerRoute struct {
+	name             string
+	host             string
+	group            string
+	kind             ports.ReadClass
+	deadlineUs       int64
+	latencyTargetUs  int64
+	stalenessUs      int64
+	patienceUs       int64 // how long a caller goes on with one operation
+	writeShare       float64
+	transactionShare float64
 }
 
 // Session is one caller's session, at its caller's side.
 type Session struct {
-	f        *Fleet
-	c        *caller
-	n        *Node
-	gen      int
-	id       uint64
-	open     bool // nothing ended it yet
-	ready    bool
-	state    ports.State
-	vals     map[string]string
-	prepared map[string]shape
-	ask      *asking
-	floor    *entry
+	fleet       *Fleet
+	caller      *caller
+	node        *Node
+	generation  int
+	id          uint64
+	open        bool // nothing ended it yet
+	ready       bool
+	state       ports.TransactionState
+	values      map[string]string
+	prepared    map[string]shape
+	request     *pendingRequest
+	minPosition *entry
 }
 
-type asking struct {
-	st   *Statement // nil while it opens
-	atUs int64      // it arrived at the node
-	end  func(r ports.Reply, lost bool)
+type pendingRequest struct {
+	statement *Statement // nil while it opens
+	atUs      int64      // it arrived at the node
+	end       func(r ports.Reply, lost bool)
 }
 
 // caller is one client.
 type caller struct {
-	f     *Fleet
-	name  string
-	zone  string
-	r     *routeTruth
-	long  bool
-	vals  bool
-	sess  *Session
-	ids   int
-	steps int
-	done  bool
+	fleet      *Fleet
+	name       string
+	zone       string
+	route      *callerRoute
+	longLived  bool
+	setsValues bool
+	session    *Session
+	nextID     int
+	steps      int
+	done       bool
 }
 
-// try is one try of an operation.
-type try struct {
+// attempt is one try of an operation.
+type attempt struct {
 	op       *operation
 	stmts    []*Statement
 	promised string
@@ -68,48 +68,48 @@
 }
 
 // wrote says whether a transaction of it asked for a write that was taken.
-func (t *try) wrote(x *transaction) bool {
-	return slices.ContainsFunc(t.stmts, func(s *Statement) bool { return s.tx == x && s.writes && len(s.results) > 0 })
+func (t *attempt) wrote(x *transaction) bool {
+	return slices.ContainsFunc(t.stmts, func(s *Statement) bool { return s.transaction == x && s.writes && len(s.results) > 0 })
 }
 
 type operation struct {
-	c       *caller
-	atUs    int64
-	tries   int
-	tried   []*Node
-	plan    []planned
-	only    bool // it only reads
-	counted bool
-	ended   bool
-	s       *Session
+	caller     *caller
+	atUs       int64
+	attempts   int
+	triedNodes []*Node
+	plan       []plannedStatement
+	readOnly   bool // it only reads
+	counted    bool
+	finished   bool
+	session    *Session
 }
 
-type planned struct {
-	kind   ports.Kind
-	text   string
-	writes bool // of a prepared name
-	restUs int64
-	leave  bool
+type plannedStatement struct {
+	kind       ports.StatementKind
+	text       string
+	writes     bool // of a prepared name
+	restUs     int64
+	endSession bool
 }
 
 func (f *Fleet) startCallers() {
 	for i := range f.Plan.Callers {
 		g := f.groups[i%len(f.groups)]
-		c := &caller{f: f, name: fmt.Sprintf("caller-%d", i), zone: zoneNames[f.R.IntN(len(zoneNames))], long: f.Chance(0.7), vals: f.Chance(0.5)}
-		var rs []*routeTruth
+		c := &caller{fleet: f, name: fmt.Sprintf("caller-%d", i), zone: zoneNames[f.Random.IntN(len(zoneNames))], longLived: f.Chance(0.7), setsValues: f.Chance(0.5)}
+		var rs []*callerRoute
 		for _, r := range f.routes {
 			if r.group == g.name {
 				rs = append(rs, r)
 			}
 		}
 		// 55, 25 and 20 of a hundred.
-		switch x := f.R.Float64(); {
+		switch x := f.Random.Float64(); {
 		case x < 0.55:
-			c.r = rs[0]
+			c.route = rs[0]
 		case x < 0.8:
-			c.r = rs[1]
+			c.route = rs[1]
 		default:
-			c.r = rs[2]
+			c.route = rs[2]
 		}
 		f.callers = append(f.callers, c)
 		f.After(f.Between(0, 300_000), c.next)
@@ -118,56 +118,56 @@
 
 // next begins the caller's next operation after a while.
 func (c *caller) next() {
-	f := c.f
-	if c.done || f.Now >= f.lastOps {
+	f := c.fleet
+	if c.done || f.Now >= f.lastOperationUs {
 		c.done = true
 		return
 	}
-	every := int64(float64(f.Plan.EveryUs) / f.press)
+	every := int64(float64(f.Plan.CallerIntervalUs) / f.loadFactor)
 	f.After(f.Between(every/2, every*3/2), func() {
-		if c.done || f.Now >= f.lastOps {
+		if c.done || f.Now >= f.lastOperationUs {
 			c.done = true
 			return
 		}
 		o := c.plan()
-		f.After(c.r.patience, func() {
-			if !o.ended {
+		f.After(c.route.patienceUs, func() {
+			if !o.finished {
 				o.end(false)
 			}
 		})
-		o.try()
+		o.attempt()
 	})
 }
 
-func (c *caller) text() string { c.steps++; return fmt.Sprintf("thing-%d", c.f.R.IntN(2000)) }
+func (c *caller) text() string { c.steps++; return fmt.Sprintf("thing-%d", c.fleet.Random.IntN(2000)) }
 
 func (c *caller) plan() *operation {
-	f := c.f
-	o := &operation{c: c, atUs: f.Now, counted: true, only: true}
-	read := func() planned {
-		if c.vals && f.Chance(0.3) {
-			return planned{kind: ports.Run, text: c.text()}
+	f := c.fleet
+	o := &operation{caller: c, atUs: f.Now, counted: true, readOnly: true}
+	read := func() plannedStatement {
+		if c.setsValues && f.Chance(0.3) {
+			return plannedStatement{kind: ports.Execute, text: c.text()}
 		}
-		return planned{kind: ports.Read, text: c.text()}
+		return plannedStatement{kind: ports.Read, text: c.text()}
 	}
-	write := func() planned {
-		o.only = false
-		if c.vals && f.Chance(0.3) {
-			return planned{kind: ports.Run, text: c.text() + " new", writes: true}
+	write := func() plannedStatement {
+		o.readOnly = false
+		if c.setsValues && f.Chance(0.3) {
+			return plannedStatement{kind: ports.Execute, text: c.text() + " new", writes: true}
 		}
-		return planned{kind: ports.Write, text: c.text() + " new", writes: true}
+		return plannedStatement{kind: ports.Write, text: c.text() + " new", writes: true}
 	}
-	if !f.Chance(c.r.txs) {
+	if !f.Chance(c.route.transactionShare) {
 		p := read()
-		if f.Chance(c.r.writes) {
+		if f.Chance(c.route.writeShare) {
 			p = write()
 		}
-		o.plan = []planned{p}
+		o.plan = []plannedStatement{p}
 		return o
 	}
-	b := planned{kind: ports.Begin}
+	b := plannedStatement{kind: ports.Begin}
 	pw := 0.5
-	if c.r.kind == ports.Bounded || f.Chance(0.15) {
+	if c.route.kind == ports.BoundedStaleness || f.Chance(0.15) {
 		b.kind, pw = ports.BeginRead, 0
 	}
 	o.plan = append(o.plan, b)
@@ -179,32 +179,32 @@
 		p.restUs = f.Between(0, 50_000)
 		o.plan = append(o.plan, p)
 	}
-	if c.vals && f.Chance(0.1) { // inside, too
-		o.plan = slices.Insert(o.plan, 1+f.R.IntN(len(o.plan)), planned{kind: ports.SetValue})
+	if c.setsValues && f.Chance(0.1) { // inside, too
+		o.plan = slices.Insert(o.plan, 1+f.Random.IntN(len(o.plan)), plannedStatement{kind: ports.SetValue})
 	}
 	switch {
 	case f.Chance(0.03):
 		o.counted = false
-		o.plan = append(o.plan, planned{leave: true})
+		o.plan = append(o.plan, plannedStatement{endSession: true})
 	case f.Chance(0.02):
 		o.counted = false
-		o.plan = append(o.plan, planned{kind: ports.Commit, restUs: 3_500_000})
+		o.plan = append(o.plan, plannedStatement{kind: ports.Commit, restUs: 3_500_000})
 	case f.Chance(0.1):
-		o.plan = append(o.plan, planned{kind: ports.Rollback})
+		o.plan = append(o.plan, plannedStatement{kind: ports.Rollback})
 	default:
-		o.plan = append(o.plan, planned{kind: ports.Commit, restUs: f.Between(0, 50_000)})
+		o.plan = append(o.plan, plannedStatement{kind: ports.Commit, restUs: f.Between(0, 50_000)})
 	}
 	return o
 }
 
 // end ends an operation, well or not.
 func (o *operation) end(ok bool) {
-	if o.ended {
+	if o.finished {
 		return
 	}
-	o.ended = true
-	c, f := o.c, o.c.f
-	if s := o.s; s != nil && (s.ask != nil || s.state != ports.Idle || !s.ready || !c.long || !ok && f.Chance(0.5)) {
+	o.finished = true
+	c, f := o.caller, o.caller.fleet
+	if s := o.session; s != nil && (s.request != nil || s.state != ports.Idle || !s.ready || !c.longLived || !ok && f.Chance(0.5)) {
 		s.close()
 	}
 	if o.counted {
@@ -213,31 +213,31 @@
 	c.next()
 }
 
-// try tries the operation once more, whole.
-func (o *operation) try() {
-	if o.ended {
+// attempt tries the operation once more, whole.
+func (o *operation) attempt() {
+	if o.finished {
 		return
 	}
-	c, f := o.c, o.c.f
-	o.tries++
-	t := &try{op: o}
-	s := c.sess
-	if s == nil || !s.open || !s.ready || s.state != ports.Idle || s.ask != nil || o.tries > 1 {
+	c, f := o.caller, o.caller.fleet
+	o.attempts++
+	t := &attempt{op: o}
+	s := c.session
+	if s == nil || !s.open || !s.ready || s.state != ports.Idle || s.request != nil || o.attempts > 1 {
 		if s != nil && s.open {
 			s.close()
 		}
-		n := f.pickNode(c.zone, o.tried)
+		n := f.pickNode(c.zone, o.triedNodes)
 		if n == nil {
 			o.failed(true)
 			return
 		}
 		s = c.connect(n)
-		c.sess = s
+		c.session = s
 	}
-	o.s = s
-	o.tried = append(o.tried, s.n)
+	o.session = s
+	o.triedNodes = append(o.triedNodes, s.node)
 	if !s.ready {
-		s.ask = &asking{end: func(r ports.Reply, lost bool) {
+		s.request = &pendingRequest{end: func(r ports.Reply, lost bool) {
 			if lost || r.Code != ports.Done {
 				s.close()
 				o.failed(true)
@@ -247,9 +247,9 @@
 			o.prepare(t, s)
 		}}
 		f.After(2_000_000, func() {
-			if !s.ready && s.open && s.ask != nil {
-				f.truth.TooLate++
-				s.broke()
+			if !s.ready && s.open && s.request != nil {
+				f.oracle.RejectedTooLate++
+				s.connectionBroke()
 			}
 		})
 		return
@@ -258,24 +258,24 @@
 }
 
 // prepare sets the session's values and prepared names now and then.
-func (o *operation) prepare(t *try, s *Session) {
-	f, c := o.c.f, o.c
-	var pre []planned
-	if c.vals && len(s.vals) == 0 {
-		pre = append(pre, planned{kind: ports.SetValue}, planned{kind: ports.SetValue})
-	} else if c.vals && f.Chance(0.1) {
-		pre = append(pre, planned{kind: ports.SetValue})
-	}
-	if c.vals {
+func (o *operation) prepare(t *attempt, s *Session) {
+	f, c := o.caller.fleet, o.caller
+	var pre []plannedStatement
+	if c.setsValues && len(s.values) == 0 {
+		pre = append(pre, plannedStatement{kind: ports.SetValue}, plannedStatement{kind: ports.SetValue})
+	} else if c.setsValues && f.Chance(0.1) {
+		pre = append(pre, plannedStatement{kind: ports.SetValue})
+	}
+	if c.setsValues {
 		for _, w := range []bool{false, true} {
 			n := preparedName(w)
 			_, has := s.prepared[n]
 			if has && f.Chance(0.05) {
-				pre = append(pre, planned{kind: ports.Drop, writes: w})
+				pre = append(pre, plannedStatement{kind: ports.Deallocate, writes: w})
 				has = false
 			}
 			if !has || f.Chance(0.05) {
-				pre = append(pre, planned{kind: ports.Prepare, writes: w})
+				pre = append(pre, plannedStatement{kind: ports.Prepare, writes: w})
 			}
 		}
 	}
@@ -290,9 +290,9 @@
 }
 
 // run asks one planned statement after the other.
-func (o *operation) run(t *try, s *Session, ps []planned, x *transaction) {
-	f, c := o.c.f, o.c
-	if o.ended {
+func (o *operation) run(t *attempt, s *Session, ps []plannedStatement, x *transaction) {
+	f, c := o.caller.fleet, o.caller
+	if o.finished {
 		return
 	}
 	if len(ps) == 0 {
@@ -303,13 +303,13 @@
 	if p.restUs > 0 {
 		f.After(p.restUs, func() {
 			p.restUs = 0
-			if !o.ended {
-				o.run(t, s, append([]planned{p}, ps[1:]...), x)
+			if !o.finished {
+				o.run(t, s, append([]plannedStatement{p}, ps[1:]...), x)
 			}
 		})
 		return
 	}
-	if p.leave {
+	if p.endSession {
 		s.close()
 		o.end(false)
 		return
@@ -318,188 +318,188 @@
 		o.failed(!t.sent)
 		return
 	}
-	c.ids++
-	st := &Statement{id: fmt.Sprintf("%s.%d", c.name, c.ids), kind: p.kind, text: p.text, writes: p.kind == ports.Write, sess: s, try: t, route: c.r, sentUs: f.Now}
+	c.nextID++
+	statement := &Statement{id: fmt.Sprintf("%s.%d", c.name, c.nextID), kind: p.kind, text: p.text, writes: p.kind == ports.Write, session: s, attempt: t, route: c.route, sentUs: f.Now}
 	switch p.kind {
 	case ports.SetValue:
-		st.name, st.text = fmt.Sprintf("v%d", f.R.IntN(3)), fmt.Sprint(f.R.IntN(5))
+		statement.name, statement.text = fmt.Sprintf("v%d", f.Random.IntN(3)), fmt.Sprint(f.Random.IntN(5))
 	case ports.Prepare:
-		st.name, st.text = preparedName(p.writes), fmt.Sprintf("shape-%d", f.R.IntN(6))
-		st.shape = shape{st.text, p.writes}
-	case ports.Drop, ports.Run:
-		st.name = preparedName(p.writes)
-		st.shape = s.prepared[st.name]
-		st.writes = p.kind == ports.Run && p.writes
+		statement.name, statement.text = preparedName(p.writes), fmt.Sprintf("shape-%d", f.Random.IntN(6))
+		statement.shape = shape{statement.text, p.writes}
+	case ports.Deallocate, ports.Execute:
+		statement.name = preparedName(p.writes)
+		statement.shape = s.prepared[statement.name]
+		statement.writes = p.kind == ports.Execute && p.writes
 	case ports.Begin, ports.BeginRead:
-		x = &transaction{need: f.truth.needs(c.r, s)}
+		x = &transaction{required: f.oracle.requiredEntries(c.route, s)}
 	}
-	st.raw = fmt.Sprintf("%s %d %s %s", st.id, st.kind, st.name, st.text)
-	st.tx, st.vals = x, s.vals
+	statement.raw = fmt.Sprintf("%s %d %s %s", statement.id, statement.kind, statement.name, statement.text)
+	statement.transaction, statement.values = x, s.values
 	if x == nil {
-		st.need = f.truth.needs(c.r, s)
-	} else if st.kind == ports.Read || st.kind == ports.Write || st.kind == ports.Run || st.kind == ports.Commit {
+		statement.required = f.oracle.requiredEntries(c.route, s)
+	} else if statement.kind == ports.Read || statement.kind == ports.Write || statement.kind == ports.Execute || statement.kind == ports.Commit {
 		if x.first == nil {
-			x.first = st
+			x.first = statement
 		}
 	}
-	st.workUs = f.Between(1_000, 6_000)
-	if c.r.kind == ports.Bounded {
-		st.workUs = f.Between(5_000, 30_000)
+	statement.workUs = f.Between(1_000, 6_000)
+	if c.route.kind == ports.BoundedStaleness {
+		statement.workUs = f.Between(5_000, 30_000)
 	}
-	if st.kind == ports.Commit || x == nil && st.writes {
+	if statement.kind == ports.Commit || x == nil && statement.writes {
 		t.sent = true
 	}
-	t.stmts = append(t.stmts, st)
-	f.truth.stmts[st.id] = st
-	s.send(st, func(r ports.Reply, lost bool) {
+	t.stmts = append(t.stmts, statement)
+	f.oracle.statements[statement.id] = statement
+	s.send(statement, func(r ports.Reply, lost bool) {
 		if !lost {
-			f.truth.ended(st, r)
+			f.oracle.statementEnded(statement, r)
 		}
-		if o.ended {
+		if o.finished {
 			return
 		}
 		if lost || r.Code != ports.Done {
-			if !lost && (r.Code == ports.Malformed || r.Code == ports.NoDatabase || r.Code == ports.NoStatement || r.Code == ports.Denied) {
-				f.truth.bad("%q was answered %d %s", st.raw, r.Code, r.Text)
+			if !lost && (r.Code == ports.Malformed || r.Code == ports.DatabaseUnavailable || r.Code == ports.UnknownPreparedStatement || r.Code == ports.Denied) {
+				f.oracle.violation("%q was answered %d %s", statement.raw, r.Code, r.Text)
 			}
 			o.ends(t, s, r, lost)
 			return
 		}
-		switch st.kind {
+		switch statement.kind {
 		case ports.SetValue:
-			s.vals = maps.Clone(s.vals)
-			s.vals[st.name] = st.text
+			s.values = maps.Clone(s.values)
+			s.values[statement.name] = statement.text
 		case ports.Prepare:
-			s.prepared[st.name] = st.shape
-		case ports.Drop:
-			delete(s.prepared, st.name)
+			s.prepared[statement.name] = statement.shape
+		case ports.Deallocate:
+			delete(s.prepared, statement.name)
 		}
 		y := x
-		want := ports.Open
-		if st.kind == ports.Commit || st.kind == ports.Rollback || x == nil {
+		want := ports.InTransaction
+		if statement.kind == ports.Commit || statement.kind == ports.Rollback || x == nil {
 			y, want = nil, ports.Idle
 		}
 		if r.State != want {
-			f.truth.bad("%q was answered in state %d", st.raw, r.State)
+			f.oracle.violation("%q was answered in state %d", statement.raw, r.State)
 		}
 		o.run(t, s, ps[1:], y)
 	})
 }
 
 // ends says what follows from a try that failed.
-func (o *operation) ends(t *try, s *Session, r ports.Reply, lost bool) {
+func (o *operation) ends(t *attempt, s *Session, r ports.Reply, lost bool) {
 	if s.open {
 		if r.State != ports.Idle || lost {
 			s.close()
 		}
 	}
-	again := !t.sent
-	if !lost && r.Code.Promise() || !lost && r.Code == ports.Failed && o.only {
-		again = true
+	retry := !t.sent
+	if !lost && r.Code.NoEffect() || !lost && r.Code == ports.Failed && o.readOnly {
+		retry = true
 	}
-	o.failed(again)
+	o.failed(retry)
 }
 
 // failed tries again where that may be done, after a while.
-func (o *operation) failed(again bool) {
-	f := o.c.f
-	if o.ended {
+func (o *operation) failed(retry bool) {
+	f := o.caller.fleet
+	if o.finished {
 		return
 	}
-	if !again || o.tries >= 3 {
+	if !retry || o.attempts >= 3 {
 		o.end(false)
 		return
 	}
-	f.After(f.Between(5_000, 30_000)<<o.tries, o.try)
+	f.After(f.Between(5_000, 30_000)<<o.attempts, o.attempt)
 }
 
 // connect opens a session at a node.
 func (c *caller) connect(n *Node) *Session {
-	f := c.f
-	s := &Session{f: f, c: c, n: n, gen: n.gen, open: true, vals: map[string]string{}, prepared: map[string]shape{}}
+	f := c.fleet
+	s := &Session{fleet: f, caller: c, node: n, generation: n.generation, open: true, values: map[string]string{}, prepared: map[string]shape{}}
 	f.sessionIDs++
 	s.id = f.sessionIDs
-	f.After(toCallerUs, func() {
+	f.After(toCallerDelayUs, func() {
 		if !s.open {
 			return
 		}
-		if !n.up || n.gen != s.gen {
-			f.After(toCallerUs, s.broke)
+		if !n.up || n.generation != s.generation {
+			f.After(toCallerDelayUs, s.connectionBroke)
 			return
 		}
 		n.sessions[s.id] = s
-		n.enter(s.src(), func() {
-			if n.gen == s.gen && n.sessions[s.id] == s {
-				if s.ask != nil {
-					s.ask.atUs = f.Now
+		n.enter(s.source(), func() {
+			if n.generation == s.generation && n.sessions[s.id] == s {
+				if s.request != nil {
+					s.request.atUs = f.Now
 				}
-				n.step(sessiontable.Opened{Session: s.id, Host: c.r.host})
+				n.step(sessiontable.SessionOpened{Session: s.id, Host: c.route.host})
 			}
 		})
 	})
 	return s
 }
 
-func (s *Session) src() string { return fmt.Sprint("session", s.id) }
+func (s *Session) source() string { return fmt.Sprint("session", s.id) }
 
-func (s *Session) send(st *Statement, end func(ports.Reply, bool)) {
-	f, n := s.f, s.n
-	a := &asking{st: st, end: end}
-	s.ask = a
-	f.After(toCallerUs, func() {
-		n.enter(s.src(), func() {
-			if n.gen != s.gen || n.sessions[s.id] != s {
+func (s *Session) send(statement *Statement, end func(ports.Reply, bool)) {
+	f, n := s.fleet, s.node
+	a := &pendingRequest{statement: statement, end: end}
+	s.request = a
+	f.After(toCallerDelayUs, func() {
+		n.enter(s.source(), func() {
+			if n.generation != s.generation || n.sessions[s.id] != s {
 				return
 			}
 			a.atUs = f.Now
-			n.step(sessiontable.Asked{Session: s.id, St: ports.Statement{ID: st.id, Kind: st.kind, Name: st.name, Text: st.text, Writes: st.writes || st.shape.writes, Raw: []byte(st.raw)}})
+			n.step(sessiontable.StatementReceived{Session: s.id, Statement: ports.Statement{ID: statement.id, Kind: statement.kind, Name: statement.name, Text: statement.text, Writes: statement.writes || statement.shape.writes, Raw: []byte(statement.raw)}})
 		})
 	})
 }
 
 // replied brings a reply of the node's to the caller.
 func (s *Session) replied(r ports.Reply, closed bool) {
-	f := s.f
-	if a := s.ask; a != nil && a.atUs > 0 && len(r.Body) == 0 && r.Code.Promise() {
-		held := f.Now - a.atUs
-		f.truth.Held = append(f.truth.Held, held)
-		if held > refuseUs && (a.st == nil || !a.st.left) && s.n.troubleAt < a.atUs && s.n.plain() {
-			f.truth.bad("HELD: %s told %d (%s) after %d ms", s.n.name, r.Code, r.Text, held/1000)
+	f := s.fleet
+	if a := s.request; a != nil && a.atUs > 0 && len(r.Body) == 0 && r.Code.NoEffect() {
+		pending := f.Now - a.atUs
+		f.oracle.RejectionDelays = append(f.oracle.RejectionDelays, pending)
+		if pending > rejectTimeoutUs && (a.statement == nil || !a.statement.forwarded) && s.node.lastFaultUs < a.atUs && s.node.healthy() {
+			f.oracle.violation("HELD: %s told %d (%s) after %d ms", s.node.name, r.Code, r.Text, pending/1000)
 		}
 	}
-	f.After(toCallerUs, func() {
+	f.After(toCallerDelayUs, func() {
 		if !s.open {
 			return
 		}
 		s.state = r.State
-		a := s.ask
+		a := s.request
 		if closed {
 			s.open = false
 		}
 		if a == nil {
-			f.truth.bad("%s replied %d %s where nothing was asked", s.n.name, r.Code, r.Text)
+			f.oracle.violation("%s replied %d %s where nothing was asked", s.node.name, r.Code, r.Text)
 			s.close()
 			return
 		}
-		s.ask = nil
+		s.request = nil
 		a.end(r, false)
 	})
 }
 
 // shut is the node closing a session that asked nothing.
 func (s *Session) shut() {
-	s.f.After(toCallerUs, s.broke)
+	s.fleet.After(toCallerDelayUs, s.connectionBroke)
 }
 
-// broke ends a session from outside.
-func (s *Session) broke() {
+// connectionBroke ends a session from outside.
+func (s *Session) connectionBroke() {
 	if !s.open {
 		return
 	}
 	s.open = false
-	delete(s.n.sessions, s.id)
-	if a := s.ask; a != nil {
-		s.ask = nil
+	delete(s.node.sessions, s.id)
+	if a := s.request; a != nil {
+		s.request = nil
 		a.end(ports.Reply{}, true)
 	}
 }
@@ -509,13 +509,13 @@
 	if !s.open {
 		return
 	}
-	s.open, s.ask = false, nil
-	n, f := s.n, s.f
-	f.After(toCallerUs, func() {
-		n.enter(s.src(), func() {
-			if n.gen == s.gen && n.sessions[s.id] == s {
+	s.open, s.request = false, nil
+	n, f := s.node, s.fleet
+	f.After(toCallerDelayUs, func() {
+		n.enter(s.source(), func() {
+			if n.generation == s.generation && n.sessions[s.id] == s {
 				delete(n.sessions, s.id)
-				n.step(sessiontable.Left{Session: s.id})
+				n.step(sessiontable.SessionClosed{Session: s.id})
 			}
 		})
 	})
@@ -553,7 +553,7 @@
 	if len(ns) == 0 {
 		return nil
 	}
-	return ns[f.R.IntN(len(ns))]
+	return ns[f.Random.IntN(len(ns))]
 }
 
 // probe asks every node whether it is ready, each second.
--- a/fleetsimulation/controls.go
+++ b/fleetsimulation/controls.go
@@ -15,19 +15,19 @@
 // Control is one control process with its disk.
 type Control struct {
 	process
-	zone     string
-	boot     ports.Boot
-	core     *coordinator.Core
-	disk     [][]byte // synced entries of the voter's log
-	writing  [][]byte // being synced
-	syncUs   int64    // added to what a sync takes
-	evs      []any
-	stepping bool
-	waits    map[uint64]func(any)
-	ids      uint64
-	kept     map[string]int // run of the database that a kept connection is to
-	startUs  int64
-	was      coreState // when the fleet was watched last
+	zone            string
+	boot            ports.ProcessConfig
+	core            *coordinator.Core
+	disk            [][]byte // synced entries of the voter's log
+	writing         [][]byte // being synced
+	syncUs          int64    // added to what a sync takes
+	events          []any
+	stepping        bool
+	pendingCalls    map[uint64]func(any)
+	lastCall        uint64
+	keptConnections map[string]int // run of the database that a kept connection is to
+	startUs         int64
+	lastState       coreState // when the fleet was watched last
 }
 
 type (
@@ -40,107 +40,107 @@
 
 func (f *Fleet) startControl(c *Control) {
 	c.begin()
-	c.rate = f.rate()
-	c.evs, c.stepping, c.waits, c.kept, c.writing = nil, false, map[uint64]func(any){}, map[string]int{}, nil
+	c.clockRate = f.rate()
+	c.events, c.stepping, c.pendingCalls, c.keptConnections, c.writing = nil, false, map[uint64]func(any){}, map[string]int{}, nil
 	c.startUs = f.Now
-	f.runs++
-	var entries []*schema.VoterLog
+	f.lastRun++
+	var entries []*schema.WALEntry
 	for _, b := range c.disk {
-		l := &schema.VoterLog{}
+		l := &schema.WALEntry{}
 		if err := proto.Unmarshal(b, l); err != nil {
 			panic(err)
 		}
 		entries = append(entries, l)
 	}
-	c.core = coordinator.Restore(c.boot, entries, f.R.Uint64()|1, f.runs)
+	c.core = coordinator.Restore(c.boot, entries, f.Random.Uint64()|1, f.lastRun)
 	c.boot.Bootstrap = false
 	c.core.Start(c.now())
 	c.post("start")
 }
 
 // post queues an event for the process's loop; with none it is just woken.
-func (c *Control) post(src string, evs ...any) {
-	gen := c.gen
+func (c *Control) post(src string, events ...any) {
+	gen := c.generation
 	c.enter(src, func() {
-		if c.gen != gen {
+		if c.generation != gen {
 			return
 		}
-		c.evs = append(c.evs, evs...)
+		c.events = append(c.events, events...)
 		if !c.stepping {
 			c.stepping = true
-			c.f.After(0, func() { c.turn(gen) })
+			c.fleet.After(0, func() { c.runStep(gen) })
 		}
 	})
 }
 
-// turn is one turn of the loop: a step, a sync, and what leaves after it.
-func (c *Control) turn(gen int) {
-	f := c.f
-	if !c.up || c.gen != gen {
+// runStep is one turn of the loop: a step, a sync, and what leaves after it.
+func (c *Control) runStep(gen int) {
+	f := c.fleet
+	if !c.up || c.generation != gen {
 		return
 	}
 	if c.frozen {
-		c.held = append(c.held, heldEvent{"loop", func() { c.turn(gen) }})
+		c.pending = append(c.pending, pendingEvent{"loop", func() { c.runStep(gen) }})
 		return
 	}
-	n := min(len(c.evs), 128)
-	evs := c.evs[:n:n]
-	c.evs = c.evs[n:]
-	fx := c.core.Step(c.now(), evs...)
-	f.moves.look(c)
+	n := min(len(c.events), 128)
+	events := c.events[:n:n]
+	c.events = c.events[n:]
+	effects := c.core.Step(c.now(), events...)
+	f.moves.observe(c)
 	after := func() {
-		for _, s := range fx.Send {
+		for _, s := range effects.Send {
 			f.sendEnvelope(c.ip, s)
 		}
-		for _, d := range fx.Do {
-			c.do(d)
+		for _, d := range effects.Do {
+			c.perform(d)
 		}
-		if len(fx.Log) > 0 {
-			c.evs = append([]any{coordinator.Synced{Mark: fx.Mark}}, c.evs...)
+		if len(effects.Log) > 0 {
+			c.events = append([]any{coordinator.Synced{Watermark: effects.Watermark}}, c.events...)
 		}
-		if len(c.evs) > 0 {
-			f.After(0, func() { c.turn(gen) })
+		if len(c.events) > 0 {
+			f.After(0, func() { c.runStep(gen) })
 			return
 		}
 		c.stepping = false
 		c.alarm(c.core.Due(), func() { c.post("alarm") })
 	}
-	if len(fx.Log) == 0 {
+	if len(effects.Log) == 0 {
 		after()
 		return
 	}
-	for _, l := range fx.Log {
+	for _, l := range effects.Log {
 		b, err := proto.Marshal(l)
 		if err != nil {
 			panic(err)
 		}
 		c.writing = append(c.writing, b)
 	}
-	if f.Plan.Plant == UnsyncedDisk {
+	if f.Plan.Mutation == UnsyncedDisk {
 		after()
 	}
 	us := f.Between(1_500, 3_000) + c.syncUs
-	if f.Plan.Plant == UnsyncedDisk {
+	if f.Plan.Mutation == UnsyncedDisk {
 		us += 2_000_000
 	}
 	f.After(us, func() {
-		if !c.up || c.gen != gen {
+		if !c.up || c.generation != gen {
 			return
 		}
 		c.disk = append(c.disk, c.writing...)
 		c.writing = nil
-		if f.Chance(0.02) && f.Plan.Plant != UnsyncedDisk {
+		if f.Chance(0.02) && f.Plan.Mutation != UnsyncedDisk {
 			b, err := proto.Marshal(c.core.Snapshot())
 			if err != nil {
 				panic(err)
 			}
 			c.disk = [][]byte{b}
 		}
-		if f.Plan.Plant == UnsyncedDisk {
+		if f.Plan.Mutation == UnsyncedDisk {
 			return
 		}
 		if c.frozen {
-			c.held = append(c.held, heldEvent{"loop", after})
+			c.pending = append(c.pending, pendingEvent{"loop", after})
 			return
 		}
 		after()
@@ -149,63 +149,63 @@
 
 // killControl ends a control process; what was being synced may have reached the
 // disk, in part.
-func (f *Fleet) killControl(c *Control, silent bool) {
+func (f *Fleet) killControl(c *Control, unresponsive bool) {
 	if !c.up {
 		return
 	}
-	if n := len(c.writing); n > 0 && f.Plan.Plant != UnsyncedDisk {
-		c.disk = append(c.disk, c.writing[:f.R.IntN(n+1)]...)
+	if n := len(c.writing); n > 0 && f.Plan.Mutation != UnsyncedDisk {
+		c.disk = append(c.disk, c.writing[:f.Random.IntN(n+1)]...)
 	}
 	c.up, c.writing = false, nil
-	ws := c.waits
-	c.waits = map[uint64]func(any){}
-	if !silent {
+	ws := c.pendingCalls
+	c.pendingCalls = map[uint64]func(any){}
+	if !unresponsive {
 		for _, id := range sortedKeys(ws) {
-			f.After(toCallerUs, func() { ws[id](nil) })
+			f.After(toCallerDelayUs, func() { ws[id](nil) })
 		}
 	}
 }
 
 // stopControl stops one as its daemon does on the order to stop.
 func (f *Fleet) stopControl(c *Control) {
-	if !c.up || c.leaving {
+	if !c.up || c.draining {
 		return
 	}
-	c.leaving = true
-	gen := c.gen
+	c.draining = true
+	gen := c.generation
 	c.post("signal", coordinator.Stop{})
 	f.After(400_000, func() {
-		if c.gen == gen {
+		if c.generation == gen {
 			f.killControl(c, false)
 		}
 	})
 }
 
 func (c *Control) end(id uint64, v any) {
-	if w := c.waits[id]; w != nil {
-		delete(c.waits, id)
+	if w := c.pendingCalls[id]; w != nil {
+		delete(c.pendingCalls, id)
 		w(v)
 	}
 }
 
-func (c *Control) do(d any) {
-	f := c.f
+func (c *Control) perform(d any) {
+	f := c.fleet
 	f.observeControl(c, d)
 	switch d := d.(type) {
-	case coordinator.Announced:
+	case coordinator.AnnounceDone:
 		c.end(d.ID, announced(d.OK))
-	case coordinator.Changed:
+	case coordinator.ChangeTableDone:
 		c.end(d.ID, d.Result)
-	case coordinator.Moved:
+	case coordinator.MoveDone:
 		c.end(d.ID, d.Result)
-	case coordinator.Fetched:
+	case coordinator.FetchTableDone:
 		c.end(d.ID, fetched{d.Table, d.OK})
-	case coordinator.Ask:
-		c.ask(d)
+	case coordinator.DatabaseCall:
+		c.callDatabase(d)
 	case coordinator.Promote:
 		c.promote(d)
-	case coordinator.Say:
-		f.say("%s: %d %s", c.name, d.Code, d.Text)
+	case coordinator.LogEntry:
+		f.logf("%s: %d %s", c.name, d.Code, d.Text)
 	default:
 		panic(fmt.Sprintf("effect %T", d))
 	}
@@ -218,85 +218,85 @@
 // callControl has someone call a control process. end is told nil where nobody
 // answers or the connection breaks; it may be called never.
 func (f *Fleet) callControl(from string, c *Control, call func(c *Control, id uint64), end func(any)) {
-	if c.silent() {
+	if c.unresponsive() {
 		return
 	}
-	f.net.carry(from, c.ip, func() {
+	f.network.carry(from, c.ip, func() {
 		if !c.up {
-			if !c.silent() {
-				f.net.carry(c.ip, from, func() { end(nil) })
+			if !c.unresponsive() {
+				f.network.carry(c.ip, from, func() { end(nil) })
 			}
 			return
 		}
-		c.ids++
-		id := c.ids
-		c.waits[id] = func(v any) { f.net.carry(c.ip, from, func() { end(v) }) }
+		c.lastCall++
+		id := c.lastCall
+		c.pendingCalls[id] = func(v any) { f.network.carry(c.ip, from, func() { end(v) }) }
 		call(c, id)
 	})
 }
 
-func (c *Control) silent() bool { return false }
+func (c *Control) unresponsive() bool { return false }
 
-// ask puts a question to a database over a kept connection, or a new one.
-func (c *Control) ask(d coordinator.Ask) {
-	f := c.f
-	i := d.Ask.Instance
+// callDatabase puts a question to a database over a kept connection, or a new one.
+func (c *Control) callDatabase(d coordinator.DatabaseCall) {
+	f := c.fleet
+	i := d.Call.Instance
 	ip := hostOf(i.Address)
-	gen := c.gen
+	gen := c.generation
 	ended := false
-	wait := d.Ask.WaitUs
-	if d.Ask.Kind != ports.Status {
-		if wait = min(wait, d.Ask.Until-c.now()); wait <= 0 {
-			c.post("asks", coordinator.Said{Group: d.Group, Said: switchover.Said{ID: d.Ask.ID, Withdrawn: true}})
+	wait := d.Call.TimeoutUs
+	if d.Call.Kind != ports.Status {
+		if wait = min(wait, d.Call.Until-c.now()); wait <= 0 {
+			c.post("asks", coordinator.DatabaseReply{Group: d.Group, Reply: switchover.DatabaseReply{ID: d.Call.ID, NotSent: true}})
 			return
 		}
-		f.duties.commanded(c, d)
+		f.primaryRoles.commanded(c, d)
 	}
-	end := func(s switchover.Said) {
-		if ended || !c.up || c.gen != gen {
+	end := func(s switchover.DatabaseReply) {
+		if ended || !c.up || c.generation != gen {
 			return
 		}
 		ended = true
-		s.ID = d.Ask.ID
+		s.ID = d.Call.ID
 		if s.Err != "" {
-			delete(c.kept, i.ID)
+			delete(c.keptConnections, i.ID)
 		}
-		c.post("asks", coordinator.Said{Group: d.Group, Said: s})
+		c.post("asks", coordinator.DatabaseReply{Group: d.Group, Reply: s})
 	}
-	f.After(int64(float64(wait)/c.rate), func() { end(switchover.Said{Err: "no answer in time"}) })
-	back := func(s switchover.Said) { f.net.carry(ip, c.ip, func() { end(s) }) }
-	op := ports.Op{Own: true, St: ports.Statement{Kind: d.Ask.Kind}, Term: d.Ask.Term}
-	run := func(db *DB) {
-		db.command(op, func(st ports.DatabaseStatus, code ports.Code) {
+	f.After(int64(float64(wait)/c.clockRate), func() { end(switchover.DatabaseReply{Err: "no answer in time"}) })
+	back := func(s switchover.DatabaseReply) { f.network.carry(ip, c.ip, func() { end(s) }) }
+	op := ports.Op{Internal: true, Statement: ports.Statement{Kind: d.Call.Kind}, Term: d.Call.Term}
+	run := func(db *Database) {
+		db.command(op, func(statement ports.DatabaseStatus, code ports.Code) {
 			if code != ports.Done {
 				// The edge tells it so: see platform.DatabaseClient and coordinator.Process.
-				back(switchover.Said{Err: "the database bounced it", NotThere: f.Plan.BusyIsNotThere})
+				back(switchover.DatabaseReply{Err: "the database bounced it", Absent: f.Plan.BusyAsConnectionRefused})
 				return
 			}
-			back(switchover.Said{Status: st})
+			back(switchover.DatabaseReply{Status: statement})
 		})
 	}
-	f.net.carry(c.ip, ip, func() {
-		db := f.dbAt[i.Address]
+	f.network.carry(c.ip, ip, func() {
+		db := f.databaseAt[i.Address]
 		switch {
-		case db != nil && db.silent && !db.up:
+		case db != nil && db.unresponsive && !db.up:
 		case db == nil || !db.up:
-			back(switchover.Said{Err: "refused", NotThere: true})
+			back(switchover.DatabaseReply{Err: "refused", Absent: true})
 		case db.id != i.ID || db.group.name != i.Group:
-			back(switchover.Said{Err: "another database is there", NotThere: true})
-		case c.kept[i.ID] == db.gen:
+			back(switchover.DatabaseReply{Err: "another database is there", Absent: true})
+		case c.keptConnections[i.ID] == db.generation:
 			run(db)
-		case len(db.conns) >= db.group.limit:
-			back(switchover.Said{Err: "too many connections", NotThere: f.Plan.BusyIsNotThere})
+		case len(db.connections) >= db.group.limit:
+			back(switchover.DatabaseReply{Err: "too many connections", Absent: f.Plan.BusyAsConnectionRefused})
 		default:
-			c.kept[i.ID] = db.gen
+			c.keptConnections[i.ID] = db.generation
 			db.work(12_000, true, func() {
-				f.net.carry(ip, c.ip, func() {
+				f.network.carry(ip, c.ip, func() {
 					if ended {
 						return
 					}
-					f.net.carry(c.ip, ip, func() {
-						if db.up && f.dbAt[i.Address] == db {
+					f.network.carry(c.ip, ip, func() {
+						if db.up && f.databaseAt[i.Address] == db {
 							run(db)
 						}
 					})
@@ -308,68 +308,68 @@
 
 // provider is the platform's own calls.
 type provider struct {
-	ip     string
-	slowUs int64
-	bounce float64
-	lose   float64
-	takeUs int64 // how long a change of primary takes
-	calls  int
+	ip             string
+	responseUs     int64
+	rejectShare    float64
+	lostReplyShare float64
+	takeoverUs     int64 // how long a change of primary takes
+	calls          int
 }
 
 const providerHost = "10.200.0.160"
 
 func (c *Control) promote(d coordinator.Promote) {
-	f, p := c.f, &c.f.provider
-	gen := c.gen
+	f, p := c.fleet, &c.fleet.provider
+	gen := c.generation
 	ended := false
 	end := func(ok, gone bool) {
-		if ended || !c.up || c.gen != gen {
+		if ended || !c.up || c.generation != gen {
 			return
 		}
 		ended = true
-		c.post("platform", coordinator.Promoted{Group: d.Group, OK: ok, Gone: gone})
+		c.post("platform", coordinator.PromoteDone{Group: d.Group, OK: ok, Gone: gone})
 	}
 	wait := min(1_500_000, d.Promote.Until-c.now())
 	if wait <= 0 {
 		end(false, false)
 		return
 	}
-	f.After(int64(float64(wait)/c.rate), func() {
+	f.After(int64(float64(wait)/c.clockRate), func() {
 		if !c.frozen {
 			end(false, false)
 		}
 	})
-	until := f.Now + int64(float64(wait)/c.rate)
-	f.net.carry(c.ip, p.ip, func() {
-		if f.Now > until && !(c.gen == gen && c.up && c.frozen) {
+	until := f.Now + int64(float64(wait)/c.clockRate)
+	f.network.carry(c.ip, p.ip, func() {
+		if f.Now > until && !(c.generation == gen && c.up && c.frozen) {
 			return // its connection was reset: see platform.Provider
 		}
 		p.calls++
-		f.duties.called(c, d, gen, until)
-		if f.Chance(p.bounce) {
-			f.net.carry(p.ip, c.ip, func() { end(false, false) })
+		f.primaryRoles.called(c, d, gen, until)
+		if f.Chance(p.rejectShare) {
+			f.network.carry(p.ip, c.ip, func() { end(false, false) })
 			return
 		}
-		f.After(p.slowUs, func() {
+		f.After(p.responseUs, func() {
 			back := func(ok, gone bool) {
-				if !f.Chance(p.lose) {
-					f.net.carry(p.ip, c.ip, func() { end(ok, gone) })
+				if !f.Chance(p.lostReplyShare) {
+					f.network.carry(p.ip, c.ip, func() { end(ok, gone) })
 				}
 			}
 			g := f.group(d.Group)
-			i := slices.IndexFunc(g.dbs, func(o *DB) bool { return o.id == d.Promote.ID })
-			f.say("the platform is asked by %s to have %s lead %s", c.name, d.Promote.ID, d.Group)
-			if i < 0 || !g.dbs[i].up {
+			i := slices.IndexFunc(g.databases, func(o *Database) bool { return o.id == d.Promote.ID })
+			f.logf("the platform is asked by %s to have %s lead %s", c.name, d.Promote.ID, d.Group)
+			if i < 0 || !g.databases[i].up {
 				back(false, true)
 				return
 			}
-			db := g.dbs[i]
+			db := g.databases[i]
 			back(true, false)
-			if db == g.primary && db.primary || f.Plan.Plant == PromotionsForgotten {
+			if db == g.primary && db.primary || f.Plan.Mutation == PromotionsForgotten {
 				return
 			}
-			f.truth.promotionAsked(c, db)
-			f.After(p.takeUs+f.Between(0, p.takeUs/4), func() {
+			f.oracle.promotionRequested(c, db)
+			f.After(p.takeoverUs+f.Between(0, p.takeoverUs/4), func() {
 				if db.up && !db.ended {
 					db.promote()
 				}
--- a/fleetsimulation/core_test.go
+++ b/fleetsimulation/core_test.go
@@ -19,24 +19,24 @@
 // back after a long time, so that the core is settled without it for a while.
 func (f *Fleet) overlapping() {
 	hit := slices.Clone(f.controls)
-	f.R.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
+	f.Random.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
 	var others []string
 	for _, c := range hit[2:] {
 		others = append(others, c.ip)
 	}
 	us := f.Between(800_000, 4_000_000)
 	f.isolate(hit[0].ip, others, 0, us)
-	f.isolate(hit[1].ip, others, f.R.IntN(3), us)
-	for i := range 1 + f.R.IntN(2) {
+	f.isolate(hit[1].ip, others, f.Random.IntN(3), us)
+	for i := range 1 + f.Random.IntN(2) {
 		c := hit[2+i]
 		f.After(us+f.Between(-300_000, 500_000), func() { f.killControl(c, f.Chance(0.5)) })
-		f.After(us+f.Between(9_000_000, 12_000_000), func() { f.backControl(c) })
+		f.After(us+f.Between(9_000_000, 12_000_000), func() { f.restartControl(c) })
 	}
 	f.After(us+f.Between(-300_000, 300_000), func() {
 		for _, n := range f.nodes {
 			if f.Chance(0.4) {
 				f.killNode(n, f.Chance(0.5))
-				f.later(100_000, 1_500_000, func() { f.backNode(n) })
+				f.later(100_000, 1_500_000, func() { f.restartNode(n) })
 			}
 		}
 	})
@@ -71,11 +71,11 @@
 	}
 	changes := 0
 	var mu sync.Mutex
-	each(n, *from, func(seed uint64) {
+	runSeeds(n, *from, func(seed uint64) {
 		f := overlapped(sixPlan(seed))
 		mu.Lock()
 		defer mu.Unlock()
-		changes += len(f.operators.acked)
+		changes += len(f.operators.acknowledged)
 		told(t, f)
 	})
 	t.Logf("%d seeds: %d changes acknowledged", n, changes)
--- a/fleetsimulation/duties.go
+++ b/fleetsimulation/duties.go
@@ -7,22 +7,22 @@
 	"stoneford/voterview"
 )
 
-// turnUs is how long after one holder's call to the platform another's is a turn
+// ownerChangeDelayUs is how long after one holder's call to the platform another's is a turn
 // taken, if both were in touch.
-const turnUs = 5 * voterview.LeaseUs
+const ownerChangeDelayUs = 5 * voterview.LeaseDurationUs
 
-// duties holds what control processes ask of databases and of the platform
+// primaryRoleChecks holds what control processes ask of databases and of the platform
 // against the rule that a group's duty has one holder at a time (ONE).
-type duties struct {
-	f        *Fleet
-	of       map[string]*dutySeen // by group
+type primaryRoleChecks struct {
+	fleet    *Fleet
+	byGroup  map[string]*observedRole // by group
 	Calls    int
 	Commands int
 	Late     int // calls that arrived late from a frozen process behind a cut: nobody can recall them
 }
 
-type dutySeen struct {
-	holders   map[uint64]string // run that each fence was used by
+type observedRole struct {
+	owners    map[uint64]string // run that each fence was used by
 	called    uint64            // highest fence that the platform saw
 	commanded uint64            // highest fence that a command left under
 	last      string            // who called last
@@ -30,60 +30,60 @@
 	lastCalm  bool
 }
 
-func (d *duties) seen(group string) *dutySeen {
-	s := d.of[group]
+func (d *primaryRoleChecks) seen(group string) *observedRole {
+	s := d.byGroup[group]
 	if s == nil {
-		s = &dutySeen{holders: map[uint64]string{}}
-		d.of[group] = s
+		s = &observedRole{owners: map[uint64]string{}}
+		d.byGroup[group] = s
 	}
 	return s
 }
 
-// used notes that a run used a fence.
-func (d *duties) used(s *dutySeen, c *Control, group string, fence uint64) {
-	run := fmt.Sprintf("%s, run %d", c.name, c.gen)
-	if o := s.holders[fence]; o != "" && o != run {
-		d.f.truth.bad("ONE: two holders of %s with fence %d: %s and %s", group, fence, o, run)
+// tokenUsed notes that a run used a fence.
+func (d *primaryRoleChecks) tokenUsed(s *observedRole, c *Control, group string, fence uint64) {
+	run := fmt.Sprintf("%s, run %d", c.name, c.generation)
+	if o := s.owners[fence]; o != "" && o != run {
+		d.fleet.oracle.violation("ONE: two holders of %s with fence %d: %s and %s", group, fence, o, run)
 	}
-	s.holders[fence] = run
+	s.owners[fence] = run
 }
 
 // called is called as a call arrives at the platform; until is the end of the
 // lease that it left under, in true time.
-func (d *duties) called(c *Control, e coordinator.Promote, gen int, until int64) {
-	if d.f.Now > until {
+func (d *primaryRoleChecks) called(c *Control, e coordinator.Promote, gen int, until int64) {
+	if d.fleet.Now > until {
 		d.Late++
 		return
 	}
 	d.Calls++
 	s, p := d.seen(e.Group), e.Promote
 	if p.Owner != c.name {
-		d.f.truth.bad("ONE: %s calls the platform for %s as %s", c.name, e.Group, p.Owner)
+		d.fleet.oracle.violation("ONE: %s calls the platform for %s as %s", c.name, e.Group, p.Owner)
 	}
-	if gen == c.gen {
-		d.used(s, c, e.Group, p.Fence)
+	if gen == c.generation {
+		d.tokenUsed(s, c, e.Group, p.FencingToken)
 	}
-	if p.Fence < s.called {
-		d.f.truth.bad("ONE: %s calls the platform for %s with fence %d after %d was seen", c.name, e.Group, p.Fence, s.called)
+	if p.FencingToken < s.called {
+		d.fleet.oracle.violation("ONE: %s calls the platform for %s with fence %d after %d was seen", c.name, e.Group, p.FencingToken, s.called)
 	}
-	calm := c.plain() && d.f.Now-c.troubleAt > contactUs && d.f.truth.settled()
-	if s.last != "" && s.last != c.name && calm && s.lastCalm && d.f.Now-s.lastAt < turnUs {
-		d.f.truth.bad("ONE: %s and %s take turns at %s", s.last, c.name, e.Group)
+	calm := c.healthy() && d.fleet.Now-c.lastFaultUs > contactTimeoutUs && d.fleet.oracle.coreIsStable()
+	if s.last != "" && s.last != c.name && calm && s.lastCalm && d.fleet.Now-s.lastAt < ownerChangeDelayUs {
+		d.fleet.oracle.violation("ONE: %s and %s take turns at %s", s.last, c.name, e.Group)
 	}
-	s.called, s.last, s.lastAt, s.lastCalm = max(s.called, p.Fence), c.name, d.f.Now, calm
+	s.called, s.last, s.lastAt, s.lastCalm = max(s.called, p.FencingToken), c.name, d.fleet.Now, calm
 }
 
 // commanded is called as a command to a database leaves.
-func (d *duties) commanded(c *Control, e coordinator.Ask) {
+func (d *primaryRoleChecks) commanded(c *Control, e coordinator.DatabaseCall) {
 	d.Commands++
-	v, _ := c.core.View().Agreed(voterview.LeaderPrefix + e.Group)
-	l, s := voterview.Leadership(v), d.seen(e.Group)
-	if l.Holder != c.name {
-		d.f.truth.bad("ONE: %s commands %s of %s, whose duty %q holds", c.name, e.Ask.Instance.ID, e.Group, l.Holder)
+	v, _ := c.core.Learner().Committed(voterview.LeaderPrefix + e.Group)
+	l, s := voterview.DecodeLeadership(v), d.seen(e.Group)
+	if l.RoleOwner != c.name {
+		d.fleet.oracle.violation("ONE: %s commands %s of %s, whose duty %q holds", c.name, e.Call.Instance.ID, e.Group, l.RoleOwner)
 	}
-	if l.Fence < s.commanded {
-		d.f.truth.bad("ONE: %s commands %s of %s with fence %d after a command with %d", c.name, e.Ask.Instance.ID, e.Group, l.Fence, s.commanded)
+	if l.FencingToken < s.commanded {
+		d.fleet.oracle.violation("ONE: %s commands %s of %s with fence %d after a command with %d", c.name, e.Call.Instance.ID, e.Group, l.FencingToken, s.commanded)
 	}
-	d.used(s, c, e.Group, l.Fence)
-	s.commanded = max(s.commanded, l.Fence)
+	d.tokenUsed(s, c, e.Group, l.FencingToken)
+	s.commanded = max(s.commanded, l.FencingToken)
 }
--- a/fleetsimulation/duties_test.go
+++ b/fleetsimulation/duties_test.go
@@ -12,36 +12,36 @@
 
 const (
 	replacedWithin = 9_000_000 // a primary that is lost together with the holder of its duty
-	holderSeeds    = 24
+	ownerSeeds     = 24
 )
 
 // leadership is the newest that any control process knows as agreed.
 func (f *Fleet) leadership(g *group) (*schema.Leadership, uint64) {
-	best := voterview.Chosen{}
+	best := voterview.CommittedValue{}
 	for _, c := range f.controls {
-		if v, ok := c.core.View().Agreed(voterview.LeaderPrefix + g.name); ok && c.up && v.Revision > best.Revision {
+		if v, ok := c.core.Learner().Committed(voterview.LeaderPrefix + g.name); ok && c.up && v.Revision > best.Revision {
 			best = v
 		}
 	}
-	return voterview.Leadership(best), best.Revision
+	return voterview.DecodeLeadership(best), best.Revision
 }
 
-func (f *Fleet) holder(g *group) *Control {
+func (f *Fleet) owner(g *group) *Control {
 	l, _ := f.leadership(g)
-	i := slices.IndexFunc(f.controls, func(c *Control) bool { return c.name == l.Holder })
+	i := slices.IndexFunc(f.controls, func(c *Control) bool { return c.name == l.RoleOwner })
 	return f.controls[max(i, 0)]
 }
 
-// TestPrimaryAndHolderLost: a primary that is lost at the same moment as the
+// TestPrimaryAndRoleOwnerLost: a primary that is lost at the same moment as the
 // holder of its group's duty is replaced in time.
-func TestPrimaryAndHolderLost(t *testing.T) {
+func TestPrimaryAndRoleOwnerLost(t *testing.T) {
 	var mu sync.Mutex
 	worst, sum := int64(0), int64(0)
 	const n = 24
-	each(n, *from, func(seed uint64) {
+	runSeeds(n, *from, func(seed uint64) {
 		f := busyFleet(plan(seed))
-		g := f.groups[f.R.IntN(len(f.groups))]
-		d, c, at := g.primary, f.holder(g), f.Now
+		g := f.groups[f.Random.IntN(len(f.groups))]
+		d, c, at := g.primary, f.owner(g), f.Now
 		switch seed % 3 {
 		case 0:
 			f.killControl(c, true)
@@ -53,7 +53,7 @@
 		d.crash(seed%2 == 0)
 		for f.Now < at+20_000_000 {
 			f.Run(f.Now + 20_000)
-			if l, _ := f.leadership(g); l.Primary != d.id && ports.Phase(l.Phase) == ports.PhaseOpen {
+			if l, _ := f.leadership(g); l.Primary != d.id && ports.Phase(l.Phase) == ports.PhaseServing {
 				break
 			}
 		}
@@ -71,32 +71,32 @@
 	t.Logf("%d seeds: replaced after %d ms on average, %d at the most", n, sum/n/1000, worst/1000)
 }
 
-// TestHolderTroubled: the holder is frozen, cut one way or both, slowed, killed
+// TestRoleOwnerUnderFaults: the holder is frozen, cut one way or both, slowed, killed
 // or stopped at each phase of a change of primary, and the next one too.
-func TestHolderTroubled(t *testing.T) {
+func TestRoleOwnerUnderFaults(t *testing.T) {
 	var mu sync.Mutex
 	calls, commands, late, promotions := 0, 0, 0, 0
-	each(holderSeeds, *from, func(seed uint64) {
+	runSeeds(ownerSeeds, *from, func(seed uint64) {
 		f := busyFleet(plan(seed))
 		for round := range uint64(3) {
-			g := f.groups[f.R.IntN(len(f.groups))]
+			g := f.groups[f.Random.IntN(len(f.groups))]
 			d := g.primary
 			if f.Chance(0.4) {
-				f.release(g, []*DB{d})
+				f.release(g, []*Database{d})
 			} else {
 				d.crash(f.Chance(0.5))
-				f.later(2_000_000, 6_000_000, func() { f.backDB(d) })
+				f.later(2_000_000, 6_000_000, func() { f.restartDatabase(d) })
 			}
 			phase := ports.Phase((seed + round) % 4)
 			for until := f.Now + 4_000_000; f.Now < until; {
 				f.Run(f.Now + 2_000)
-				if l, _ := f.leadership(g); ports.Phase(l.Phase) == phase && (phase != ports.PhaseOpen || l.Primary != d.id) {
+				if l, _ := f.leadership(g); ports.Phase(l.Phase) == phase && (phase != ports.PhaseServing || l.Primary != d.id) {
 					break
 				}
 			}
 			f.Run(f.Now + f.Between(0, 60_000))
-			c := f.holder(g)
-			f.say("%s, which holds the duty of %s, is troubled in phase %d", c.name, g.name, phase)
+			c := f.owner(g)
+			f.logf("%s, which holds the duty of %s, is troubled in phase %d", c.name, g.name, phase)
 			us := f.Between(500_000, 4_000_000)
 			switch (seed + 2*round) % 6 {
 			case 0:
@@ -104,15 +104,15 @@
 				f.After(us, c.thaw)
 			case 1:
 				f.killControl(c, f.Chance(0.5))
-				f.After(us, func() { f.backControl(c) })
+				f.After(us, func() { f.restartControl(c) })
 			case 2, 3:
-				f.isolate(c.ip, f.hosts(), f.R.IntN(3), us)
+				f.isolate(c.ip, f.hosts(), f.Random.IntN(3), us)
 			case 4:
 				c.slowUs, c.syncUs = f.Between(0, 8_000), f.Between(0, 300_000)
 				f.After(us, func() { c.slowUs, c.syncUs = 0, 0 })
 			default:
 				f.stopControl(c)
-				f.After(700_000, func() { f.backControl(c) })
+				f.After(700_000, func() { f.restartControl(c) })
 			}
 			f.Run(f.Now + 6_000_000)
 		}
@@ -120,7 +120,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		told(t, f)
-		calls, commands, late, promotions = calls+f.duties.Calls, commands+f.duties.Commands, late+f.duties.Late, promotions+f.truth.Promotions
+		calls, commands, late, promotions = calls+f.primaryRoles.Calls, commands+f.primaryRoles.Commands, late+f.primaryRoles.Late, promotions+f.oracle.Promotions
 	})
-	t.Logf("%d seeds: %d calls to the platform, %d of them late from a frozen process, %d commands, %d promotions", holderSeeds, calls, late, commands, promotions)
+	t.Logf("%d seeds: %d calls to the platform, %d of them late from a frozen process, %d commands, %d promotions", ownerSeeds, calls, late, commands, promotions)
 }
