--- a/fleetsimulation/faults.go
+++ b/fleetsimulation/faults.go
@@ -8,15 +8,15 @@
 
 // Heal mends the network and brings every process back.
 func (f *Fleet) Heal() {
-	f.healed++
-	for _, k := range sortedCuts(f.net.cuts) {
-		for !f.net.reaches(k[0], k[1]) {
-			f.net.mend(k[0], k[1])
+	f.healCount++
+	for _, k := range sortedPartitions(f.network.partitions) {
+		for !f.network.reaches(k[0], k[1]) {
+			f.network.repair(k[0], k[1])
 		}
 	}
-	clear(f.net.lossy)
-	f.doubles, f.press = 0, 1
-	f.provider.bounce, f.provider.lose, f.provider.slowUs = 0, 0, 5_000
+	clear(f.network.lossy)
+	f.duplicateShare, f.loadFactor = 0, 1
+	f.provider.rejectShare, f.provider.lostReplyShare, f.provider.responseUs = 0, 0, 5_000
 	for _, c := range f.controls {
 		if !c.up {
 			f.startControl(c)
@@ -32,8 +32,8 @@
 		n.slowUs = 0
 	}
 	for _, g := range f.groups {
-		for _, d := range g.dbs {
-			d.deaf, d.lag, d.lose, d.fail, d.slowUs = false, 1, 0, 0, 0
+		for _, d := range g.databases {
+			d.receivesNothing, d.lagFactor, d.lostReplyShare, d.failedStatementShare, d.extraServiceUs = false, 1, 0, 0, 0
 			if !d.up && !d.ended {
 				d.start()
 			}
@@ -57,14 +57,14 @@
 			return false
 		}
 		f.killNode(n, f.Chance(0.4))
-		f.later(300_000, 4_000_000, func() { f.backNode(n) })
+		f.later(300_000, 4_000_000, func() { f.restartNode(n) })
 		return true
 	}},
 	{"nodes killed at once", func(f *Fleet) bool {
 		for _, n := range f.nodes {
 			if n.up && f.Chance(0.4) {
 				f.killNode(n, f.Chance(0.2))
-				f.later(300_000, 2_000_000, func() { f.backNode(n) })
+				f.later(300_000, 2_000_000, func() { f.restartNode(n) })
 			}
 		}
 		return true
@@ -102,7 +102,7 @@
 			return false
 		}
 		f.killControl(c, f.Chance(0.5))
-		f.later(300_000, 5_000_000, func() { f.backControl(c) })
+		f.later(300_000, 5_000_000, func() { f.restartControl(c) })
 		return true
 	}},
 	{"control's disk lost", func(f *Fleet) bool {
@@ -112,7 +112,7 @@
 		}
 		f.killControl(c, true)
 		c.disk = nil
-		f.later(300_000, 4_000_000, func() { f.backControl(c) })
+		f.later(300_000, 4_000_000, func() { f.restartControl(c) })
 		return true
 	}},
 	{"control frozen", func(f *Fleet) bool {
@@ -150,22 +150,22 @@
 		return true
 	}},
 	{"machine cut off", func(f *Fleet) bool {
-		ip := f.nodes[f.R.IntN(len(f.nodes))].ip
+		ip := f.nodes[f.Random.IntN(len(f.nodes))].ip
 		if slices.ContainsFunc(f.controls, func(c *Control) bool { return c.ip == ip }) && f.anyControl() == nil {
 			return false
 		}
-		f.isolate(ip, f.hosts(), f.R.IntN(3), f.Between(300_000, 5_000_000))
+		f.isolate(ip, f.hosts(), f.Random.IntN(3), f.Between(300_000, 5_000_000))
 		return true
 	}},
 	{"zones cut", func(f *Fleet) bool {
 		if f.anyControl() == nil {
 			return false
 		}
-		z := zoneNames[f.R.IntN(3)]
-		how, us := f.R.IntN(3), f.Between(300_000, 4_000_000)
+		z := zoneNames[f.Random.IntN(3)]
+		how, us := f.Random.IntN(3), f.Between(300_000, 4_000_000)
 		var in, out []string
 		for _, h := range f.hosts() {
-			if f.net.zones[h] == z {
+			if f.network.zones[h] == z {
 				in = append(in, h)
 			} else {
 				out = append(out, h)
@@ -180,20 +180,20 @@
 		if f.anyControl() == nil {
 			return false
 		}
-		how, us := f.R.IntN(3), f.Between(300_000, 4_000_000)
+		how, us := f.Random.IntN(3), f.Between(300_000, 4_000_000)
 		if f.Chance(0.3) { // each from each
 			for _, c := range f.controls {
 				f.isolate(c.ip, f.controlHosts(), how, us)
 			}
 			return true
 		}
-		f.isolate(f.controls[f.R.IntN(len(f.controls))].ip, f.controlHosts(), how, us)
+		f.isolate(f.controls[f.Random.IntN(len(f.controls))].ip, f.controlHosts(), how, us)
 		return true
 	}},
 	{"primary cut from followers", func(f *Fleet) bool {
-		return f.cutPrimary(func(g *group) []string {
+		return f.partitionPrimary(func(g *group) []string {
 			var hs []string
-			for _, d := range g.dbs {
+			for _, d := range g.databases {
 				if d != g.primary && f.Chance(0.7) {
 					hs = append(hs, d.ip)
 				}
@@ -202,10 +202,10 @@
 		})
 	}},
 	{"primary cut from the core", func(f *Fleet) bool {
-		return f.cutPrimary(func(*group) []string { return f.controlHosts() })
+		return f.partitionPrimary(func(*group) []string { return f.controlHosts() })
 	}},
 	{"primary cut from some nodes", func(f *Fleet) bool {
-		return f.cutPrimary(func(*group) []string {
+		return f.partitionPrimary(func(*group) []string {
 			var hs []string
 			for _, n := range f.nodes {
 				if f.Chance(0.5) {
@@ -216,8 +216,8 @@
 		})
 	}},
 	{"primary cut from all but one node", func(f *Fleet) bool {
-		return f.cutPrimary(func(*group) []string {
-			keep := f.nodes[f.R.IntN(len(f.nodes))].ip
+		return f.partitionPrimary(func(*group) []string {
+			keep := f.nodes[f.Random.IntN(len(f.nodes))].ip
 			return slices.DeleteFunc(f.hosts(), func(h string) bool { return h == keep })
 		})
 	}},
@@ -238,14 +238,14 @@
 		return true
 	}},
 	{"links lossy", func(f *Fleet) bool {
-		z := zoneNames[f.R.IntN(3)]
-		f.net.lossy[z] = 0.01 + f.R.Float64()*0.1
-		f.later(1_000_000, 5_000_000, func() { delete(f.net.lossy, z) })
+		z := zoneNames[f.Random.IntN(3)]
+		f.network.lossy[z] = 0.01 + f.Random.Float64()*0.1
+		f.later(1_000_000, 5_000_000, func() { delete(f.network.lossy, z) })
 		return true
 	}},
 	{"envelopes late and twice", func(f *Fleet) bool {
-		f.doubles = 0.1
-		f.later(1_000_000, 5_000_000, func() { f.doubles = 0 })
+		f.duplicateShare = 0.1
+		f.later(1_000_000, 5_000_000, func() { f.duplicateShare = 0 })
 		return true
 	}},
 	{"primary crashes", func(f *Fleet) bool {
@@ -255,7 +255,7 @@
 		}
 		d := g.primary
 		d.crash(f.Chance(0.5))
-		f.later(300_000, 7_000_000, func() { f.backDB(d) })
+		f.later(300_000, 7_000_000, func() { f.restartDatabase(d) })
 		return true
 	}},
 	{"primary crashes and is back at once", func(f *Fleet) bool {
@@ -265,7 +265,7 @@
 		}
 		d := g.primary
 		d.crash(f.Chance(0.3))
-		f.later(30_000, 1_200_000, func() { f.backDB(d) })
+		f.later(30_000, 1_200_000, func() { f.restartDatabase(d) })
 		return true
 	}},
 	{"primary crashes and is back under another name", func(f *Fleet) bool {
@@ -275,7 +275,7 @@
 		}
 		d, same := g.primary, f.Chance(0.5)
 		d.crash(f.Chance(0.3))
-		f.later(100_000, 5_000_000, func() { f.rebirth(d, same) })
+		f.later(100_000, 5_000_000, func() { f.restartUnderNewIdentity(d, same) })
 		return true
 	}},
 	{"primary gone for good", func(f *Fleet) bool {
@@ -293,7 +293,7 @@
 		if g == nil {
 			return false
 		}
-		f.release(g, []*DB{g.primary})
+		f.release(g, []*Database{g.primary})
 		return true
 	}},
 	{"release of all", func(f *Fleet) bool {
@@ -301,8 +301,8 @@
 		if g == nil {
 			return false
 		}
-		ds := slices.Clone(g.dbs)
-		f.R.Shuffle(len(ds), func(i, j int) { ds[i], ds[j] = ds[j], ds[i] })
+		ds := slices.Clone(g.databases)
+		f.Random.Shuffle(len(ds), func(i, j int) { ds[i], ds[j] = ds[j], ds[i] })
 		f.release(g, ds)
 		return true
 	}},
@@ -313,13 +313,13 @@
 		}
 		d := f.anyFollower(g)
 		d.crash(f.Chance(0.5))
-		switch f.R.IntN(4) {
+		switch f.Random.IntN(4) {
 		case 0:
-			f.later(100_000, 5_000_000, func() { f.rebirth(d, f.Chance(0.5)) })
+			f.later(100_000, 5_000_000, func() { f.restartUnderNewIdentity(d, f.Chance(0.5)) })
 		case 1:
 			f.later(1_000_000, 6_000_000, func() { f.replaceLost(d) })
 		default:
-			f.later(100_000, 5_000_000, func() { f.backDB(d) })
+			f.later(100_000, 5_000_000, func() { f.restartDatabase(d) })
 		}
 		return true
 	}},
@@ -329,10 +329,10 @@
 			return false
 		}
 		d, p := f.anyFollower(g), g.primary
-		d.deaf = true
+		d.receivesNothing = true
 		f.later(100_000, 2_000_000, func() { p.crash(f.Chance(0.5)) })
-		f.later(2_500_000, 6_000_000, func() { d.deaf = false })
-		f.later(2_500_000, 7_000_000, func() { f.backDB(p) })
+		f.later(2_500_000, 6_000_000, func() { d.receivesNothing = false })
+		f.later(2_500_000, 7_000_000, func() { f.restartDatabase(p) })
 		return true
 	}},
 	{"followers restart while the primary is lost", func(f *Fleet) bool {
@@ -343,7 +343,7 @@
 		p := g.primary
 		if f.Chance(0.5) {
 			p.crash(f.Chance(0.5))
-			f.later(2_000_000, 6_000_000, func() { f.backDB(p) })
+			f.later(2_000_000, 6_000_000, func() { f.restartDatabase(p) })
 		} else {
 			f.isolate(p.ip, f.controlHosts(), 0, f.Between(2_000_000, 5_000_000))
 			for _, n := range f.nodes {
@@ -355,7 +355,7 @@
 		d := f.anyFollower(g)
 		f.later(200_000, 1_800_000, func() {
 			d.crash(false)
-			f.later(20_000, 300_000, func() { f.backDB(d) })
+			f.later(20_000, 300_000, func() { f.restartDatabase(d) })
 		})
 		return true
 	}},
@@ -366,61 +366,61 @@
 		}
 		d := g.primary
 		d.crash(f.Chance(0.5))
-		f.later(2_000_000, 7_000_000, func() { f.backDB(d) })
+		f.later(2_000_000, 7_000_000, func() { f.restartDatabase(d) })
 		f.later(100_000, 2_000_000, func() {
 			f.killControl(c, f.Chance(0.5))
 			if f.Chance(0.3) {
 				c.disk = nil
 			}
-			f.later(100_000, 1_000_000, func() { f.backControl(c) })
+			f.later(100_000, 1_000_000, func() { f.restartControl(c) })
 		})
 		return true
 	}},
 	{"answers lost", func(f *Fleet) bool {
-		g := f.groups[f.R.IntN(len(f.groups))]
+		g := f.groups[f.Random.IntN(len(f.groups))]
 		d := g.primary
 		if f.Chance(0.4) {
-			d = g.dbs[f.R.IntN(len(g.dbs))]
+			d = g.databases[f.Random.IntN(len(g.databases))]
 		}
-		d.lose, d.loseHow = 0.02+f.R.Float64()*0.2, f.R.IntN(2)
-		f.later(1_000_000, 5_000_000, func() { d.lose = 0 })
+		d.lostReplyShare, d.lostReplyKind = 0.02+f.Random.Float64()*0.2, f.Random.IntN(2)
+		f.later(1_000_000, 5_000_000, func() { d.lostReplyShare = 0 })
 		return true
 	}},
 	{"statements fail", func(f *Fleet) bool {
-		g := f.groups[f.R.IntN(len(f.groups))]
-		d := g.dbs[f.R.IntN(len(g.dbs))]
-		d.fail = 0.3
-		f.later(1_000_000, 4_000_000, func() { d.fail = 0 })
+		g := f.groups[f.Random.IntN(len(f.groups))]
+		d := g.databases[f.Random.IntN(len(g.databases))]
+		d.failedStatementShare = 0.3
+		f.later(1_000_000, 4_000_000, func() { d.failedStatementShare = 0 })
 		return true
 	}},
 	{"burst", func(f *Fleet) bool {
-		f.press = 2 + 3*f.R.Float64()
-		f.later(1_000_000, 4_000_000, func() { f.press = 1 })
+		f.loadFactor = 2 + 3*f.Random.Float64()
+		f.later(1_000_000, 4_000_000, func() { f.loadFactor = 1 })
 		return true
 	}},
 	{"database slow", func(f *Fleet) bool {
-		g := f.groups[f.R.IntN(len(f.groups))]
-		d := g.dbs[f.R.IntN(len(g.dbs))]
-		d.slowUs = f.Between(5_000, 200_000)
-		f.later(1_000_000, 4_000_000, func() { d.slowUs = 0 })
+		g := f.groups[f.Random.IntN(len(f.groups))]
+		d := g.databases[f.Random.IntN(len(g.databases))]
+		d.extraServiceUs = f.Between(5_000, 200_000)
+		f.later(1_000_000, 4_000_000, func() { d.extraServiceUs = 0 })
 		return true
 	}},
 	{"followers lag", func(f *Fleet) bool {
-		g := f.groups[f.R.IntN(len(f.groups))]
-		for _, d := range g.dbs {
+		g := f.groups[f.Random.IntN(len(f.groups))]
+		for _, d := range g.databases {
 			if f.Chance(0.6) {
-				d.lag = f.R.Float64() * 120
-				f.later(2_000_000, 6_000_000, func() { d.lag = 1 })
+				d.lagFactor = f.Random.Float64() * 120
+				f.later(2_000_000, 6_000_000, func() { d.lagFactor = 1 })
 			}
 		}
 		return true
 	}},
 	{"connections reset", func(f *Fleet) bool {
-		p := 0.2 + f.R.Float64()*0.8
+		p := 0.2 + f.Random.Float64()*0.8
 		for _, s := range f.streams {
 			if s.atNode && s.up && f.Chance(p) {
-				if s.c != nil && s.db.up && s.db.gen == s.dbGen {
-					s.c.drop()
+				if s.connection != nil && s.database.up && s.database.generation == s.databaseGeneration {
+					s.connection.drop()
 				}
 				s.lost(true, "reset")
 			}
@@ -428,13 +428,13 @@
 		for _, n := range f.nodes {
 			for _, id := range sortedKeys(n.sessions) {
 				if s := n.sessions[id]; f.Chance(p) {
-					n.enter(s.src(), func() {
+					n.enter(s.source(), func() {
 						if n.sessions[id] == s {
 							delete(n.sessions, id)
-							n.step(sessiontable.Left{Session: id})
+							n.step(sessiontable.SessionClosed{Session: id})
 						}
 					})
-					f.After(toCallerUs, s.broke)
+					f.After(toCallerDelayUs, s.connectionBroke)
 				}
 			}
 		}
@@ -448,12 +448,12 @@
 			}
 			f.After(at, func() {
 				f.stopNode(n)
-				gen := n.gen
+				gen := n.generation
 				var back func()
 				back = func() {
-					if !n.up && n.gen == gen {
-						f.backNode(n)
-					} else if n.gen == gen {
+					if !n.up && n.generation == gen {
+						f.restartNode(n)
+					} else if n.generation == gen {
 						f.After(300_000, back)
 					}
 				}
@@ -471,7 +471,7 @@
 		for _, c := range f.controls {
 			f.After(at, func() {
 				f.stopControl(c)
-				f.After(700_000, func() { f.backControl(c) })
+				f.After(700_000, func() { f.restartControl(c) })
 			})
 			at += f.Between(2_000_000, 5_000_000)
 		}
@@ -485,27 +485,27 @@
 		return true
 	}},
 	{"platform slow", func(f *Fleet) bool {
-		f.provider.slowUs = f.Between(100_000, 2_500_000)
-		f.later(1_000_000, 6_000_000, func() { f.provider.slowUs = 5_000 })
+		f.provider.responseUs = f.Between(100_000, 2_500_000)
+		f.later(1_000_000, 6_000_000, func() { f.provider.responseUs = 5_000 })
 		return true
 	}},
 	{"platform bounces", func(f *Fleet) bool {
-		f.provider.bounce, f.provider.lose = f.R.Float64(), f.R.Float64()*0.5
-		f.later(1_000_000, 5_000_000, func() { f.provider.bounce, f.provider.lose = 0, 0 })
+		f.provider.rejectShare, f.provider.lostReplyShare = f.Random.Float64(), f.Random.Float64()*0.5
+		f.later(1_000_000, 5_000_000, func() { f.provider.rejectShare, f.provider.lostReplyShare = 0, 0 })
 		return true
 	}},
 	{"all processes killed", func(f *Fleet) bool {
-		if f.anyControl() == nil || f.faultsOn["all processes killed"] > 0 {
+		if f.anyControl() == nil || f.faultCounts["all processes killed"] > 0 {
 			return false
 		}
-		silent := f.Chance(0.5)
+		unresponsive := f.Chance(0.5)
 		for _, c := range f.controls {
-			f.killControl(c, silent)
-			f.later(500_000, 1_500_000, func() { f.backControl(c) })
+			f.killControl(c, unresponsive)
+			f.later(500_000, 1_500_000, func() { f.restartControl(c) })
 		}
 		for _, n := range f.nodes {
-			f.killNode(n, silent)
-			f.later(500_000, 1_500_000, func() { f.backNode(n) })
+			f.killNode(n, unresponsive)
+			f.later(500_000, 1_500_000, func() { f.restartNode(n) })
 		}
 		return true
 	}},
@@ -515,7 +515,7 @@
 		}
 		for _, c := range f.controls {
 			f.killControl(c, f.Chance(0.5))
-			f.later(300_000, 2_000_000, func() { f.backControl(c) })
+			f.later(300_000, 2_000_000, func() { f.restartControl(c) })
 		}
 		return true
 	}},
@@ -524,14 +524,14 @@
 func (f *Fleet) later(lo, hi int64, do func()) { f.After(f.Between(lo, hi), do) }
 
 func (f *Fleet) anyNode() *Node {
-	n := f.nodes[f.R.IntN(len(f.nodes))]
-	if !n.up || n.frozen || n.leaving || n.slowUs > 0 {
+	n := f.nodes[f.Random.IntN(len(f.nodes))]
+	if !n.up || n.frozen || n.draining || n.slowUs > 0 {
 		return nil
 	}
 	return n
 }
 
-func (f *Fleet) backNode(n *Node) {
+func (f *Fleet) restartNode(n *Node) {
 	if !n.up {
 		f.startNode(n)
 	}
@@ -541,14 +541,14 @@
 // for a while.
 func (f *Fleet) anyControl() *Control {
 	for _, c := range f.controls {
-		if !c.plain() || f.Now-c.troubleAt < contactUs && f.Now > 6_000_000 {
+		if !c.healthy() || f.Now-c.lastFaultUs < contactTimeoutUs && f.Now > 6_000_000 {
 			return nil
 		}
 	}
-	return f.controls[f.R.IntN(len(f.controls))]
+	return f.controls[f.Random.IntN(len(f.controls))]
 }
 
-func (f *Fleet) backControl(c *Control) {
+func (f *Fleet) restartControl(c *Control) {
 	if !c.up {
 		f.startControl(c)
 	}
@@ -556,88 +556,88 @@
 
 // anyGroup is one that may lose a database.
 func (f *Fleet) anyGroup() *group {
-	g := f.groups[f.R.IntN(len(f.groups))]
+	g := f.groups[f.Random.IntN(len(f.groups))]
 	p := g.primary
-	if len(g.dbs) < 3 || p == nil || !p.up || p.leaving {
+	if len(g.databases) < 3 || p == nil || !p.up || p.draining {
 		return nil
 	}
-	for _, d := range g.dbs {
-		if !d.up || d.deaf || d.leaving || d.held > 0 || d.term != p.term || d != p && (d.primary || len(p.log)-len(d.log) > 30) || f.net.troubled(d.ip) {
+	for _, d := range g.databases {
+		if !d.up || d.receivesNothing || d.draining || d.frozenBy > 0 || d.term != p.term || d != p && (d.primary || len(p.log)-len(d.log) > 30) || f.network.faulty(d.ip) {
 			return nil
 		}
 	}
 	return g
 }
 
-func (f *Fleet) anyFollower(g *group) *DB {
+func (f *Fleet) anyFollower(g *group) *Database {
 	for {
-		if d := g.dbs[f.R.IntN(len(g.dbs))]; d != g.primary {
+		if d := g.databases[f.Random.IntN(len(g.databases))]; d != g.primary {
 			return d
 		}
 	}
 }
 
-func (f *Fleet) backDB(d *DB) {
+func (f *Fleet) restartDatabase(d *Database) {
 	if !d.up && !d.ended {
 		d.start()
-		f.say("%s is back at %v", d.id, d.at(len(d.log)))
+		f.logf("%s is back at %v", d.id, d.positionAt(len(d.log)))
 	}
 }
 
-// rebirth has a database come back with its log under another identity, at its
+// restartUnderNewIdentity has a database come back with its log under another identity, at its
 // address or another.
-func (f *Fleet) rebirth(d *DB, same bool) {
+func (f *Fleet) restartUnderNewIdentity(d *Database, same bool) {
 	if d.up || d.ended {
 		return
 	}
-	n := f.addDB(d.group, d.zone)
+	n := f.addDatabase(d.group, d.zone)
 	if same {
-		n.addr, n.ip = d.addr, d.ip
+		n.address, n.ip = d.address, d.ip
 	}
-	n.log, n.term, n.primary = d.log, d.term, d.primary && d.group.terms == d.term
-	d.ended, d.silent = true, false
-	if f.dbAt[d.addr] == d {
-		delete(f.dbAt, d.addr)
+	n.log, n.term, n.primary = d.log, d.term, d.primary && d.group.newestTerm == d.term
+	d.ended, d.unresponsive = true, false
+	if f.databaseAt[d.address] == d {
+		delete(f.databaseAt, d.address)
 	}
-	d.group.dbs = slices.DeleteFunc(d.group.dbs, func(o *DB) bool { return o == d })
+	d.group.databases = slices.DeleteFunc(d.group.databases, func(o *Database) bool { return o == d })
 	if n.primary {
 		d.group.primary = n
 	}
-	f.say("%s is back as %s at %v", d.id, n.id, n.at(len(n.log)))
+	f.logf("%s is back as %s at %v", d.id, n.id, n.positionAt(len(n.log)))
 	n.start()
 }
 
 // replaceLost has an empty database come for one that is gone for good.
-func (f *Fleet) replaceLost(d *DB) {
+func (f *Fleet) replaceLost(d *Database) {
 	if d.up || d.ended {
 		return
 	}
 	f.remove(d)
-	n := f.addDB(d.group, d.zone)
+	n := f.addDatabase(d.group, d.zone)
 	n.start()
 }
 
 // release replaces databases one after the other.
-func (f *Fleet) release(g *group, ds []*DB) {
-	f.releasing++
+func (f *Fleet) release(g *group, ds []*Database) {
+	f.releasesRunning++
 	f.releaseNext(g, ds)
 }
 
-func (f *Fleet) releaseNext(g *group, ds []*DB) {
+func (f *Fleet) releaseNext(g *group, ds []*Database) {
 	if len(ds) == 0 {
-		f.releasing--
+		f.releasesRunning--
 		return
 	}
 	d := ds[0]
 	next := func() { f.later(300_000, 1_500_000, func() { f.releaseNext(g, ds[1:]) }) }
-	if !d.up || d.ended || d.leaving {
+	if !d.up || d.ended || d.draining {
 		next()
 		return
 	}
 	atIts := f.Chance(0.4) // the new one takes its address and log
-	var n *DB
+	var n *Database
 	if !atIts {
-		n = f.addDB(g, d.zone)
+		n = f.addDatabase(g, d.zone)
 		n.start()
 	}
 	f.later(1_000_000, 2_500_000, func() {
@@ -645,23 +645,23 @@
 			next()
 			return
 		}
-		f.say("%s leaves", d.id)
-		d.leaving = true
+		f.logf("%s leaves", d.id)
+		d.draining = true
 		d.announce()
 		began := f.Now
-		var look func()
-		look = func() {
+		var poll func()
+		poll = func() {
 			switch {
 			case d.ended || !d.up:
 				next()
-			case d.ackedUs > 0 && f.Now-d.ackedUs > drainUs+400_000 || d.ackedUs == 0 && f.Now-began > 6_000_000:
+			case d.drainAcknowledgedUs > 0 && f.Now-d.drainAcknowledgedUs > drainTimeoutUs+400_000 || d.drainAcknowledgedUs == 0 && f.Now-began > 6_000_000:
 				d.endForGood()
 				f.After(900_000, func() {
 					if atIts && d.ended {
-						o := f.addDB(g, d.zone)
-						o.addr, o.ip = d.addr, d.ip
+						o := f.addDatabase(g, d.zone)
+						o.address, o.ip = d.address, d.ip
 						o.log, o.term = d.log, d.term
-						o.primary = d.primary && g.terms == d.term
+						o.primary = d.primary && g.newestTerm == d.term
 						if o.primary {
 							g.primary = o
 						}
@@ -670,10 +670,10 @@
 					next()
 				})
 			default:
-				f.After(100_000, look)
+				f.After(100_000, poll)
 			}
 		}
-		f.After(100_000, look)
+		f.After(100_000, poll)
 	})
 }
 
@@ -697,7 +697,7 @@
 		}
 	}
 	for _, g := range f.groups {
-		for _, d := range g.dbs {
+		for _, d := range g.databases {
 			if !slices.Contains(hs, d.ip) {
 				hs = append(hs, d.ip)
 			}
@@ -712,46 +712,46 @@
 	others = slices.Clone(others)
 	for _, o := range others {
 		if how != 2 {
-			f.net.cut(host, o)
+			f.network.partition(host, o)
 		}
 		if how != 1 {
-			f.net.cut(o, host)
+			f.network.partition(o, host)
 		}
 	}
-	healed := f.healed
+	healed := f.healCount
 	f.After(us, func() {
-		if f.healed != healed {
+		if f.healCount != healed {
 			return
 		}
 		for _, o := range others {
 			if how != 2 {
-				f.net.mend(host, o)
+				f.network.repair(host, o)
 			}
 			if how != 1 {
-				f.net.mend(o, host)
+				f.network.repair(o, host)
 			}
 		}
 	})
 }
 
-func (f *Fleet) cutPrimary(from func(g *group) []string) bool {
+func (f *Fleet) partitionPrimary(from func(g *group) []string) bool {
 	g := f.anyGroup()
 	if g == nil {
 		return false
 	}
-	f.isolate(g.primary.ip, from(g), f.R.IntN(3), f.Between(300_000, 5_000_000))
+	f.isolate(g.primary.ip, from(g), f.Random.IntN(3), f.Between(300_000, 5_000_000))
 	return true
 }
 
-// bring has one kind of fault come about, if it can.
-func (f *Fleet) bring(k fault) bool {
-	at := len(f.Says)
-	f.say("FAULT %s", k.name)
+// injectFault has one kind of fault come about, if it can.
+func (f *Fleet) injectFault(k fault) bool {
+	at := len(f.Log)
+	f.logf("FAULT %s", k.name)
 	if !k.do(f) {
-		f.Says = f.Says[:min(at, len(f.Says))]
+		f.Log = f.Log[:min(at, len(f.Log))]
 		return false
 	}
-	f.faultsOn[k.name]++
+	f.faultCounts[k.name]++
 	return true
 }
 
@@ -771,7 +771,7 @@
 			return
 		}
 		for range 5 {
-			if f.bring(ks[f.R.IntN(len(ks))]) {
+			if f.injectFault(ks[f.Random.IntN(len(ks))]) {
 				break
 			}
 		}
--- a/fleetsimulation/fleet_test.go
+++ b/fleetsimulation/fleet_test.go
@@ -14,7 +14,7 @@
 )
 
 func plan(seed uint64) Plan {
-	return Plan{Seed: seed, Nodes: 4 + int(seed%8), Groups: 2 + int(seed%2), Callers: 36, EveryUs: 150_000, Conflicts: 0.002, Spread: 0.04}
+	return Plan{Seed: seed, Nodes: 4 + int(seed%8), Groups: 2 + int(seed%2), Callers: 36, CallerIntervalUs: 150_000, ConflictShare: 0.002, ClockRateSpread: 0.04}
 }
 
 // told fails the test with what broke, and prints the run if that is wanted.
@@ -24,7 +24,7 @@
 		t.Errorf("seed %d:\n%s", f.Plan.Seed, strings.Join(f.Violations(), "\n"))
 	}
 	if *tell {
-		t.Logf("seed %d:\n%s", f.Plan.Seed, strings.Join(f.Says, "\n"))
+		t.Logf("seed %d:\n%s", f.Plan.Seed, strings.Join(f.Log, "\n"))
 	}
 }
 
@@ -36,7 +36,7 @@
 	f.Run(f.Now + 5_000_000)
 	f.Finish()
 	told(t, f)
-	t.Logf("%d operations, %d well; %d calm, %d well; acked %d, reads %d, codes %v, connects %d", f.ops, f.okOps, f.calmOps, f.calmOK, f.truth.Acked, f.truth.Reads, f.truth.Codes, f.truth.connects)
+	t.Logf("%d operations, %d well; %d calm, %d well; acked %d, reads %d, codes %v, connects %d", f.operationCount, f.successfulOperations, f.calmOperations, f.calmSuccesses, f.oracle.Acked, f.oracle.Reads, f.oracle.Codes, f.oracle.connections)
 }
 
 // faulty runs one seed under faults of the kinds named, or of any.
@@ -51,8 +51,8 @@
 	return f
 }
 
-// each runs seeds on a few threads; every seed is its own world.
-func each(n, first uint64, do func(seed uint64)) {
+// runSeeds runs seeds on a few threads; every seed is its own world.
+func runSeeds(n, first uint64, do func(seed uint64)) {
 	var wg sync.WaitGroup
 	ch := make(chan uint64)
 	for range 6 {
@@ -77,15 +77,15 @@
 		n = *seeds
 	}
 	var mu sync.Mutex
-	ops, ok, acked, promotions := 0, 0, 0, 0
-	each(n, *from, func(seed uint64) {
+	ops, ok, acknowledged, promotions := 0, 0, 0, 0
+	runSeeds(n, *from, func(seed uint64) {
 		f := faulty(plan(seed), 1_800_000)
 		mu.Lock()
 		defer mu.Unlock()
-		ops, ok, acked, promotions = ops+f.ops, ok+f.okOps, acked+f.truth.Acked, promotions+f.truth.Promotions
+		ops, ok, acknowledged, promotions = ops+f.operationCount, ok+f.successfulOperations, acknowledged+f.oracle.Acked, promotions+f.oracle.Promotions
 		told(t, f)
 	})
-	t.Logf("%d seeds: %d operations, %.4f served, %d writes acknowledged, %d promotions", n, ops, float64(ok)/float64(max(ops, 1)), acked, promotions)
+	t.Logf("%d seeds: %d operations, %.4f served, %d writes acknowledged, %d promotions", n, ops, float64(ok)/float64(max(ops, 1)), acknowledged, promotions)
 }
 
 // TestFaultFamilies brings each kind of fault about alone, again and again.
@@ -99,7 +99,7 @@
 			}
 			for seed := first; seed < first+n; seed++ {
 				f := faulty(plan(uint64(i)*1000+seed), 1_500_000, k.name)
-				if f.faultsOn[k.name] == 0 {
+				if f.faultCounts[k.name] == 0 {
 					t.Errorf("seed %d: it never came about", f.Plan.Seed)
 				}
 				told(t, f)
@@ -111,10 +111,10 @@
 // TestSameSeedSameRun: a seed replays exactly.
 func TestSameSeedSameRun(t *testing.T) {
 	a, b := faulty(plan(7), 1_800_000), faulty(plan(7), 1_800_000)
-	if x, y := strings.Join(a.Says, "\n"), strings.Join(b.Says, "\n"); x != y {
+	if x, y := strings.Join(a.Log, "\n"), strings.Join(b.Log, "\n"); x != y {
 		t.Error("the two runs say different things")
 	}
-	if a.ops != b.ops || a.okOps != b.okOps || a.truth.Acked != b.truth.Acked || a.truth.Reads != b.truth.Reads || a.truth.connects != b.truth.connects {
-		t.Errorf("%d and %d operations, %d and %d writes, %d and %d reads", a.ops, b.ops, a.truth.Acked, b.truth.Acked, a.truth.Reads, b.truth.Reads)
+	if a.operationCount != b.operationCount || a.successfulOperations != b.successfulOperations || a.oracle.Acked != b.oracle.Acked || a.oracle.Reads != b.oracle.Reads || a.oracle.connections != b.oracle.connections {
+		t.Errorf("%d and %d operations, %d and %d writes, %d and %d reads", a.operationCount, b.operationCount, a.oracle.Acked, b.oracle.Acked, a.oracle.Reads, b.oracle.Reads)
 	}
 }
--- a/fleetsimulation/leaves_test.go
+++ b/fleetsimulation/leaves_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const leaveSeeds = uint64(30)
+const drainingSeeds = uint64(30)
 
 // busyFleet is a world that serves.
 func busyFleet(p Plan) *Fleet {
@@ -18,31 +18,31 @@
 }
 
 // followers are a group's, in any order.
-func (f *Fleet) followers(g *group) []*DB {
-	fs := slices.DeleteFunc(slices.Clone(g.dbs), func(d *DB) bool { return d == g.primary })
-	f.R.Shuffle(len(fs), func(i, j int) { fs[i], fs[j] = fs[j], fs[i] })
+func (f *Fleet) followers(g *group) []*Database {
+	fs := slices.DeleteFunc(slices.Clone(g.databases), func(d *Database) bool { return d == g.primary })
+	f.Random.Shuffle(len(fs), func(i, j int) { fs[i], fs[j] = fs[j], fs[i] })
 	return fs
 }
 
-// leaving plays a world in which databases of one group leave, and its primary
+// drainReplicas plays a world in which databases of one group leave, and its primary
 // is lost for good some time after. what starts the leaves; it gets the followers.
-func leaving(t *testing.T, what func(f *Fleet, g *group, followers []*DB)) {
+func drainReplicas(t *testing.T, what func(f *Fleet, g *group, followers []*Database)) {
 	t.Helper()
 	var mu sync.Mutex
-	acked, promotions := 0, 0
-	each(leaveSeeds, *from, func(seed uint64) {
+	acknowledged, promotions := 0, 0
+	runSeeds(drainingSeeds, *from, func(seed uint64) {
 		f := busyFleet(plan(seed))
-		g := f.groups[f.R.IntN(len(f.groups))]
+		g := f.groups[f.Random.IntN(len(f.groups))]
 		what(f, g, f.followers(g))
 		// The primary's loss, at each moment of a leave that takes some 10 s.
-		f.After(int64(seed)*11_000_000/int64(leaveSeeds)+f.Between(0, 200_000), func() {
+		f.After(int64(seed)*11_000_000/int64(drainingSeeds)+f.Between(0, 200_000), func() {
 			d := g.primary
-			f.say("%s is lost for good", d.id)
+			f.logf("%s is lost for good", d.id)
 			d.crash(f.Chance(0.5))
 			for _, n := range f.nodes {
 				if n.up && f.Chance(0.3) { // so nobody tells what it acknowledged
 					f.killNode(n, true)
-					f.later(300_000, 2_000_000, func() { f.backNode(n) })
+					f.later(300_000, 2_000_000, func() { f.restartNode(n) })
 				}
 			}
 			f.later(2_000_000, 4_000_000, func() { f.replaceLost(d) })
@@ -52,102 +52,102 @@
 		mu.Lock()
 		defer mu.Unlock()
 		told(t, f)
-		acked, promotions = acked+f.truth.Acked, promotions+f.truth.Promotions
+		acknowledged, promotions = acknowledged+f.oracle.Acked, promotions+f.oracle.Promotions
 	})
-	t.Logf("%d seeds: %d writes acknowledged, %d promotions", leaveSeeds, acked, promotions)
+	t.Logf("%d seeds: %d writes acknowledged, %d promotions", drainingSeeds, acknowledged, promotions)
 }
 
 // slowFollower has a follower receive nothing, now and then, for a while.
-func (f *Fleet) slowFollower(d *DB) {
+func (f *Fleet) slowFollower(d *Database) {
 	for range 3 {
 		f.later(0, 10_000_000, func() {
-			d.deaf = true
-			f.later(100_000, 700_000, func() { d.deaf = false })
+			d.receivesNothing = true
+			f.later(100_000, 700_000, func() { d.receivesNothing = false })
 		})
 	}
 }
 
-// TestReplicaLeaves: the loss of the primary at each moment of a replica's leave
+// TestReplicaDrains: the loss of the primary at each moment of a replica's leave
 // loses nothing acknowledged, though the replica counted until it was gone.
-func TestReplicaLeaves(t *testing.T) {
-	leaving(t, func(f *Fleet, g *group, fs []*DB) {
+func TestReplicaDrains(t *testing.T) {
+	drainReplicas(t, func(f *Fleet, g *group, fs []*Database) {
 		f.release(g, fs[:1])
 		f.slowFollower(fs[1])
 	})
 }
 
-// onlyCopy has the replica that stays receive nothing for the last moments of the
+// lastUpToDateReplica has the replica that stays receive nothing for the last moments of the
 // one that leaves, and loses the primary right after it.
-func onlyCopy(p Plan) *Fleet {
+func lastUpToDateReplica(p Plan) *Fleet {
 	f := busyFleet(p)
-	g := f.groups[f.R.IntN(len(f.groups))]
+	g := f.groups[f.Random.IntN(len(f.groups))]
 	d := g.primary
 	fs := f.followers(g)
 	goes, stays := fs[0], fs[1]
-	goes.leaving = true
+	goes.draining = true
 	goes.announce()
-	for goes.ackedUs == 0 {
+	for goes.drainAcknowledgedUs == 0 {
 		f.Run(f.Now + 10_000)
 	}
-	f.Run(goes.ackedUs + drainUs + 400_000 - f.Between(100_000, 900_000))
-	stays.deaf = true
-	f.Run(goes.ackedUs + drainUs + 400_000)
+	f.Run(goes.drainAcknowledgedUs + drainTimeoutUs + 400_000 - f.Between(100_000, 900_000))
+	stays.receivesNothing = true
+	f.Run(goes.drainAcknowledgedUs + drainTimeoutUs + 400_000)
 	goes.endForGood()
 	for !goes.ended {
 		f.Run(f.Now + 1_000)
 	}
 	f.Run(f.Now + f.Between(0, 30_000))
-	f.say("%s is lost for good", d.id)
+	f.logf("%s is lost for good", d.id)
 	d.crash(p.Seed%2 == 0)
 	for _, n := range f.nodes {
 		if n.up && f.Chance(0.5) {
 			f.killNode(n, true)
-			f.later(300_000, 2_000_000, func() { f.backNode(n) })
+			f.later(300_000, 2_000_000, func() { f.restartNode(n) })
 		}
 	}
-	stays.deaf = false
+	stays.receivesNothing = false
 	f.later(1_000_000, 2_000_000, func() { f.replaceLost(d) })
 	f.Run(f.Now + 12_000_000)
 	f.Finish()
 	return f
 }
 
-// TestReplicaLeavesWithTheOnlyCopy: a replica that leaves takes nothing along that
+// TestLastUpToDateReplicaDrains: a replica that leaves takes nothing along that
 // was acknowledged and stands nowhere else.
-func TestReplicaLeavesWithTheOnlyCopy(t *testing.T) {
+func TestLastUpToDateReplicaDrains(t *testing.T) {
 	var mu sync.Mutex
-	each(leaveSeeds, *from, func(seed uint64) {
-		f := onlyCopy(plan(seed))
+	runSeeds(drainingSeeds, *from, func(seed uint64) {
+		f := lastUpToDateReplica(plan(seed))
 		mu.Lock()
 		defer mu.Unlock()
 		told(t, f)
 	})
 }
 
-// TestPlantedLeaversReceive: where replicas that leave are not held, the group
+// TestMutationDrainingReplicasReceive: where replicas that leave are not held, the group
 // waits for ever for what one took along, or lacks it.
-func TestPlantedLeaversReceive(t *testing.T) {
+func TestMutationDrainingReplicasReceive(t *testing.T) {
 	var mu sync.Mutex
 	red := uint64(0)
-	each(leaveSeeds, *from, func(seed uint64) {
+	runSeeds(drainingSeeds, *from, func(seed uint64) {
 		p := plan(seed)
-		p.Plant = LeaversReceive
-		f := onlyCopy(p)
+		p.Mutation = DrainingReplicasReceive
+		f := lastUpToDateReplica(p)
 		mu.Lock()
 		defer mu.Unlock()
 		if len(f.Violations()) > 0 {
 			red++
 		}
 	})
-	t.Logf("red with %d of %d seeds", red, leaveSeeds)
-	if red*2 < leaveSeeds {
+	t.Logf("red with %d of %d seeds", red, drainingSeeds)
+	if red*2 < drainingSeeds {
 		t.Error("it is not seen")
 	}
 }
 
-// TestTwoReplicasLeave: the same for two leaves in one group.
-func TestTwoReplicasLeave(t *testing.T) {
-	leaving(t, func(f *Fleet, g *group, fs []*DB) {
+// TestTwoReplicasDrain: the same for two leaves in one group.
+func TestTwoReplicasDrain(t *testing.T) {
+	drainReplicas(t, func(f *Fleet, g *group, fs []*Database) {
 		f.release(g, fs[:1])
 		f.later(0, 3_000_000, func() { f.release(g, fs[1:]) })
 	})
@@ -156,5 +156,5 @@
 // TestReleaseOfAllAndALoss: the same while all databases of a group are replaced
 // one after another.
 func TestReleaseOfAllAndALoss(t *testing.T) {
-	leaving(t, func(f *Fleet, g *group, fs []*DB) { f.release(g, append(fs, g.primary)) })
+	drainReplicas(t, func(f *Fleet, g *group, fs []*Database) { f.release(g, append(fs, g.primary)) })
 }
--- a/fleetsimulation/moves.go
+++ b/fleetsimulation/moves.go
@@ -16,14 +16,14 @@
 
 // moves is what operators ask of groups' sites, and what was seen of that.
 type moves struct {
-	f         *Fleet
-	agreed    map[string]uint64    // newest table that a group's move was seen agreed by
-	terms     map[string]uint64    // newest in which a group was seen open
-	floors    map[string][]floor   // of each group, by rising table
-	phases    map[string][2]uint64 // newest register revision seen of a move, and its phase
-	seen      map[ports.MovePhase]int
-	asked     int
-	forgetful int64 // from when on the first node hears of no table, where that is planted
+	fleet          *Fleet
+	agreed         map[string]uint64    // newest table that a group's move was seen agreed by
+	terms          map[string]uint64    // newest in which a group was seen open
+	floors         map[string][]floor   // of each group, by rising table
+	phases         map[string][2]uint64 // newest register revision seen of a move, and its phase
+	seen           map[ports.MovePhase]int
+	requestedMoves int
+	forgetful      int64 // from when on the first node hears of no table, where that is planted
 }
 
 // floor is a leadership that needs a table: nothing older may serve from then on.
@@ -37,35 +37,35 @@
 }
 
 func newMoves(f *Fleet) moves {
-	return moves{f: f, agreed: map[string]uint64{}, floors: map[string][]floor{}, terms: map[string]uint64{}, phases: map[string][2]uint64{}, seen: map[ports.MovePhase]int{}, forgetful: math.MaxInt64}
+	return moves{fleet: f, agreed: map[string]uint64{}, floors: map[string][]floor{}, terms: map[string]uint64{}, phases: map[string][2]uint64{}, seen: map[ports.MovePhase]int{}, forgetful: math.MaxInt64}
 }
 
-// look is called after each step of a control process.
-func (m *moves) look(c *Control) {
-	f := m.f
+// observe is called after each step of a control process.
+func (m *moves) observe(c *Control) {
+	f := m.fleet
 	for _, g := range f.groups {
-		if v, ok := c.core.View().Agreed(voterview.MovePrefix + g.name); ok && v.Revision > m.phases[g.name][0] {
+		if v, ok := c.core.Learner().Committed(voterview.MovePrefix + g.name); ok && v.Revision > m.phases[g.name][0] {
 			x := &schema.Move{}
 			if proto.Unmarshal(v.Data, x) != nil {
-				f.truth.bad("MOVE: a register cannot be read")
+				f.oracle.violation("MOVE: a register cannot be read")
 			}
 			m.phases[g.name] = [2]uint64{v.Revision, uint64(x.Phase)}
 			m.seen[ports.MovePhase(x.Phase)]++
-			f.say("move of %s to %s by table %d: %v %s", g.name, x.To, x.Table, ports.MovePhase(x.Phase), x.Cause)
+			f.logf("move of %s to %s by table %d: %v %s", g.name, x.ToSite, x.TableRevision, ports.MovePhase(x.Phase), x.Cause)
 			if ports.MovePhase(x.Phase) == ports.MoveAgreed {
-				m.gate(g, x.Table)
+				m.gate(g, x.TableRevision)
 			}
 		}
-		if v, ok := c.core.View().Agreed(voterview.LeaderPrefix + g.name); ok {
-			l := voterview.Leadership(v)
+		if v, ok := c.core.Learner().Committed(voterview.LeaderPrefix + g.name); ok {
+			l := voterview.DecodeLeadership(v)
 			fs := m.floors[g.name]
-			if ports.Phase(l.Phase) == ports.PhaseOpen && l.Table > 0 && (len(fs) == 0 || l.Table > fs[len(fs)-1].table) {
-				m.floors[g.name] = append(fs, floor{l.Table, f.Now, l.Term, l.Term == m.terms[g.name]})
-				if m.agreed[g.name] < l.Table {
-					f.truth.bad("GATE: %s needs table %d, by which no move was agreed", g.name, l.Table)
+			if ports.Phase(l.Phase) == ports.PhaseServing && l.TableRevision > 0 && (len(fs) == 0 || l.TableRevision > fs[len(fs)-1].table) {
+				m.floors[g.name] = append(fs, floor{l.TableRevision, f.Now, l.Term, l.Term == m.terms[g.name]})
+				if m.agreed[g.name] < l.TableRevision {
+					f.oracle.violation("GATE: %s needs table %d, by which no move was agreed", g.name, l.TableRevision)
 				}
 			}
-			if ports.Phase(l.Phase) == ports.PhaseOpen {
+			if ports.Phase(l.Phase) == ports.PhaseServing {
 				m.terms[g.name] = max(m.terms[g.name], l.Term)
 			}
 		}
@@ -76,42 +76,42 @@
 // table.
 func (m *moves) gate(g *group, table uint64) {
 	m.agreed[g.name] = max(m.agreed[g.name], table)
-	for _, n := range m.f.nodes {
+	for _, n := range m.fleet.nodes {
 		if n.up && n.core.LeaseUntil() > n.now() && n.core.TableRevision() < table {
-			m.f.truth.bad("GATE: the move of %s by table %d was agreed while %s has a lease under %d", g.name, table, n.name, n.core.TableRevision())
+			m.fleet.oracle.violation("GATE: the move of %s by table %d was agreed while %s has a lease under %d", g.name, table, n.name, n.core.TableRevision())
 		}
 	}
 }
 
 // ended is called when a caller hears that a statement was done: nothing that
 // left for a database after the switch may have done so under an older table.
-func (m *moves) ended(st *Statement) {
-	if !st.left || st.route.kind != ports.Current && !st.writes && st.kind != ports.Commit {
+func (m *moves) ended(statement *Statement) {
+	if !statement.forwarded || statement.route.kind != ports.CurrentRead && !statement.writes && statement.kind != ports.Commit {
 		return
 	}
-	if st.kind == ports.Commit && !st.try.wrote(st.tx) {
+	if statement.kind == ports.Commit && !statement.attempt.wrote(statement.transaction) {
 		return // the end of a transaction that only read, each read held against this by itself
 	}
-	for _, fl := range m.floors[st.route.group] {
+	for _, fl := range m.floors[statement.route.group] {
 		if fl.stayed {
 			continue
 		}
-		if st.leftUs > fl.at && st.leftTable < fl.table {
-			m.f.truth.bad("FLOOR: %q left under table %d, %d ms after %s was open under %d", st.raw, st.leftTable, (st.leftUs-fl.at)/1000, st.route.group, fl.table)
+		if statement.forwardedUs > fl.at && statement.forwardedTable < fl.table {
+			m.fleet.oracle.violation("FLOOR: %q left under table %d, %d ms after %s was open under %d", statement.raw, statement.forwardedTable, (statement.forwardedUs-fl.at)/1000, statement.route.group, fl.table)
 			return
 		}
 	}
 }
 
-// acked is called for each acknowledged commit: one of a later term than the
+// acknowledged is called for each acknowledged commit: one of a later term than the
 // switch began in left under its table.
-func (m *moves) acked(st *Statement, e *entry) {
-	for _, fl := range m.floors[st.route.group] {
+func (m *moves) acknowledged(statement *Statement, e *entry) {
+	for _, fl := range m.floors[statement.route.group] {
 		if fl.stayed {
 			continue
 		}
-		if e.at.Term >= fl.term && st.leftTable < fl.table {
-			m.f.truth.bad("FLOOR: %v of %s left under table %d, that term needs %d", e.at, st.route.group, st.leftTable, fl.table)
+		if e.position.Term >= fl.term && statement.forwardedTable < fl.table {
+			m.fleet.oracle.violation("FLOOR: %v of %s left under table %d, that term needs %d", e.position, statement.route.group, statement.forwardedTable, fl.table)
 			return
 		}
 	}
@@ -119,25 +119,25 @@
 
 // start has operators move groups until a time.
 func (m *moves) start(until, mean int64) {
-	f := m.f
+	f := m.fleet
 	var next func()
 	next = func() {
 		f.After(f.Between(mean/2, mean*3/2), func() {
 			if f.Now >= until {
 				return
 			}
-			m.ask()
+			m.request()
 			next()
 		})
 	}
 	next()
 }
 
-// ask has one group moved to a zone or region, and some moves taken back.
-func (m *moves) ask() {
-	f := m.f
-	g := f.groups[f.R.IntN(len(f.groups))]
-	site := zoneNames[f.R.IntN(len(zoneNames))]
+// request has one group moved to a zone or region, and some moves taken back.
+func (m *moves) request() {
+	f := m.fleet
+	g := f.groups[f.Random.IntN(len(f.groups))]
+	site := zoneNames[f.Random.IntN(len(zoneNames))]
 	if f.Chance(0.3) {
 		site = "region-of-" + site
 	}
@@ -148,7 +148,7 @@
 }
 
 func (m *moves) to(g *group, site string) {
-	m.asked++
+	m.requestedMoves++
 	m.call(func(id uint64) any { return coordinator.Move{ID: id, Group: g.name, Site: site} }, "move "+g.name+" to "+site)
 }
 
@@ -157,11 +157,11 @@
 }
 
 func (m *moves) call(e func(id uint64) any, what string) {
-	f := m.f
-	c := f.controls[f.R.IntN(len(f.controls))]
+	f := m.fleet
+	c := f.controls[f.Random.IntN(len(f.controls))]
 	f.callControl("operators", c, func(c *Control, id uint64) { c.post("operators", e(id)) }, func(v any) {
 		if r, ok := v.(coordinator.MoveResult); ok {
-			f.say("operators: %s: %d %s", what, r.Outcome, r.Problem)
+			f.logf("operators: %s: %d %s", what, r.Outcome, r.Problem)
 		}
 	})
 }
@@ -169,19 +169,19 @@
 // site is the zone of a group's primary.
 func (g *group) site() string { return g.primary.zone }
 
-// plant takes from a return what a plant has a node not hear.
-func (m *moves) plant(to string, r *schema.LookReturn) {
-	f := m.f
+// mutate takes from a return what a plant has a node not hear.
+func (m *moves) mutate(to string, r *schema.PollResponse) {
+	f := m.fleet
 	if f.nodeAt[to] == f.nodes[0] && f.Now >= m.forgetful {
-		r.Cells = slices.DeleteFunc(r.Cells, func(c *schema.Cell) bool { return c.Key == voterview.TableKey })
+		r.Registers = slices.DeleteFunc(r.Registers, func(c *schema.RegisterState) bool { return c.Key == voterview.TableKey })
 	}
-	if f.Plan.Plant != FloorIgnored {
+	if f.Plan.Mutation != FloorIgnored {
 		return
 	}
-	for _, c := range r.Cells {
+	for _, c := range r.Registers {
 		if strings.HasPrefix(c.Key, voterview.LeaderPrefix) && len(c.Value.GetData()) > 0 {
-			l := voterview.Leadership(voterview.Chosen{Data: c.Value.Data})
-			l.Table = 0
+			l := voterview.DecodeLeadership(voterview.CommittedValue{Data: c.Value.Data})
+			l.TableRevision = 0
 			b, err := proto.MarshalOptions{Deterministic: true}.Marshal(l)
 			if err != nil {
 				panic(err)
@@ -191,9 +191,9 @@
 	}
 }
 
-// plantLook has a voter say of all what only some do.
-func (f *Fleet) plantLook(e *schema.Envelope) {
-	if l := e.GetLook(); l != nil && (f.Plan.Plant == GateSkipped || f.Plan.Plant == FloorIgnored) && l.Kind == "control" {
-		l.All = cmp.Or(l.All, 1) << 40
+// mutatePoll has a voter say of all what only some do.
+func (f *Fleet) mutatePoll(e *schema.Envelope) {
+	if l := e.GetPoll(); l != nil && (f.Plan.Mutation == GateSkipped || f.Plan.Mutation == FloorIgnored) && l.Kind == "control" {
+		l.ConvergedTable = cmp.Or(l.ConvergedTable, 1) << 40
 	}
 }
--- a/fleetsimulation/moves_test.go
+++ b/fleetsimulation/moves_test.go
@@ -64,7 +64,7 @@
 // named, and the move can be taken back.
 func TestMoveStaysStaged(t *testing.T) {
 	p := plan(4)
-	p.Plant = TablesForgotten
+	p.Mutation = TablesForgotten
 	f := NewFleet(p)
 	f.Run(6_000_000)
 	g := f.groups[0]
@@ -73,7 +73,7 @@
 	f.Run(f.Now + 8_000_000)
 	c := f.controls[0]
 	ms := c.core.Moves(c.now())
-	if len(ms) != 1 || ms[0].Phase != "staged" || !slices.Equal(ms[0].Behind, []string{f.nodes[0].name}) || g.site() != at {
+	if len(ms) != 1 || ms[0].Phase != "staged" || !slices.Equal(ms[0].Lagging, []string{f.nodes[0].name}) || g.site() != at {
 		t.Fatalf("%+v, the primary at %s", ms, g.site())
 	}
 	f.moves.cancel(g)
@@ -91,41 +91,41 @@
 		n = *seeds
 	}
 	var mu sync.Mutex
-	ops, ok, acked, asked := 0, 0, 0, 0
+	ops, ok, acknowledged, requested := 0, 0, 0, 0
 	seen := map[ports.MovePhase]int{}
-	each(n, *from, func(seed uint64) {
+	runSeeds(n, *from, func(seed uint64) {
 		f := moving(plan(seed), 2_500_000)
 		mu.Lock()
 		defer mu.Unlock()
-		ops, ok, acked, asked = ops+f.ops, ok+f.okOps, acked+f.truth.Acked, asked+f.moves.asked
+		ops, ok, acknowledged, requested = ops+f.operationCount, ok+f.successfulOperations, acknowledged+f.oracle.Acked, requested+f.moves.requestedMoves
 		for p, k := range f.moves.seen {
 			seen[p] += k
 		}
 		told(t, f)
 	})
-	t.Logf("%d seeds: %d moves asked for, %v; %d operations, %.4f served, %d writes acknowledged", n, asked, seen, ops, float64(ok)/float64(max(ops, 1)), acked)
+	t.Logf("%d seeds: %d moves asked for, %v; %d operations, %.4f served, %d writes acknowledged", n, requested, seen, ops, float64(ok)/float64(max(ops, 1)), acknowledged)
 	if seen[ports.MoveSwitched] == 0 || seen[ports.MoveCancelled] == 0 {
 		t.Error("no move was switched, or none taken back")
 	}
 }
 
-// TestFloorHoldsAlone: with the gate skipped, the floor still keeps what works by
+// TestTableFloorSufficesAlone: with the gate skipped, the floor still keeps what works by
 // an older table out.
-func TestFloorHoldsAlone(t *testing.T) {
+func TestTableFloorSufficesAlone(t *testing.T) {
 	for seed := range uint64(4) {
 		p := plan(seed)
-		p.Plant = GateSkipped
+		p.Mutation = GateSkipped
 		if vs := broken(moving(p, 0), "FLOOR LOST TWICE"); len(vs) > 0 {
 			t.Errorf("seed %d: %v", seed, vs)
 		}
 	}
 }
 
-func plantedMove(t *testing.T, pl Plant, rule string) {
+func checkMoveMutation(t *testing.T, pl Mutation, rule string) {
 	t.Parallel()
 	for seed := range uint64(12) {
 		p := plan(seed)
-		p.Plant = pl
+		p.Mutation = pl
 		if vs := broken(moving(p, 0), rule); len(vs) > 0 {
 			t.Logf("seed %d: %s", seed, vs[0])
 			return
@@ -134,5 +134,5 @@
 	t.Errorf("%s was not seen to break", rule)
 }
 
-func TestPlantedGateSkipped(t *testing.T)  { plantedMove(t, GateSkipped, "GATE") }
-func TestPlantedFloorIgnored(t *testing.T) { plantedMove(t, FloorIgnored, "FLOOR") }
+func TestMutationGateSkipped(t *testing.T)  { checkMoveMutation(t, GateSkipped, "GATE") }
+func TestMutationFloorIgnored(t *testing.T) { checkMoveMutation(t, FloorIgnored, "FLOOR") }
--- a/fleetsimulation/nodes.go
+++ b/fleetsimulation/nodes.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	portFirst = 7440
-	userLimit = 1_500_000 // bytes that are not acknowledged for so long break a connection
-	farDark   = 3_000_000 // a database drops a connection whose far end is dark so long
-	keepAlive = 5_000_000
+	firstPort                = 7440
+	unackedBytesTimeoutUs    = 1_500_000 // bytes that are not acknowledged for so long break a connection
+	unreachablePeerTimeoutUs = 3_000_000 // a database drops a connection whose far end is dark so long
+	keepAliveIntervalUs      = 5_000_000
 )
 
 // Node is one pool node's process.
 type Node struct {
 	process
-	zone     string
-	boot     ports.Boot
-	core     *sessionpool.Core
-	sessions map[uint64]*Session
-	streams  map[uint64]*stream
-	ids      uint64
-	rev      uint64 // newest revision seen in force in this run
-	ready    bool   // as the platform sees it
-	misses   int
-	startUs  int64
+	zone           string
+	boot           ports.ProcessConfig
+	core           *sessionpool.Core
+	sessions       map[uint64]*Session
+	streams        map[uint64]*stream
+	lastID         uint64
+	newestRevision uint64 // newest revision seen in force in this run
+	ready          bool   // as the platform sees it
+	misses         int
+	startUs        int64
 }
 
 func (f *Fleet) startNode(n *Node) {
 	n.begin()
-	n.rate = f.rate()
-	if f.Plan.Plant == SlowClock {
-		n.rate = 0.25
+	n.clockRate = f.rate()
+	if f.Plan.Mutation == SlowClock {
+		n.clockRate = 0.25
 	}
-	n.sessions, n.streams, n.ids, n.rev, n.ready, n.misses = map[uint64]*Session{}, map[uint64]*stream{}, 0, 0, false, 0
+	n.sessions, n.streams, n.lastID, n.newestRevision, n.ready, n.misses = map[uint64]*Session{}, map[uint64]*stream{}, 0, 0, false, 0
 	n.startUs = f.Now
-	f.runs++
-	n.core = sessionpool.NewCore(n.boot, f.runs, f.R.Uint64(), f.Plan.Options)
+	f.lastRun++
+	n.core = sessionpool.NewCore(n.boot, f.lastRun, f.Random.Uint64(), f.Plan.Options)
 	n.enter("start", func() { n.step(sessiontable.Tick{}) })
 }
 
 // killNode ends a node's process; silent: its machine with it, so that nobody is
 // told.
-func (f *Fleet) killNode(n *Node, silent bool) {
+func (f *Fleet) killNode(n *Node, unresponsive bool) {
 	if !n.up {
 		return
 	}
@@ -59,16 +59,16 @@
 	for _, id := range sortedKeys(n.streams) {
 		s := n.streams[id]
 		s.atNode = false
-		if !silent {
-			f.net.carry(n.ip, s.ip, func() { s.closeAtDB() })
+		if !unresponsive {
+			f.network.carry(n.ip, s.ip, func() { s.closeAtDB() })
 		}
 	}
 	for _, id := range sortedKeys(n.sessions) {
 		s := n.sessions[id]
-		if !silent {
-			f.After(toCallerUs, func() { s.broke() })
+		if !unresponsive {
+			f.After(toCallerDelayUs, func() { s.connectionBroke() })
 		} else {
-			f.After(f.Between(1_000_000, 3_000_000), func() { s.broke() })
+			f.After(f.Between(1_000_000, 3_000_000), func() { s.connectionBroke() })
 		}
 	}
 	n.streams, n.sessions = map[uint64]*stream{}, map[uint64]*Session{}
@@ -76,17 +76,17 @@
 
 // stopNode stops a node as its daemon does on the order to stop.
 func (f *Fleet) stopNode(n *Node) {
-	if !n.up || n.leaving {
+	if !n.up || n.draining {
 		return
 	}
-	n.leaving = true
+	n.draining = true
 	const grace = 6_000_000
-	gen := n.gen
-	n.enter("signal", func() { n.step(sessiontable.Stop{GraceUs: grace}) })
+	gen := n.generation
+	n.enter("signal", func() { n.step(sessiontable.Drain{GraceUs: grace}) })
 	began := f.Now
-	var look func()
-	look = func() {
-		if !n.up || n.gen != gen {
+	var poll func()
+	poll = func() {
+		if !n.up || n.generation != gen {
 			return
 		}
 		past := f.Now - began
@@ -94,34 +94,34 @@
 			f.killNode(n, false)
 			return
 		}
-		f.After(25_000, look)
+		f.After(25_000, poll)
 	}
-	f.After(25_000, look)
+	f.After(25_000, poll)
 }
 
-func (n *Node) step(evs ...any) {
-	f := n.f
-	for _, e := range evs {
-		fx := n.core.Step(n.now(), e)
-		for _, d := range fx.Do {
-			n.do(d)
-		}
-		for _, s := range fx.Send {
+func (n *Node) step(events ...any) {
+	f := n.fleet
+	for _, e := range events {
+		effects := n.core.Step(n.now(), e)
+		for _, d := range effects.Table {
+			n.perform(d)
+		}
+		for _, s := range effects.Send {
 			f.sendEnvelope(n.ip, s)
 		}
 	}
-	if r := n.core.Revision(); r != n.rev {
-		if r < n.rev {
-			f.truth.bad("%s went back from revision %d to %d", n.name, n.rev, r)
+	if r := n.core.Revision(); r != n.newestRevision {
+		if r < n.newestRevision {
+			f.oracle.violation("%s went back from revision %d to %d", n.name, n.newestRevision, r)
 		}
-		n.rev = r
-		f.truth.inForce(n, r)
+		n.newestRevision = r
+		f.oracle.revisionInForce(n, r)
 	}
 	n.alarm(n.core.Due(), func() { n.step(sessiontable.Tick{}) })
 }
 
-func (n *Node) do(d sessiontable.Effect) {
-	f := n.f
+func (n *Node) perform(d sessiontable.Effect) {
+	f := n.fleet
 	f.observeNode(n, d)
 	switch d := d.(type) {
 	case sessiontable.Reply:
@@ -134,15 +134,15 @@
 		}
 		r := d.Reply
 		r.Body = slices.Clone(r.Body)
-		if f.Plan.Plant == BodiesSwapped && f.Chance(0.01) {
+		if f.Plan.Mutation == BodiesSwapped && f.Chance(0.01) {
 			r.Body = []byte("another's")
 		}
-		if f.Plan.Plant == RepliesLate && f.Chance(0.05) {
-			f.After(refuseUs+100_000, func() { s.replied(r, d.Close) })
+		if f.Plan.Mutation == RepliesLate && f.Chance(0.05) {
+			f.After(rejectTimeoutUs+100_000, func() { s.replied(r, d.Close) })
 			return
 		}
 		s.replied(r, d.Close)
-	case sessiontable.Shut:
+	case sessiontable.CloseSession:
 		if s := n.sessions[d.Session]; s != nil {
 			delete(n.sessions, d.Session)
 			s.shut()
@@ -153,15 +153,15 @@
 		if s := n.streams[d.Conn]; s != nil && s.up {
 			s.send(d.Ops)
 		} else {
-			f.truth.bad("%s sends over connection %d, which is not open", n.name, d.Conn)
+			f.oracle.violation("%s sends over connection %d, which is not open", n.name, d.Conn)
 		}
-	case sessiontable.Close:
+	case sessiontable.CloseConnection:
 		if s := n.streams[d.Conn]; s != nil {
 			delete(n.streams, d.Conn)
 			s.giveUp()
 		}
-	case sessiontable.Say:
-		f.say("%s: %d %s", n.name, d.Code, d.Text)
+	case sessiontable.LogEntry:
+		f.logf("%s: %d %s", n.name, d.Code, d.Text)
 	default:
 		panic(fmt.Sprintf("effect %T", d))
 	}
@@ -170,8 +170,8 @@
 // Envelopes.
 
 func (f *Fleet) sendEnvelope(from string, s step.Send) {
-	f.Plan.Observe.Envelope(f.Now, from, s.To, s.Env)
-	b, err := proto.Marshal(s.Env)
+	f.Plan.Observe.Envelope(f.Now, from, s.To, s.Envelope)
+	b, err := proto.Marshal(s.Envelope)
 	if err != nil {
 		panic(err)
 	}
@@ -181,56 +181,56 @@
 		if err := proto.Unmarshal(b, e); err != nil {
 			panic(err)
 		}
-		f.plantNews(s.To, e)
-		f.plantLook(e)
+		f.mutateUpdate(s.To, e)
+		f.mutatePoll(e)
 		f.takeEnvelope(s.To, e)
 	}
 	switch {
 	case from == to:
 		f.After(20, deliver)
-	case !f.net.reaches(from, to):
+	case !f.network.reaches(from, to):
 		// Some wait in a buffer until the cut ends, most go with their link.
 		if f.Chance(0.1) {
-			f.net.carry(from, to, deliver)
+			f.network.carry(from, to, deliver)
 		}
-	case f.net.loses(from, to) && f.Chance(0.3):
+	case f.network.loses(from, to) && f.Chance(0.3):
 	default:
-		if f.Chance(f.doubles) {
-			f.net.carry(from, to, deliver)
+		if f.Chance(f.duplicateShare) {
+			f.network.carry(from, to, deliver)
 		}
-		if f.Chance(f.doubles) {
+		if f.Chance(f.duplicateShare) {
 			f.After(f.Between(10_000, 900_000), deliver) // late and out of order
 			return
 		}
-		f.net.carry(from, to, deliver)
+		f.network.carry(from, to, deliver)
 	}
 }
 
-// plantNews takes news out where that is planted.
-func (f *Fleet) plantNews(to string, e *schema.Envelope) {
-	r := e.GetLookReturn()
+// mutateUpdate takes news out where that is planted.
+func (f *Fleet) mutateUpdate(to string, e *schema.Envelope) {
+	r := e.GetPollResponse()
 	if r == nil || f.nodeAt[to] == nil {
 		return
 	}
-	switch f.Plan.Plant {
-	case LeavesForgotten:
-		r.Instances = slices.DeleteFunc(r.Instances, func(r *schema.Record) bool { return voterview.Instance(r).Leaving })
+	switch f.Plan.Mutation {
+	case DrainingForgotten:
+		r.Databases = slices.DeleteFunc(r.Databases, func(r *schema.Record) bool { return voterview.DecodeInstance(r).Draining })
 	case GateSkipped, FloorIgnored:
-		f.moves.plant(to, r)
+		f.moves.mutate(to, r)
 	case TablesForgotten:
 		if f.Now > 5_000_000 && f.nodeAt[to] == f.nodes[0] {
-			r.Cells = slices.DeleteFunc(r.Cells, func(c *schema.Cell) bool { return c.Key == voterview.TableKey })
+			r.Registers = slices.DeleteFunc(r.Registers, func(c *schema.RegisterState) bool { return c.Key == voterview.TableKey })
 		}
 	}
 }
 
 func (f *Fleet) takeEnvelope(to string, e *schema.Envelope) {
-	if c := f.ctlAt[to]; c != nil {
+	if c := f.controlAt[to]; c != nil {
 		c.post(e.From, e)
 	} else if n := f.nodeAt[to]; n != nil {
-		gen := n.gen
+		gen := n.generation
 		n.enter(e.From, func() {
-			if n.gen == gen {
+			if n.generation == gen {
 				n.step(e)
 			}
 		})
@@ -239,39 +239,39 @@
 
 // stream is one connection of a node to a database.
 type stream struct {
-	f       *Fleet
-	n       *Node
-	gen     int // of the node's run
-	conn    uint64
-	ip      string // of the database
-	db      *DB
-	dbGen   int
-	c       *dbConn // at the database, once it is open there
-	up      bool    // open at the node
-	atNode  bool    // not given up at the node
-	badFrom int64   // since when its way is broken, 0 if it is not
+	fleet              *Fleet
+	node               *Node
+	gen                int // of the node's run
+	conn               uint64
+	ip                 string // of the database
+	database           *Database
+	databaseGeneration int
+	connection         *databaseConnection // at the database, once it is open there
+	up                 bool                // open at the node
+	atNode             bool                // not given up at the node
+	badFrom            int64               // since when its way is broken, 0 if it is not
 }
 
-func (n *Node) src(conn uint64) string { return fmt.Sprint("conn", conn) }
+func (n *Node) source(conn uint64) string { return fmt.Sprint("conn", conn) }
 
 func (n *Node) connect(d sessiontable.Connect) {
-	f := n.f
-	s := &stream{f: f, n: n, gen: n.gen, conn: d.Conn, ip: hostOf(d.Address), atNode: true}
+	f := n.fleet
+	s := &stream{fleet: f, node: n, gen: n.generation, conn: d.Conn, ip: hostOf(d.Address), atNode: true}
 	n.streams[d.Conn] = s
 	f.streams = append(f.streams, s)
-	end := func(e sessiontable.Connected) {
+	end := func(e sessiontable.ConnectEnded) {
 		if !s.atNode || s.up {
 			return
 		}
-		n.enter(n.src(d.Conn), func() {
-			if n.streams[d.Conn] != s || n.gen != s.gen || s.up {
+		n.enter(n.source(d.Conn), func() {
+			if n.streams[d.Conn] != s || n.generation != s.gen || s.up {
 				return
 			}
 			if e.Err != "" {
 				s.atNode = false
 				delete(n.streams, d.Conn)
-				if s.c != nil {
-					f.net.carry(n.ip, s.ip, s.closeAtDB)
+				if s.connection != nil {
+					f.network.carry(n.ip, s.ip, s.closeAtDB)
 				}
 			} else {
 				s.up = true
@@ -279,75 +279,75 @@
 			n.step(e)
 		})
 	}
-	f.After(int64(float64(d.WaitUs)/n.rate), func() { end(sessiontable.Connected{Conn: d.Conn, Err: "no answer in time"}) })
-	f.net.carry(n.ip, s.ip, func() {
-		db := f.dbAt[d.Address]
+	f.After(int64(float64(d.WaitUs)/n.clockRate), func() { end(sessiontable.ConnectEnded{Conn: d.Conn, Err: "no answer in time"}) })
+	f.network.carry(n.ip, s.ip, func() {
+		db := f.databaseAt[d.Address]
 		switch {
-		case db != nil && db.silent && !db.up:
+		case db != nil && db.unresponsive && !db.up:
 			return
 		case db == nil || !db.up:
-			f.net.carry(s.ip, n.ip, func() {
-				end(sessiontable.Connected{Conn: d.Conn, Err: "refused", NotThere: true})
+			f.network.carry(s.ip, n.ip, func() {
+				end(sessiontable.ConnectEnded{Conn: d.Conn, Err: "refused", ConnectionRefused: true})
 			})
 			return
 		}
-		s.db, s.dbGen = db, db.gen
+		s.database, s.databaseGeneration = db, db.generation
 		code, c := db.accept(d.Group, d.ID, s)
 		if code != ports.Done {
-			f.net.carry(s.ip, n.ip, func() { end(sessiontable.Connected{Conn: d.Conn, Err: "bounced", Code: code}) })
+			f.network.carry(s.ip, n.ip, func() { end(sessiontable.ConnectEnded{Conn: d.Conn, Err: "bounced", Code: code}) })
 			return
 		}
-		s.c = c
+		s.connection = c
 		db.work(12_000, true, func() {
 			if !c.open {
 				return
 			}
 			p := db.position()
-			f.net.carry(s.ip, n.ip, func() { end(sessiontable.Connected{Conn: d.Conn, Position: p}) })
+			f.network.carry(s.ip, n.ip, func() { end(sessiontable.ConnectEnded{Conn: d.Conn, Position: p}) })
 		})
 	})
 }
 
 // send puts ops on the wire.
 func (s *stream) send(ops []ports.Op) {
-	f, n := s.f, s.n
+	f, n := s.fleet, s.node
 	var own []ports.Op
 	for _, o := range ops {
-		if st := f.truth.statement(o.St.ID); st != nil {
-			st.left = true
-			st.leftUs, st.leftTable = f.Now, n.core.TableRevision()
+		if statement := f.oracle.statement(o.Statement.ID); statement != nil {
+			statement.forwarded = true
+			statement.forwardedUs, statement.forwardedTable = f.Now, n.core.TableRevision()
 		}
-		o.St.Raw = slices.Clone(o.St.Raw)
-		if f.Plan.Plant == TextChanged && !o.Own && f.Chance(0.01) {
-			o.St.Raw = append(o.St.Raw, '!')
+		o.Statement.Raw = slices.Clone(o.Statement.Raw)
+		if f.Plan.Mutation == TextChanged && !o.Internal && f.Chance(0.01) {
+			o.Statement.Raw = append(o.Statement.Raw, '!')
 		}
 		own = append(own, o)
 	}
 	sent, taken := f.Now, false
 	var deliver func()
 	deliver = func() {
-		if s.db == nil || s.c == nil {
+		if s.database == nil || s.connection == nil {
 			return
 		}
 		switch {
-		case s.db.up && s.db.gen == s.dbGen:
+		case s.database.up && s.database.generation == s.databaseGeneration:
 			taken = true
-			if s.c.open {
-				s.c.push(own, n)
+			if s.connection.open {
+				s.connection.push(own, n)
 			} else {
-				f.net.carry(s.ip, n.ip, func() { s.lost(true, "reset") })
+				f.network.carry(s.ip, n.ip, func() { s.lost(true, "reset") })
 			}
-		case s.db.silent && !s.db.up:
-			if f.Now-sent < userLimit {
+		case s.database.unresponsive && !s.database.up:
+			if f.Now-sent < unackedBytesTimeoutUs {
 				f.After(100_000, deliver)
 			}
 		default:
 			taken = true
-			f.net.carry(s.ip, n.ip, func() { s.lost(true, "reset") })
+			f.network.carry(s.ip, n.ip, func() { s.lost(true, "reset") })
 		}
 	}
-	f.net.carry(n.ip, s.ip, deliver)
-	f.After(userLimit, func() {
+	f.network.carry(n.ip, s.ip, deliver)
+	f.After(unackedBytesTimeoutUs, func() {
 		if !taken && s.atNode {
 			s.lost(false, "timed out")
 		}
@@ -355,22 +355,22 @@
 }
 
 // lost tells the node that the connection broke.
-func (s *stream) lost(cut bool, err string) {
-	n := s.n
+func (s *stream) lost(partitioned bool, err string) {
+	n := s.node
 	if !s.atNode {
 		return
 	}
-	n.enter(n.src(s.conn), func() {
-		if !s.atNode || n.gen != s.gen || n.streams[s.conn] != s {
+	n.enter(n.source(s.conn), func() {
+		if !s.atNode || n.generation != s.gen || n.streams[s.conn] != s {
 			return
 		}
 		s.atNode = false
 		delete(n.streams, s.conn)
 		if !s.up {
-			n.step(sessiontable.Connected{Conn: s.conn, Err: err, NotThere: false})
+			n.step(sessiontable.ConnectEnded{Conn: s.conn, Err: err, ConnectionRefused: false})
 			return
 		}
-		n.step(sessiontable.Lost{Conn: s.conn, Err: err, Cut: cut})
+		n.step(sessiontable.ConnectionLost{Conn: s.conn, Err: err, Disconnected: partitioned})
 	})
 }
 
@@ -378,26 +378,26 @@
 // what was sent.
 func (s *stream) giveUp() {
 	s.atNode = false
-	s.f.net.carry(s.n.ip, s.ip, s.closeAtDB)
+	s.fleet.network.carry(s.node.ip, s.ip, s.closeAtDB)
 }
 
 func (s *stream) closeAtDB() {
-	if s.c != nil && s.db.gen == s.dbGen {
-		s.c.hangUp()
+	if s.connection != nil && s.database.generation == s.databaseGeneration {
+		s.connection.hangUp()
 	}
 }
 
 // answer brings what a database says to the node.
-func (s *stream) answer(a ports.Answer) {
-	n := s.n
-	s.f.net.carry(s.ip, n.ip, func() {
+func (s *stream) answer(a ports.Response) {
+	n := s.node
+	s.fleet.network.carry(s.ip, n.ip, func() {
 		if !s.atNode {
 			return
 		}
-		n.enter(n.src(s.conn), func() {
-			if s.atNode && n.gen == s.gen && n.streams[s.conn] == s {
+		n.enter(n.source(s.conn), func() {
+			if s.atNode && n.generation == s.gen && n.streams[s.conn] == s {
 				a.Body = slices.Clone(a.Body)
-				n.step(sessiontable.Answered{Conn: s.conn, Answer: a})
+				n.step(sessiontable.AnswerReceived{Conn: s.conn, Answer: a})
 			}
 		})
 	})
@@ -406,20 +406,20 @@
 // sweepStreams drops connections whose way has been broken for long.
 func (f *Fleet) sweepStreams() {
 	f.streams = slices.DeleteFunc(f.streams, func(s *stream) bool {
-		return !s.atNode && (s.c == nil || !s.c.open)
+		return !s.atNode && (s.connection == nil || !s.connection.open)
 	})
 	for _, s := range f.streams {
-		if f.net.both(s.n.ip, s.ip) && (s.db == nil || s.db.up || !s.db.silent) && s.n.up && s.n.gen == s.gen {
+		if f.network.bothWays(s.node.ip, s.ip) && (s.database == nil || s.database.up || !s.database.unresponsive) && s.node.up && s.node.generation == s.gen {
 			s.badFrom = 0
 			continue
 		}
 		if s.badFrom == 0 {
 			s.badFrom = f.Now
 		}
-		if f.Now-s.badFrom >= farDark && s.c != nil && s.c.open && s.db.up && s.db.gen == s.dbGen {
-			s.c.drop()
+		if f.Now-s.badFrom >= unreachablePeerTimeoutUs && s.connection != nil && s.connection.open && s.database.up && s.database.generation == s.databaseGeneration {
+			s.connection.drop()
 		}
-		if f.Now-s.badFrom >= keepAlive && s.up {
+		if f.Now-s.badFrom >= keepAliveIntervalUs && s.up {
 			s.lost(false, "timed out")
 		}
 	}
--- a/fleetsimulation/observe.go
+++ b/fleetsimulation/observe.go
@@ -16,7 +16,7 @@
 	switch d := effect.(type) {
 	case sessiontable.Reply:
 		o.Answer(f.Now, "reply", n.name).Uint(d.Session).Int(int64(d.Code)).Int(int64(d.State)).Bytes(d.Body).Bool(d.Close)
-	case sessiontable.Shut:
+	case sessiontable.CloseSession:
 		o.Answer(f.Now, "shut", n.name).Uint(d.Session)
 	case sessiontable.Connect:
 		o.Call(f.Now, "connect", n.name).Uint(d.Conn).Text(d.Address).Text(d.Group).Text(d.ID).Int(d.WaitUs)
@@ -24,16 +24,16 @@
 		for _, op := range d.Ops {
 			f.observeOp(n, d.Conn, op)
 		}
-	case sessiontable.Close:
+	case sessiontable.CloseConnection:
 		o.Call(f.Now, "close", n.name).Uint(d.Conn)
 	}
 }
 
 func (f *Fleet) observeOp(n *Node, conn uint64, op ports.Op) {
 	o := f.Plan.Observe.Call(f.Now, "op", n.name).Uint(conn)
-	o.Bool(op.Own).Text(op.Name).Uint(op.Term).Uint(op.After.Term).Int(op.After.Number)
-	st := op.St
-	o.Text(st.ID).Int(int64(st.Kind)).Text(st.Name).Text(st.Text).Bool(st.Writes).Bytes(st.Raw)
+	o.Bool(op.Internal).Text(op.Name).Uint(op.Term).Uint(op.After.Term).Int(op.After.Number)
+	statement := op.Statement
+	o.Text(statement.ID).Int(int64(statement.Kind)).Text(statement.Name).Text(statement.Text).Bool(statement.Writes).Bytes(statement.Raw)
 }
 
 // observeControl records an effect of a control process at its edge: questions to
@@ -45,44 +45,44 @@
 		return
 	}
 	switch d := effect.(type) {
-	case coordinator.Announced:
+	case coordinator.AnnounceDone:
 		o.Answer(f.Now, "announced", c.name).Uint(d.ID).Bool(d.OK)
-	case coordinator.Changed:
+	case coordinator.ChangeTableDone:
 		o.Answer(f.Now, "changed", c.name).Uint(d.ID).Int(int64(d.Result.Outcome)).Uint(d.Result.Revision).Int(int64(len(d.Result.Problems)))
-	case coordinator.Moved:
+	case coordinator.MoveDone:
 		o.Answer(f.Now, "moved", c.name).Uint(d.ID).Int(int64(d.Result.Outcome)).Uint(d.Result.Table)
-	case coordinator.Fetched:
+	case coordinator.FetchTableDone:
 		o.Answer(f.Now, "fetched", c.name).Uint(d.ID).Bool(d.OK)
 		f.observeTable(d.Table)
-	case coordinator.Ask:
-		a := d.Ask
+	case coordinator.DatabaseCall:
+		a := d.Call
 		o.Call(f.Now, "ask", c.name).Text(d.Group).Uint(a.ID).Text(a.Instance.ID).Text(a.Instance.Address).Text(a.Instance.Group)
-		o.Int(int64(a.Kind)).Uint(a.Term).Int(a.WaitUs).Int(a.Until)
+		o.Int(int64(a.Kind)).Uint(a.Term).Int(a.TimeoutUs).Int(a.Until)
 	case coordinator.Promote:
 		p := d.Promote
-		o.Call(f.Now, "promote", c.name).Text(d.Group).Text(p.ID).Text(p.Owner).Uint(p.Fence).Int(p.Until)
+		o.Call(f.Now, "promote", c.name).Text(d.Group).Text(p.ID).Text(p.Owner).Uint(p.FencingToken).Int(p.Until)
 	}
 }
 
 // observeTable adds a routing table to the record that was begun last.
 func (f *Fleet) observeTable(t ports.RoutingTable) {
 	o := f.Plan.Observe
-	o.Uint(t.Revision).Int(t.Limits.IdleUs).Int(t.Limits.TxIdleUs).Uint(t.Forgotten)
+	o.Uint(t.Revision).Int(t.Limits.IdleTimeoutUs).Int(t.Limits.TransactionIdleTimeoutUs).Uint(t.ForgottenRevision)
 	o.Int(int64(len(t.Routes)))
 	for _, r := range t.Routes {
-		o.Text(r.Name).Text(r.Host).Text(r.Prefix).Int(int64(r.Kind)).Text(r.Group)
-		o.Int(r.ExpiryUs).Int(r.AimUs).Int(r.StaleUs).Int(int64(r.Rank)).Int(int64(r.Tries))
+		o.Text(r.Name).Text(r.Host).Text(r.Prefix).Int(int64(r.Class)).Text(r.Group)
+		o.Int(r.TimeoutUs).Int(r.LatencyTargetUs).Int(r.MaxStalenessUs).Int(int64(r.Rank)).Int(int64(r.MaxAttempts))
 	}
 	o.Int(int64(len(t.Groups)))
 	for _, g := range t.Groups {
-		o.Text(g.Name).Int(int64(g.ConnLimit)).Int(int64(g.Sync))
+		o.Text(g.Name).Int(int64(g.ConnectionLimit)).Int(int64(g.RequiredReplicaAcks))
 	}
 	o.Int(int64(len(t.Placements)))
 	for _, p := range t.Placements {
-		o.Text(p.Group).Text(p.Site).Uint(p.Table)
+		o.Text(p.Group).Text(p.Site).Uint(p.TableRevision)
 	}
-	o.Int(int64(len(t.Taken)))
-	for _, r := range t.Taken {
+	o.Int(int64(len(t.RecentOrders)))
+	for _, r := range t.RecentOrders {
 		o.Uint(r.Revision).Text(r.Digest)
 	}
 }
--- a/fleetsimulation/operators.go
+++ b/fleetsimulation/operators.go
@@ -11,36 +11,36 @@
 
 // version is one revision of the table as an operator sent it.
 type version struct {
-	revision uint64
-	base     uint64
-	table    ports.RoutingTable
-	refused  string // why it can never be in force, once somebody was told so
-	forced   bool
-	ackedUs  int64
-	checked  bool
+	revision       uint64
+	base           uint64
+	table          ports.RoutingTable
+	refused        string // why it can never be in force, once somebody was told so
+	inForce        bool
+	acknowledgedUs int64
+	checked        bool
 }
 
 // operators are the people who change the table.
 type operators struct {
-	f      *Fleet
-	tables map[uint64]*version
-	acked  []*version // in order
-	next   uint64
-	names  int
-	known  uint64 // newest revision known in force
-	busy   int
-	halted bool     // they make no more changes
-	idle   []string // names of routes added and not removed
+	fleet        *Fleet
+	tables       map[uint64]*version
+	acknowledged []*version // in order
+	next         uint64
+	names        int
+	known        uint64 // newest revision known in force
+	busy         int
+	halted       bool     // they make no more changes
+	idle         []string // names of routes added and not removed
 }
 
 func (f *Fleet) baseTable() ports.RoutingTable {
-	t := ports.RoutingTable{Limits: ports.Limits{IdleUs: 15_000_000, TxIdleUs: 3_000_000}}
+	t := ports.RoutingTable{Limits: ports.Limits{IdleTimeoutUs: 15_000_000, TransactionIdleTimeoutUs: 3_000_000}}
 	for _, g := range f.groups {
-		t.Groups = append(t.Groups, ports.Group{Name: g.name, ConnLimit: g.limit, Sync: g.sync})
+		t.Groups = append(t.Groups, ports.Group{Name: g.name, ConnectionLimit: g.limit, RequiredReplicaAcks: g.syncReplicas})
 	}
 	for _, r := range f.routes {
-		t.Routes = append(t.Routes, ports.Route{Name: r.name, Host: r.host, Prefix: "/", Kind: r.kind, Group: r.group, ExpiryUs: r.expiry, AimUs: r.aim,
-			StaleUs: r.staleUs, Rank: 1 + int(r.kind)%2, Tries: 2})
+		t.Routes = append(t.Routes, ports.Route{Name: r.name, Host: r.host, Prefix: "/", Class: r.kind, Group: r.group, TimeoutUs: r.deadlineUs, LatencyTargetUs: r.latencyTargetUs,
+			MaxStalenessUs: r.stalenessUs, Rank: 1 + int(r.kind)%2, MaxAttempts: 2})
 	}
 	return t
 }
@@ -48,11 +48,11 @@
 // put sends a change until somebody says what became of it; ps are places it is
 // sent to at once beside the first. done is told the end, ok if it is in force.
 func (o *operators) put(c ports.TableChange, valid bool, twice bool, done func(ports.Outcome)) {
-	f := o.f
+	f := o.fleet
 	o.names++
-	c.Name = fmt.Sprintf("change-%d", o.names)
-	v := &version{revision: c.Revision, base: c.Base}
-	if b := o.tables[c.Base]; b != nil || c.Base == 0 {
+	c.Digest = fmt.Sprintf("change-%d", o.names)
+	v := &version{revision: c.Revision, base: c.BaseRevision}
+	if b := o.tables[c.BaseRevision]; b != nil || c.BaseRevision == 0 {
 		old := ports.RoutingTable{}
 		if b != nil {
 			old = b.table
@@ -91,16 +91,16 @@
 			done(ports.Unavailable)
 			return
 		}
-		to := f.controls[f.R.IntN(len(f.controls))]
-		again := false
+		to := f.controls[f.Random.IntN(len(f.controls))]
+		retry := false
 		next := func(us int64) {
-			if !again && !ended {
-				again = true
+			if !retry && !ended {
+				retry = true
 				f.After(us, func() { send(tries + 1) })
 			}
 		}
 		f.callControl("operators", to, func(c2 *Control, id uint64) {
-			c2.post("operators", coordinator.Change{ID: id, Change: c})
+			c2.post("operators", coordinator.ChangeTable{ID: id, Change: c})
 		}, func(x any) {
 			r, ok := x.(ports.ChangeResult)
 			if !ok || r.Outcome == ports.Unavailable {
@@ -118,37 +118,37 @@
 }
 
 func (o *operators) ended(v *version, c ports.TableChange, valid bool, r ports.ChangeResult, took int64) {
-	f := o.f
-	f.say("operators: revision %d on %d: %d after %d ms, %d in force %v", c.Revision, c.Base, r.Outcome, took/1000, r.Revision, r.Problems)
+	f := o.fleet
+	f.logf("operators: revision %d on %d: %d after %d ms, %d in force %v", c.Revision, c.BaseRevision, r.Outcome, took/1000, r.Revision, r.Problems)
 	switch r.Outcome {
-	case ports.Agreed:
+	case ports.Committed:
 		if !valid {
-			f.truth.bad("CONFIG: revision %d, which is invalid, was acknowledged", c.Revision)
+			f.oracle.violation("CONFIG: revision %d, which is invalid, was acknowledged", c.Revision)
 			return
 		}
-		for _, a := range o.acked {
+		for _, a := range o.acknowledged {
 			if a != v && a.base == v.base {
-				f.truth.bad("CONFIG: revisions %d and %d, both based on %d, were acknowledged", a.revision, v.revision, v.base)
+				f.oracle.violation("CONFIG: revisions %d and %d, both based on %d, were acknowledged", a.revision, v.revision, v.base)
 			}
 		}
-		if v.ackedUs == 0 {
-			v.ackedUs = f.Now
-			o.acked = append(o.acked, v)
+		if v.acknowledgedUs == 0 {
+			v.acknowledgedUs = f.Now
+			o.acknowledged = append(o.acknowledged, v)
 		}
 		o.known = max(o.known, v.revision)
 	case ports.Stale, ports.Invalid:
 		if r.Outcome == ports.Invalid && valid {
-			f.truth.bad("CONFIG: revision %d, which is valid, was called invalid: %v", c.Revision, r.Problems)
+			f.oracle.violation("CONFIG: revision %d, which is valid, was called invalid: %v", c.Revision, r.Problems)
 		}
 		if v.refused == "" {
 			v.refused = "its sender was told so"
 		}
-		if v.forced {
-			f.truth.bad("CONFIG: revision %d was in force and is refused", c.Revision)
+		if v.inForce {
+			f.oracle.violation("CONFIG: revision %d was in force and is refused", c.Revision)
 		}
 		if r.Outcome == ports.Stale {
 			if w := o.tables[r.Revision]; r.Revision > 0 && w == nil {
-				f.truth.bad("CONFIG: revision %d is said to be in force, which nobody sent", r.Revision)
+				f.oracle.violation("CONFIG: revision %d is said to be in force, which nobody sent", r.Revision)
 			}
 			o.known = max(o.known, r.Revision)
 		}
@@ -156,21 +156,21 @@
 }
 
 func (o *operators) revision() uint64 {
-	o.next += 1 + uint64(o.f.R.IntN(4))
+	o.next += 1 + uint64(o.fleet.Random.IntN(4))
 	return o.next
 }
 
 // first sends the first table until it is taken.
 func (o *operators) first() {
-	t := o.f.baseTable()
-	o.put(ports.TableChange{Base: 0, Revision: o.revision(), Whole: true, Routes: t.Routes, Groups: t.Groups, Limits: &t.Limits}, true, false, func(ports.Outcome) {})
+	t := o.fleet.baseTable()
+	o.put(ports.TableChange{BaseRevision: 0, Revision: o.revision(), Complete: true, Routes: t.Routes, Groups: t.Groups, Limits: &t.Limits}, true, false, func(ports.Outcome) {})
 }
 
 // amend makes an amendment: a route that nobody uses is added or taken out, or a
 // time changes.
 func (o *operators) amend() ports.TableChange {
-	f := o.f
-	c := ports.TableChange{Base: o.known, Revision: o.revision()}
+	f := o.fleet
+	c := ports.TableChange{BaseRevision: o.known, Revision: o.revision()}
 	cur := o.tables[o.known]
 	has := func(n string) bool {
 		return cur != nil && slices.ContainsFunc(cur.table.Routes, func(r ports.Route) bool { return r.Name == n })
@@ -181,29 +181,29 @@
 			gone = append(gone, n)
 		}
 	}
-	switch x := f.R.IntN(3); {
+	switch x := f.Random.IntN(3); {
 	case x == 0 && len(gone) > 0:
-		c.RemoveRoutes = []string{gone[f.R.IntN(len(gone))]}
+		c.RemoveRoutes = []string{gone[f.Random.IntN(len(gone))]}
 	case x == 1 && cur != nil:
-		r := cur.table.Routes[f.R.IntN(len(cur.table.Routes))]
-		r.AimUs = f.Between(280_000, 320_000)
+		r := cur.table.Routes[f.Random.IntN(len(cur.table.Routes))]
+		r.LatencyTargetUs = f.Between(280_000, 320_000)
 		c.Routes = []ports.Route{r}
 	default:
 		n := fmt.Sprintf("idle-%d", c.Revision)
 		o.idle = append(o.idle, n)
-		c.Routes = []ports.Route{{Name: n, Host: n, Prefix: "/", Group: f.groups[0].name, ExpiryUs: 800_000, AimUs: 300_000}}
+		c.Routes = []ports.Route{{Name: n, Host: n, Prefix: "/", Group: f.groups[0].name, TimeoutUs: 800_000, LatencyTargetUs: 300_000}}
 	}
 	return c
 }
 
 // act has operators do one thing of those they do.
 func (o *operators) act() {
-	f := o.f
+	f := o.fleet
 	if o.known == 0 || o.busy > 0 {
 		return
 	}
 	done := func(ports.Outcome) { o.busy-- }
-	switch f.R.IntN(6) {
+	switch f.Random.IntN(6) {
 	case 0, 1:
 		o.busy++
 		o.put(o.amend(), true, false, done)
@@ -213,18 +213,18 @@
 	case 3: // two race
 		o.busy += 2
 		a, b := o.amend(), o.amend()
-		b.Base = a.Base
+		b.BaseRevision = a.BaseRevision
 		o.put(a, true, false, done)
 		f.After(f.Between(0, 30_000), func() { o.put(b, true, false, done) })
 	case 4: // invalid
 		o.busy++
 		c := o.amend()
 		c.RemoveRoutes = nil
-		switch f.R.IntN(4) {
+		switch f.Random.IntN(4) {
 		case 0:
-			c.Routes = append(c.Routes, ports.Route{Name: "x", Host: "x", Group: "nobody", ExpiryUs: 1})
+			c.Routes = append(c.Routes, ports.Route{Name: "x", Host: "x", Group: "nobody", TimeoutUs: 1})
 		case 1:
-			c.Routes = append(c.Routes, ports.Route{Name: "x", Host: f.routes[0].host, Prefix: "/", Group: f.groups[0].name, ExpiryUs: 1})
+			c.Routes = append(c.Routes, ports.Route{Name: "x", Host: f.routes[0].host, Prefix: "/", Group: f.groups[0].name, TimeoutUs: 1})
 		case 2:
 			c.Routes = append(c.Routes, ports.Route{Name: "x", Host: "x", Group: f.groups[0].name})
 		default:
@@ -232,20 +232,20 @@
 		}
 		o.put(c, false, false, done)
 	case 5: // on an old base
-		if len(o.acked) < 2 {
+		if len(o.acknowledged) < 2 {
 			return
 		}
 		o.busy++
 		c := o.amend()
-		old := o.acked[f.R.IntN(len(o.acked)-1)]
-		c.Base = old.revision
+		old := o.acknowledged[f.Random.IntN(len(o.acknowledged)-1)]
+		c.BaseRevision = old.revision
 		c.RemoveRoutes = nil
 		if c.Routes == nil {
-			c.Routes = []ports.Route{{Name: "y", Host: "y", Prefix: "/", Group: f.groups[0].name, ExpiryUs: 800_000, AimUs: 300_000}}
+			c.Routes = []ports.Route{{Name: "y", Host: "y", Prefix: "/", Group: f.groups[0].name, TimeoutUs: 800_000, LatencyTargetUs: 300_000}}
 		}
 		o.put(c, true, false, func(r ports.Outcome) {
-			if r == ports.Agreed {
-				f.truth.bad("CONFIG: a change on the old revision %d was acknowledged", c.Base)
+			if r == ports.Committed {
+				f.oracle.violation("CONFIG: a change on the old revision %d was acknowledged", c.BaseRevision)
 			}
 			o.busy--
 		})
@@ -255,7 +255,7 @@
 // readBack asks for the table until it comes, and holds it against what was
 // acknowledged.
 func (o *operators) readBack(for_ int64) {
-	f := o.f
+	f := o.fleet
 	got := false
 	until := f.Now + for_
 	var ask func()
@@ -263,8 +263,8 @@
 		if got || f.Now > until {
 			return
 		}
-		to := f.controls[f.R.IntN(len(f.controls))]
-		f.callControl("operators", to, func(c *Control, id uint64) { c.post("operators", coordinator.Fetch{ID: id}) }, func(x any) {
+		to := f.controls[f.Random.IntN(len(f.controls))]
+		f.callControl("operators", to, func(c *Control, id uint64) { c.post("operators", coordinator.FetchTable{ID: id}) }, func(x any) {
 			if r, ok := x.(fetched); ok && r.ok && !got {
 				got = true
 				o.check(r.table)
@@ -275,30 +275,30 @@
 	ask()
 	f.After(for_, func() {
 		if !got {
-			f.truth.bad("CONFIG: the table was not read back within %d ms", for_/1000)
+			f.oracle.violation("CONFIG: the table was not read back within %d ms", for_/1000)
 		}
 	})
 }
 
 func (o *operators) check(t ports.RoutingTable) {
-	f := o.f
+	f := o.fleet
 	v := o.tables[t.Revision]
 	if v == nil {
-		f.truth.bad("CONFIG: revision %d was read back, which nobody sent", t.Revision)
+		f.oracle.violation("CONFIG: revision %d was read back, which nobody sent", t.Revision)
 		return
 	}
 	t.Placements = nil // they change by moves
 	if string(routingtable.Encode(t)) != string(routingtable.Encode(v.table)) {
-		f.truth.bad("CONFIG: revision %d was read back with another content", t.Revision)
+		f.oracle.violation("CONFIG: revision %d was read back with another content", t.Revision)
 	}
 	chain := map[uint64]bool{}
 	for v != nil {
 		chain[v.revision] = true
 		v = o.tables[v.base]
 	}
-	for _, a := range o.acked {
+	for _, a := range o.acknowledged {
 		if !chain[a.revision] {
-			f.truth.bad("LOST: revision %d was acknowledged; %d, which was read back, does not build on it", a.revision, t.Revision)
+			f.oracle.violation("LOST: revision %d was acknowledged; %d, which was read back, does not build on it", a.revision, t.Revision)
 		}
 	}
 }
--- a/fleetsimulation/planted_test.go
+++ b/fleetsimulation/planted_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// planted runs a few seeds of a world with a plant in it and wants one of the
+// checkMutation runs a few seeds of a world with a plant in it and wants one of the
 // rules named to be seen broken in one of them.
-func planted(t *testing.T, p Plant, mean int64, rules string, names ...string) {
+func checkMutation(t *testing.T, p Mutation, mean int64, rules string, names ...string) {
 	t.Parallel()
 	for seed := uint64(0); seed < 24; seed++ {
 		pl := plan(seed)
-		pl.Plant = p
+		pl.Mutation = p
 		f := faulty(pl, mean, names...)
 		for _, v := range f.Violations() {
 			for r := range strings.FieldsSeq(rules) {
@@ -25,41 +25,43 @@
 	t.Errorf("none of %s was seen to break", rules)
 }
 
-func TestPlantedHoldIgnored(t *testing.T) {
-	planted(t, HoldIgnored, 1_500_000, "LOST ONE", "some nodes cut from the core, the others and the core from a primary")
+func TestMutationFreezeIgnored(t *testing.T) {
+	checkMutation(t, FreezeIgnored, 1_500_000, "LOST ONE", "some nodes cut from the core, the others and the core from a primary")
 }
-func TestPlantedSyncDropped(t *testing.T) {
-	planted(t, SyncDropped, 1_500_000, "LOST", "primary crashes", "primary gone for good")
+func TestMutationSyncDropped(t *testing.T) {
+	checkMutation(t, SyncDropped, 1_500_000, "LOST", "primary crashes", "primary gone for good")
 }
-func TestPlantedSlowClock(t *testing.T) {
-	planted(t, SlowClock, 1_500_000, "STALE", "primary cut from some nodes", "primary cut from all but one node", "followers lag", "machine cut off")
+func TestMutationSlowClock(t *testing.T) {
+	checkMutation(t, SlowClock, 1_500_000, "STALE", "primary cut from some nodes", "primary cut from all but one node", "followers lag", "machine cut off")
 }
-func TestPlantedResetIgnored(t *testing.T) {
-	planted(t, ResetIgnored, 3_000_000, "PINNED", "connections reset")
+func TestMutationResetIgnored(t *testing.T) {
+	checkMutation(t, ResetIgnored, 3_000_000, "PINNED", "connections reset")
 }
-func TestPlantedAfterIgnored(t *testing.T) {
-	planted(t, AfterIgnored, 1_500_000, "STALE", "followers lag", "a follower deaf and the primary crashes")
+func TestMutationAfterIgnored(t *testing.T) {
+	checkMutation(t, AfterIgnored, 1_500_000, "STALE", "followers lag", "a follower deaf and the primary crashes")
 }
-func TestPlantedBusyThatRan(t *testing.T) {
-	planted(t, BusyThatRan, 3_000_000, "REFUSED TWICE", "burst")
+func TestMutationBusyThatRan(t *testing.T) {
+	checkMutation(t, BusyThatRan, 3_000_000, "REFUSED TWICE", "burst")
 }
-func TestPlantedRunsTwice(t *testing.T)   { planted(t, RunsTwice, 3_000_000, "TWICE", "burst") }
-func TestPlantedTextChanged(t *testing.T) { planted(t, TextChanged, 3_000_000, "UNASKED", "burst") }
-func TestPlantedBodiesSwapped(t *testing.T) {
-	planted(t, BodiesSwapped, 3_000_000, "MIXED", "burst")
+func TestMutationRunsTwice(t *testing.T) { checkMutation(t, RunsTwice, 3_000_000, "TWICE", "burst") }
+func TestMutationTextChanged(t *testing.T) {
+	checkMutation(t, TextChanged, 3_000_000, "UNASKED", "burst")
 }
-func TestPlantedRepliesLate(t *testing.T) {
-	planted(t, RepliesLate, 2_000_000, "HELD", "primary crashes")
+func TestMutationBodiesSwapped(t *testing.T) {
+	checkMutation(t, BodiesSwapped, 3_000_000, "MIXED", "burst")
 }
-func TestPlantedUnsyncedDisk(t *testing.T) {
-	planted(t, UnsyncedDisk, 700_000, "CONFIG LOST", "all controls killed", "operators, often")
+func TestMutationRepliesLate(t *testing.T) {
+	checkMutation(t, RepliesLate, 2_000_000, "HELD", "primary crashes")
 }
-func TestPlantedLeavesForgotten(t *testing.T) {
-	planted(t, LeavesForgotten, 1_500_000, "DRAIN", "release of all", "release of the primary")
+func TestMutationUnsyncedDisk(t *testing.T) {
+	checkMutation(t, UnsyncedDisk, 700_000, "CONFIG LOST", "all controls killed", "operators, often")
 }
-func TestPlantedTablesForgotten(t *testing.T) {
-	planted(t, TablesForgotten, 1_500_000, "CONFIG", "operators, often")
+func TestMutationDrainingForgotten(t *testing.T) {
+	checkMutation(t, DrainingForgotten, 1_500_000, "DRAIN", "release of all", "release of the primary")
 }
-func TestPlantedPromotionsForgotten(t *testing.T) {
-	planted(t, PromotionsForgotten, 1_500_000, "LIVE", "primary gone for good")
+func TestMutationTablesForgotten(t *testing.T) {
+	checkMutation(t, TablesForgotten, 1_500_000, "CONFIG", "operators, often")
+}
+func TestMutationPromotionsForgotten(t *testing.T) {
+	checkMutation(t, PromotionsForgotten, 1_500_000, "LIVE", "primary gone for good")
 }
--- a/fleetsimulation/statements.go
+++ b/fleetsimulation/statements.go
@@ -7,17 +7,17 @@
 	"stoneford/ports"
 )
 
-type dbConn struct {
-	d        *DB
-	s        *stream // nil: of a control process
-	open     bool
-	vals     map[string]string
-	prepared map[string]shape
-	state    ports.State
-	tx       *dbTx
-	q        []ports.Op
-	running  bool
-	closing  bool // closed at the far end: what came before is still run
+type databaseConnection struct {
+	database    *Database
+	stream      *stream // nil: of a control process
+	open        bool
+	values      map[string]string
+	prepared    map[string]shape
+	state       ports.TransactionState
+	transaction *databaseTransaction
+	queue       []ports.Op
+	running     bool
+	closing     bool // closed at the far end: what came before is still run
 }
 
 type shape struct {
@@ -25,77 +25,77 @@
 	writes bool
 }
 
-type dbTx struct {
+type databaseTransaction struct {
 	begin  *Statement
 	plain  bool
 	term   uint64
 	writes []*Statement
 }
 
-func (d *DB) accept(group, id string, s *stream) (ports.Code, *dbConn) {
+func (d *Database) accept(group, id string, s *stream) (ports.Code, *databaseConnection) {
 	switch {
 	case group != d.group.name || id != "" && id != d.id:
 		return ports.WrongInstance, nil
-	case len(d.conns) >= d.group.limit:
-		return ports.TooMany, nil
+	case len(d.connections) >= d.group.limit:
+		return ports.TooManyConnections, nil
 	}
-	c := &dbConn{d: d, s: s, open: true, vals: map[string]string{}, prepared: map[string]shape{}}
-	d.conns = append(d.conns, c)
-	d.f.truth.connects++
+	c := &databaseConnection{database: d, stream: s, open: true, values: map[string]string{}, prepared: map[string]shape{}}
+	d.connections = append(d.connections, c)
+	d.fleet.oracle.connections++
 	return ports.Done, c
 }
 
 // hangUp closes a connection once what came before has run.
-func (c *dbConn) hangUp() {
+func (c *databaseConnection) hangUp() {
 	c.closing = true
-	if !c.running && len(c.q) == 0 {
+	if !c.running && len(c.queue) == 0 {
 		c.drop()
 	}
 }
 
 // drop closes a connection at once; its transaction is rolled back.
-func (c *dbConn) drop() {
+func (c *databaseConnection) drop() {
 	if !c.open {
 		return
 	}
-	c.open, c.tx, c.q = false, nil, nil
-	c.d.conns = slices.DeleteFunc(c.d.conns, func(o *dbConn) bool { return o == c })
+	c.open, c.transaction, c.queue = false, nil, nil
+	c.database.connections = slices.DeleteFunc(c.database.connections, func(o *databaseConnection) bool { return o == c })
 }
 
-func (c *dbConn) push(ops []ports.Op, n *Node) {
+func (c *databaseConnection) push(ops []ports.Op, n *Node) {
 	for _, o := range ops {
-		if !o.Own {
-			c.d.f.truth.arrived(c.d, n, o)
+		if !o.Internal {
+			c.database.fleet.oracle.statementArrived(c.database, n, o)
 		}
 	}
-	c.q = append(c.q, ops...)
+	c.queue = append(c.queue, ops...)
 	c.next()
 }
 
-func (c *dbConn) next() {
+func (c *databaseConnection) next() {
 	if c.running || !c.open {
 		return
 	}
-	if len(c.q) == 0 {
+	if len(c.queue) == 0 {
 		if c.closing {
 			c.drop()
 		}
 		return
 	}
-	o := c.q[0]
-	c.q = c.q[1:]
+	o := c.queue[0]
+	c.queue = c.queue[1:]
 	c.running = true
-	gen := c.d.gen
-	c.exec(o, func(a ports.Answer) {
-		if !c.d.up || c.d.gen != gen {
+	gen := c.database.generation
+	c.exec(o, func(a ports.Response) {
+		if !c.database.up || c.database.generation != gen {
 			return
 		}
 		c.running = false
 		if !c.open {
 			return
 		}
-		a.State, a.Position = c.state, c.d.position()
-		if c.s != nil {
+		a.State, a.Position = c.state, c.database.position()
+		if c.stream != nil {
 			c.reply(o, a)
 		}
 		c.next()
@@ -103,103 +103,103 @@
 }
 
 // reply sends an answer, unless it is to be lost.
-func (c *dbConn) reply(o ports.Op, a ports.Answer) {
-	d := c.d
-	if !o.Own && o.St.Kind != ports.Begin && o.St.Kind != ports.BeginRead && d.f.Chance(d.lose) {
-		if d.loseHow == 0 {
+func (c *databaseConnection) reply(o ports.Op, a ports.Response) {
+	d := c.database
+	if !o.Internal && o.Statement.Kind != ports.Begin && o.Statement.Kind != ports.BeginRead && d.fleet.Chance(d.lostReplyShare) {
+		if d.lostReplyKind == 0 {
 			return // never comes
 		}
-		s := c.s
+		s := c.stream
 		c.drop()
-		d.f.net.carry(d.ip, s.n.ip, func() { s.lost(true, "reset") })
+		d.fleet.network.carry(d.ip, s.node.ip, func() { s.lost(true, "reset") })
 		return
 	}
-	c.s.answer(a)
+	c.stream.answer(a)
 }
 
-func bad(code ports.Code, text string) ports.Answer {
-	return ports.Answer{Code: code, Text: text, Body: []byte("error " + text)}
+func bad(code ports.Code, text string) ports.Response {
+	return ports.Response{Code: code, Text: text, Body: []byte("error " + text)}
 }
 
 // lostLead says that a transaction that may write stands on a database that
 // leads no more.
-func (c *dbConn) lostLead() bool {
-	return c.tx != nil && c.tx.plain && (!c.d.primary || c.d.term != c.tx.term)
+func (c *databaseConnection) lostLead() bool {
+	return c.transaction != nil && c.transaction.plain && (!c.database.primary || c.database.term != c.transaction.term)
 }
 
-func (c *dbConn) lacks(p ports.Position) bool {
-	return p.Known() && c.d.f.Plan.Plant != AfterIgnored && c.d.position().Before(p)
+func (c *databaseConnection) checkPosition(p ports.Position) bool {
+	return p.Known() && c.database.fleet.Plan.Mutation != AfterIgnored && c.database.position().Before(p)
 }
 
-func (c *dbConn) fail(code ports.Code, text string) ports.Answer {
-	if c.tx != nil {
-		c.state = ports.Broken
+func (c *databaseConnection) fail(code ports.Code, text string) ports.Response {
+	if c.transaction != nil {
+		c.state = ports.TransactionFailed
 	}
 	return bad(code, text)
 }
 
-func (c *dbConn) exec(o ports.Op, done func(ports.Answer)) {
-	d, f := c.d, c.d.f
-	st := o.St
-	if o.Own {
+func (c *databaseConnection) exec(o ports.Op, done func(ports.Response)) {
+	d, f := c.database, c.database.fleet
+	statement := o.Statement
+	if o.Internal {
 		c.execOwn(o, done)
 		return
 	}
-	truth := f.truth.statement(st.ID)
+	truth := f.oracle.statement(statement.ID)
 	if truth == nil {
-		f.truth.bad("UNASKED: %s was sent statement %q, which no caller sent", d.id, st.ID)
+		f.oracle.violation("UNASKED: %s was sent statement %q, which no caller sent", d.id, statement.ID)
 		done(bad(ports.Malformed, "unknown"))
 		return
 	}
-	if string(st.Raw) != truth.raw {
-		f.truth.bad("UNASKED: %s was sent %q as %q", d.id, truth.raw, st.Raw)
+	if string(statement.Raw) != truth.raw {
+		f.oracle.violation("UNASKED: %s was sent %q as %q", d.id, truth.raw, statement.Raw)
 	}
-	if c.state == ports.Broken {
-		if st.Kind == ports.Commit {
-			c.tx, c.state = nil, ports.Idle
+	if c.state == ports.TransactionFailed {
+		if statement.Kind == ports.Commit {
+			c.transaction, c.state = nil, ports.Idle
 			done(bad(ports.RolledBack, "failed before"))
 			return
 		}
 		done(bad(ports.Malformed, "only its end is taken"))
 		return
 	}
-	switch st.Kind {
+	switch statement.Kind {
 	case ports.Begin, ports.BeginRead:
 		us := int64(50)
 		f.After(us, func() {
 			switch {
 			case c.state != ports.Idle:
 				done(bad(ports.Malformed, "inside a transaction"))
-			case c.lacks(o.After):
-				if f.badBeginBreaks {
-					c.state = ports.Broken
+			case c.checkPosition(o.After):
+				if f.failedBeginBreaksConnection {
+					c.state = ports.TransactionFailed
 				}
 				done(bad(ports.Lagging, d.id))
-			case st.Kind == ports.Begin && !d.primary:
-				if f.badBeginBreaks {
-					c.state = ports.Broken
+			case statement.Kind == ports.Begin && !d.primary:
+				if f.failedBeginBreaksConnection {
+					c.state = ports.TransactionFailed
 				}
 				done(bad(ports.ReadOnly, d.id))
 			default:
-				c.tx = &dbTx{begin: truth, plain: st.Kind == ports.Begin, term: d.term}
-				c.state = ports.Open
-				done(ports.Answer{Body: []byte("complete -")})
+				c.transaction = &databaseTransaction{begin: truth, plain: statement.Kind == ports.Begin, term: d.term}
+				c.state = ports.InTransaction
+				done(ports.Response{Body: []byte("complete -")})
 			}
 		})
-	case ports.Read, ports.Write, ports.Run:
-		writes := st.Kind == ports.Write
-		if st.Kind == ports.Run {
+	case ports.Read, ports.Write, ports.Execute:
+		writes := statement.Kind == ports.Write
+		if statement.Kind == ports.Execute {
 			sh, ok := c.prepared[o.Name]
 			if !ok {
-				done(c.fail(ports.NoStatement, "no such name"))
+				done(c.fail(ports.UnknownPreparedStatement, "no such name"))
 				return
 			}
 			writes = sh.writes
-			f.truth.ranShape(d, truth, sh)
+			f.oracle.preparedRan(d, truth, sh)
 		}
-		x := c.tx
+		x := c.transaction
 		if !d.work(truth.workUs, false, func() {
-			if c.tx != x {
+			if c.transaction != x {
 				return // rolled back meanwhile
 			}
 			c.execRun(o, truth, writes, done)
@@ -207,7 +207,7 @@
 			done(bad(ports.Busy, "the line is full"))
 		}
 	case ports.Commit:
-		if c.tx == nil {
+		if c.transaction == nil {
 			done(bad(ports.Malformed, "no transaction"))
 			return
 		}
@@ -215,78 +215,78 @@
 			done(bad(ports.Busy, "the line is full"))
 		}
 	default:
-		f.truth.bad("%s was sent %q", d.id, truth.raw)
+		f.oracle.violation("%s was sent %q", d.id, truth.raw)
 		done(bad(ports.Malformed, "not a statement"))
 	}
 }
 
-func (c *dbConn) execRun(o ports.Op, st *Statement, writes bool, done func(ports.Answer)) {
-	d, f := c.d, c.d.f
+func (c *databaseConnection) execRun(o ports.Op, statement *Statement, writes bool, done func(ports.Response)) {
+	d, f := c.database, c.database.fleet
 	switch {
 	case c.lostLead():
 		done(c.fail(ports.ReadOnly, d.id))
 		return
-	case c.lacks(o.After):
+	case c.checkPosition(o.After):
 		done(c.fail(ports.Lagging, d.id))
 		return
-	case writes && (!d.primary || c.tx != nil && !c.tx.plain):
+	case writes && (!d.primary || c.transaction != nil && !c.transaction.plain):
 		done(c.fail(ports.ReadOnly, d.id))
 		return
 	}
-	f.truth.ran(c, st)
-	if f.Chance(d.fail) {
-		if writes && c.tx == nil && f.Chance(0.5) {
-			d.append(st, []*Statement{st})
+	f.oracle.statementRan(c, statement)
+	if f.Chance(d.failedStatementShare) {
+		if writes && c.transaction == nil && f.Chance(0.5) {
+			d.append(statement, []*Statement{statement})
 		}
 		done(c.fail(ports.Failed, "it failed"))
 		return
 	}
-	if f.Chance(f.Plan.Conflicts) {
+	if f.Chance(f.Plan.ConflictShare) {
 		c.state = ports.Idle
-		if c.tx != nil {
-			c.state = ports.Broken
+		if c.transaction != nil {
+			c.state = ports.TransactionFailed
 		}
 		done(bad(ports.RolledBack, "a conflict"))
 		return
 	}
-	body := f.truth.result(st, d)
+	body := f.oracle.makeResult(statement, d)
 	switch {
-	case writes && c.tx != nil:
-		c.tx.writes = append(c.tx.writes, st)
-		done(ports.Answer{Stamped: true, Body: body})
+	case writes && c.transaction != nil:
+		c.transaction.writes = append(c.transaction.writes, statement)
+		done(ports.Response{Stamped: true, Body: body})
 	case writes:
-		e := d.append(st, []*Statement{st})
-		if f.Plan.Plant == BusyThatRan && f.Chance(0.05) {
+		e := d.append(statement, []*Statement{statement})
+		if f.Plan.Mutation == BusyThatRan && f.Chance(0.05) {
 			done(bad(ports.Busy, "planted"))
 			return
 		}
-		if f.Plan.Plant == RunsTwice && f.Chance(0.01) {
-			d.append(st, []*Statement{st})
+		if f.Plan.Mutation == RunsTwice && f.Chance(0.01) {
+			d.append(statement, []*Statement{statement})
 		}
 		c.await(e, body, done)
 	default:
-		done(ports.Answer{Stamped: true, Body: body})
+		done(ports.Response{Stamped: true, Body: body})
 	}
 }
 
-func (c *dbConn) await(e *entry, body []byte, done func(ports.Answer)) {
-	d := c.d
+func (c *databaseConnection) await(e *entry, body []byte, done func(ports.Response)) {
+	d := c.database
 	d.confirmed(e, func(ok bool) {
 		if ok {
-			done(ports.Answer{Stamped: true, Body: body})
+			done(ports.Response{Stamped: true, Body: body})
 			return
 		}
 		// Nobody can tell: it breaks off.
-		if s := c.s; s != nil {
+		if s := c.stream; s != nil {
 			c.drop()
-			d.f.net.carry(d.ip, s.n.ip, func() { s.lost(true, "reset") })
+			d.fleet.network.carry(d.ip, s.node.ip, func() { s.lost(true, "reset") })
 		}
 	})
 }
 
-func (c *dbConn) execCommit(st *Statement, done func(ports.Answer)) {
-	d, f := c.d, c.d.f
-	x := c.tx
+func (c *databaseConnection) execCommit(statement *Statement, done func(ports.Response)) {
+	d, f := c.database, c.database.fleet
+	x := c.transaction
 	if x == nil { // dropped meanwhile
 		done(bad(ports.RolledBack, "gone"))
 		return
@@ -295,49 +295,49 @@
 		done(c.fail(ports.ReadOnly, d.id))
 		return
 	}
-	f.truth.ran(c, st)
-	c.tx, c.state = nil, ports.Idle
-	if f.Chance(f.Plan.Conflicts) {
+	f.oracle.statementRan(c, statement)
+	c.transaction, c.state = nil, ports.Idle
+	if f.Chance(f.Plan.ConflictShare) {
 		done(bad(ports.RolledBack, "a conflict"))
 		return
 	}
-	body := f.truth.result(st, d)
+	body := f.oracle.makeResult(statement, d)
 	if len(x.writes) == 0 {
-		done(ports.Answer{Stamped: true, Body: body})
+		done(ports.Response{Stamped: true, Body: body})
 		return
 	}
-	c.await(d.append(st, x.writes), body, done)
+	c.await(d.append(statement, x.writes), body, done)
 }
 
-func (c *dbConn) execOwn(o ports.Op, done func(ports.Answer)) {
-	d, f := c.d, c.d.f
-	st := o.St
-	name := st.Name
+func (c *databaseConnection) execOwn(o ports.Op, done func(ports.Response)) {
+	d, f := c.database, c.database.fleet
+	statement := o.Statement
+	name := statement.Name
 	if o.Name != "" {
 		name = o.Name
 	}
 	f.After(30, func() {
-		ok := ports.Answer{Body: []byte("complete -")}
-		if c.state == ports.Broken && st.Kind != ports.Rollback {
+		ok := ports.Response{Body: []byte("complete -")}
+		if c.state == ports.TransactionFailed && statement.Kind != ports.Rollback {
 			done(bad(ports.Malformed, "only its end is taken"))
 			return
 		}
-		switch st.Kind {
+		switch statement.Kind {
 		case ports.SetValue:
-			c.vals = maps.Clone(c.vals)
-			c.vals[name] = st.Text
+			c.values = maps.Clone(c.values)
+			c.values[name] = statement.Text
 		case ports.Prepare:
-			c.prepared[name] = shape{st.Text, st.Writes}
-		case ports.Drop:
+			c.prepared[name] = shape{statement.Text, statement.Writes}
+		case ports.Deallocate:
 			delete(c.prepared, name)
 		case ports.Reset:
-			if f.Plan.Plant != ResetIgnored {
-				c.vals, c.prepared = map[string]string{}, map[string]shape{}
+			if f.Plan.Mutation != ResetIgnored {
+				c.values, c.prepared = map[string]string{}, map[string]shape{}
 			}
 		case ports.Rollback:
-			c.tx, c.state = nil, ports.Idle
+			c.transaction, c.state = nil, ports.Idle
 		default:
-			f.truth.bad("%s was sent an own statement of kind %d", d.id, st.Kind)
+			f.oracle.violation("%s was sent an own statement of kind %d", d.id, statement.Kind)
 		}
 		done(ok)
 	})
--- a/fleetsimulation/storm_test.go
+++ b/fleetsimulation/storm_test.go
@@ -10,7 +10,7 @@
 
 // storm makes changes one after the other, each on top of the one acknowledged
 // before, and calls each with how many were.
-func (f *Fleet) storm(changes int, acked func(n int)) {
+func (f *Fleet) storm(changes int, acknowledged func(n int)) {
 	n := 0
 	var next func()
 	next = func() {
@@ -19,9 +19,9 @@
 		}
 		changes--
 		f.operators.put(f.operators.amend(), true, false, func(o ports.Outcome) {
-			if o == ports.Agreed {
+			if o == ports.Committed {
 				n++
-				acked(n)
+				acknowledged(n)
 			}
 			f.After(f.Between(1_000, 30_000), next)
 		})
@@ -33,11 +33,11 @@
 func (f *Fleet) powerLost(wiped ...*Control) {
 	for _, c := range f.controls {
 		f.killControl(c, true)
-		f.later(500_000, 1_500_000, func() { f.backControl(c) })
+		f.later(500_000, 1_500_000, func() { f.restartControl(c) })
 	}
 	for _, n := range f.nodes {
 		f.killNode(n, true)
-		f.later(500_000, 1_500_000, func() { f.backNode(n) })
+		f.later(500_000, 1_500_000, func() { f.restartNode(n) })
 	}
 	for _, c := range wiped {
 		c.disk = nil
@@ -54,60 +54,60 @@
 	{"all processes killed", func(f *Fleet) {
 		for _, c := range f.controls {
 			f.killControl(c, false)
-			f.later(200_000, 600_000, func() { f.backControl(c) })
+			f.later(200_000, 600_000, func() { f.restartControl(c) })
 		}
 		for _, n := range f.nodes {
 			f.killNode(n, false)
-			f.later(200_000, 600_000, func() { f.backNode(n) })
+			f.later(200_000, 600_000, func() { f.restartNode(n) })
 		}
 	}},
 	{"a disk lost", func(f *Fleet) {
-		c := f.controls[f.R.IntN(len(f.controls))]
+		c := f.controls[f.Random.IntN(len(f.controls))]
 		f.killControl(c, true)
 		c.disk = nil
-		f.later(300_000, 3_000_000, func() { f.backControl(c) })
+		f.later(300_000, 3_000_000, func() { f.restartControl(c) })
 	}},
-	{"a disk lost and power off everywhere", func(f *Fleet) { f.powerLost(f.controls[f.R.IntN(len(f.controls))]) }},
+	{"a disk lost and power off everywhere", func(f *Fleet) { f.powerLost(f.controls[f.Random.IntN(len(f.controls))]) }},
 	{"killed and then it decides", func(f *Fleet) {
-		f.awayThenDecides(func(c *Control) { f.killControl(c, true) }, func(c *Control) { f.backControl(c) })
+		f.controlReturnsThenDecides(func(c *Control) { f.killControl(c, true) }, func(c *Control) { f.restartControl(c) })
 	}},
 	{"frozen and then it decides", func(f *Fleet) {
-		f.awayThenDecides(func(c *Control) { c.freeze() }, func(c *Control) { c.thaw() })
+		f.controlReturnsThenDecides(func(c *Control) { c.freeze() }, func(c *Control) { c.thaw() })
 	}},
 	{"cut off and then it decides", func(f *Fleet) {
-		f.awayThenDecides(func(c *Control) { f.isolate(c.ip, f.controlHosts(), 0, stormAwayUs) }, func(*Control) {})
+		f.controlReturnsThenDecides(func(c *Control) { f.isolate(c.ip, f.controlHosts(), 0, stormAwayUs) }, func(*Control) {})
 	}},
 	{"wiped and then it decides", func(f *Fleet) {
-		f.awayThenDecides(func(c *Control) { f.killControl(c, true); c.disk = nil }, func(c *Control) { f.backControl(c) })
+		f.controlReturnsThenDecides(func(c *Control) { f.killControl(c, true); c.disk = nil }, func(c *Control) { f.restartControl(c) })
 	}},
 }
 
 const stormAwayUs = 10_000_000
 
-// awayThenDecides has a control process away for most of a storm; once it is back
+// controlReturnsThenDecides has a control process away for most of a storm; once it is back
 // and had its time to catch up, another one is lost.
-func (f *Fleet) awayThenDecides(leave, back func(c *Control)) {
-	i := f.R.IntN(3)
-	c, other := f.controls[i], f.controls[(i+1+f.R.IntN(2))%3]
+func (f *Fleet) controlReturnsThenDecides(leave, back func(c *Control)) {
+	i := f.Random.IntN(3)
+	c, other := f.controls[i], f.controls[(i+1+f.Random.IntN(2))%3]
 	leave(c)
 	f.After(stormAwayUs, func() { back(c) })
-	f.After(stormAwayUs+contactUs+f.Between(100_000, 500_000), func() {
+	f.After(stormAwayUs+contactTimeoutUs+f.Between(100_000, 500_000), func() {
 		f.killControl(other, true)
-		f.later(2_000_000, 4_000_000, func() { f.backControl(other) })
+		f.later(2_000_000, 4_000_000, func() { f.restartControl(other) })
 	})
 }
 
 // stormed runs a storm of changes under callers, with a fault in the middle.
-func stormed(p Plan, changes int, fault func(f *Fleet)) (f *Fleet, acked int) {
+func stormed(p Plan, changes int, fault func(f *Fleet)) (f *Fleet, acknowledged int) {
 	f = NewFleet(p)
 	f.Quiet = true
 	f.Run(4_000_000)
 	f.startCallers()
 	f.Run(f.Now + 500_000)
-	at := 1 + f.R.IntN(changes*2/3)
+	at := 1 + f.Random.IntN(changes*2/3)
 	struck, after := int64(0), f.Chance(0.5)
 	f.storm(changes, func(n int) {
-		acked = n
+		acknowledged = n
 		if n >= at && struck == 0 {
 			struck = f.Now
 			us := int64(0)
@@ -117,13 +117,13 @@
 			f.After(us, func() { fault(f) })
 		}
 	})
-	for until := f.Now + 60_000_000; f.Now < until && (acked < changes-20 || struck == 0); {
+	for until := f.Now + 60_000_000; f.Now < until && (acknowledged < changes-20 || struck == 0); {
 		f.Run(f.Now + 500_000)
 	}
 	// Whoever is away for long is back, and the loss after that is over.
-	f.Run(max(f.Now, struck+stormAwayUs+contactUs) + 5_000_000)
+	f.Run(max(f.Now, struck+stormAwayUs+contactTimeoutUs) + 5_000_000)
 	f.Finish()
-	return f, acked
+	return f, acknowledged
 }
 
 // TestStormOfChanges: 300 changes under way, and in their midst each of the
@@ -140,11 +140,11 @@
 			}
 			total, least := 0, changes
 			for seed := *from; seed < *from+n; seed++ {
-				f, acked := stormed(plan(uint64(i)*1000+seed), changes, k.do)
+				f, acknowledged := stormed(plan(uint64(i)*1000+seed), changes, k.do)
 				told(t, f)
-				total, least = total+acked, min(least, acked)
-				if acked < changes*9/10 {
-					t.Errorf("seed %d: %d of %d changes were acknowledged", seed, acked, changes)
+				total, least = total+acknowledged, min(least, acknowledged)
+				if acknowledged < changes*9/10 {
+					t.Errorf("seed %d: %d of %d changes were acknowledged", seed, acknowledged, changes)
 				}
 			}
 			t.Logf("%d seeds: %d changes acknowledged, %d of %d at the least", n, total, least, changes)
@@ -152,16 +152,16 @@
 	}
 }
 
-// TestPlantedStorm: control processes whose words leave before they are synced
+// TestMutationStorm: control processes whose words leave before they are synced
 // are seen when the power is lost in a storm.
-func TestPlantedStorm(t *testing.T) {
+func TestMutationStorm(t *testing.T) {
 	t.Parallel()
 	const tries = 6
 	seen, first := 0, ""
 	var mu sync.Mutex
-	each(tries, 0, func(seed uint64) {
+	runSeeds(tries, 0, func(seed uint64) {
 		p := plan(seed)
-		p.Plant = UnsyncedDisk
+		p.Mutation = UnsyncedDisk
 		f, _ := stormed(p, 60, func(f *Fleet) { f.powerLost() })
 		mu.Lock()
 		defer mu.Unlock()
--- a/fleetsimulation/world.go
+++ b/fleetsimulation/world.go
@@ -11,20 +11,20 @@
 )
 
 type event struct {
-	at  int64
-	seq uint64
-	f   func()
+	at       int64
+	sequence uint64
+	run      func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	o := *e
 	n := len(o) - 1
 	x := o[n]
@@ -33,37 +33,37 @@
 	return x
 }
 
-// World is the fake clock, in microseconds, and all that is due on it.
-type World struct {
-	Now int64
-	R   *rand.Rand
-	evs events
-	seq uint64
+// Scheduler is the fake clock, in microseconds, and all that is due on it.
+type Scheduler struct {
+	Now      int64
+	Random   *rand.Rand
+	queue    eventQueue
+	sequence uint64
 }
 
-// NewWorld makes a world from a seed.
-func NewWorld(seed uint64) *World {
-	return &World{Now: 1_000_000, R: rand.New(rand.NewPCG(seed, 0xf1ee7))}
+// NewScheduler makes a world from a seed.
+func NewScheduler(seed uint64) *Scheduler {
+	return &Scheduler{Now: 1_000_000, Random: rand.New(rand.NewPCG(seed, 0xf1ee7))}
 }
 
 // After has f run once so many microseconds from now.
-func (w *World) After(us int64, f func()) {
-	w.seq++
-	heap.Push(&w.evs, event{at: w.Now + max(us, 0), seq: w.seq, f: f})
+func (w *Scheduler) After(us int64, f func()) {
+	w.sequence++
+	heap.Push(&w.queue, event{at: w.Now + max(us, 0), sequence: w.sequence, run: f})
 }
 
 // Between is a random whole number in [a, b].
-func (w *World) Between(a, b int64) int64 { return a + w.R.Int64N(max(b-a, 0)+1) }
+func (w *Scheduler) Between(a, b int64) int64 { return a + w.Random.Int64N(max(b-a, 0)+1) }
 
 // Chance is true with a probability.
-func (w *World) Chance(p float64) bool { return p > 0 && w.R.Float64() < p }
+func (w *Scheduler) Chance(p float64) bool { return p > 0 && w.Random.Float64() < p }
 
 // Run runs everything due until a time.
-func (w *World) Run(until int64) {
-	for len(w.evs) > 0 && w.evs[0].at <= until {
-		e := heap.Pop(&w.evs).(event)
+func (w *Scheduler) Run(until int64) {
+	for len(w.queue) > 0 && w.queue[0].at <= until {
+		e := heap.Pop(&w.queue).(event)
 		w.Now = e.at
-		e.f()
+		e.run()
 	}
 	w.Now = max(w.Now, until)
 }
--- a/fleetstate/fleet_test.go
+++ b/fleetstate/fleet_test.go
@@ -43,7 +43,10 @@
 
 type quietCallers struct{}
 
-func (quietCallers) Serve(ctx context.Context, _ sessionpool.Events) error { <-ctx.Done(); return nil }
+func (quietCallers) Serve(ctx context.Context, _ sessionpool.SessionHandler) error {
+	<-ctx.Done()
+	return nil
+}
 
 type quietProbe struct{}
 
@@ -73,14 +76,14 @@
 	return 0
 }
 
-// TestProcessesTellTheirState runs three control processes and a pool node.
-func TestProcessesTellTheirState(t *testing.T) {
+// TestProcessesReportTheirState runs three control processes and a pool node.
+func TestProcessesReportTheirState(t *testing.T) {
 	ips := []string{"127.0.0.1", "127.0.0.2", "127.0.0.3"}
 	first := freeRange(t, ips)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 4)
-	boot := func(n int) ports.Boot {
-		b := ports.Boot{Name: fmt.Sprintf("machine-%d", n+1), Zone: fmt.Sprintf("zone-%d", n+1), IP: ips[n], PortFirst: first, PortLast: first + 3,
+	boot := func(n int) ports.ProcessConfig {
+		b := ports.ProcessConfig{Name: fmt.Sprintf("machine-%d", n+1), Zone: fmt.Sprintf("zone-%d", n+1), IP: ips[n], PortFirst: first, PortLast: first + 3,
 			DataFolder: filepath.Join(t.TempDir(), ips[n]), Bootstrap: true}
 		for _, ip := range ips {
 			b.Seeds = append(b.Seeds, net.JoinHostPort(ip, "1"))
@@ -96,7 +99,7 @@
 		controls = append(controls, p)
 		go func() { ended <- p.Run(ctx) }()
 	}
-	node := sessionpool.NewProcess(boot(0), clockwork.NewRealClock(), sessionpool.Edges{Callers: quietCallers{}, Probe: quietProbe{}, Dialer: quietEdge{}}, sessiontable.Options{})
+	node := sessionpool.NewProcess(boot(0), clockwork.NewRealClock(), sessionpool.Edges{Frontend: quietCallers{}, Readiness: quietProbe{}, Dialer: quietEdge{}}, sessiontable.Options{})
 	go func() { ended <- node.Run(ctx) }()
 	defer func() {
 		stop()
@@ -109,13 +112,13 @@
 
 	at := func(ip string, behind int) string { return fmt.Sprintf("%s:%d", ip, first+behind) }
 	all := []string{at(ips[0], 2), at(ips[1], 2), at(ips[2], 2), at(ips[0], 3)}
-	seen := func(what string, ok func([]fleetstate.State) bool) []fleetstate.State {
+	seen := func(what string, ok func([]fleetstate.ProcessState) bool) []fleetstate.ProcessState {
 		t.Helper()
 		var last string
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			var ss []fleetstate.State
+			var ss []fleetstate.ProcessState
 			last = ""
-			for _, r := range fleetstate.AskAll(ctx, all, true) {
+			for _, r := range fleetstate.FetchAll(ctx, all, true) {
 				if r.Err != nil {
 					last = r.Err.Error()
 					continue
@@ -132,11 +135,11 @@
 		t.Fatalf("never seen: %s; %s", what, last)
 		return nil
 	}
-	seen("all vote and have a lease", func(ss []fleetstate.State) bool {
-		return ss[0].Ready && ss[1].Ready && ss[2].Ready && !slices.ContainsFunc(ss, func(s fleetstate.State) bool { return s.LeaseLeftUs <= 0 })
+	seen("all vote and have a lease", func(ss []fleetstate.ProcessState) bool {
+		return ss[0].Ready && ss[1].Ready && ss[2].Ready && !slices.ContainsFunc(ss, func(s fleetstate.ProcessState) bool { return s.LeaseLeftUs <= 0 })
 	})
-	announce := func(id string, leaving bool, call uint64) {
-		i := ports.Instance{ID: id, Group: "stock", Address: "127.0.0.9:80", Zone: "zone-1", Capacity: 4, Primary: id == "d1", Leaving: leaving, Call: call}
+	announce := func(id string, draining bool, call uint64) {
+		i := ports.Instance{ID: id, Group: "stock", Address: "127.0.0.9:80", Zone: "zone-1", Capacity: 4, Primary: id == "d1", Draining: draining, AnnouncementNumber: call}
 		if ok, _ := controls[0].Announce(ctx, i); !ok {
 			t.Errorf("%s is not known", id)
 		}
@@ -144,29 +147,29 @@
 	announce("d1", false, 1)
 	announce("d2", false, 1)
 	announce("d3", true, 1)
-	res := controls[1].Change(ctx, ports.TableChange{Revision: 5, Whole: true, Name: "made-by-a-test",
-		Routes: []ports.Route{{Name: "r1", Host: "shop", Kind: ports.Pinned, Group: "stock", ExpiryUs: 800_000, StaleUs: 1_500_000}},
-		Groups: []ports.Group{{Name: "stock", ConnLimit: 65, Sync: 1}}, Limits: &ports.Limits{TxIdleUs: 3_000_000}})
-	if res.Outcome != ports.Agreed {
+	res := controls[1].Change(ctx, ports.TableChange{Revision: 5, Complete: true, Digest: "made-by-a-test",
+		Routes: []ports.Route{{Name: "r1", Host: "shop", Class: ports.ReadYourWrites, Group: "stock", TimeoutUs: 800_000, MaxStalenessUs: 1_500_000}},
+		Groups: []ports.Group{{Name: "stock", ConnectionLimit: 65, RequiredReplicaAcks: 1}}, Limits: &ports.Limits{TransactionIdleTimeoutUs: 3_000_000}})
+	if res.Outcome != ports.Committed {
 		t.Fatalf("%+v", res)
 	}
-	ss := seen("the group is founded and known everywhere", func(ss []fleetstate.State) bool {
+	ss := seen("the group is founded and known everywhere", func(ss []fleetstate.ProcessState) bool {
 		for _, s := range ss[:3] {
 			l := s.Control.Leaders
-			if len(l) != 1 || l[0].Primary != "d1" || l[0].Phase != "open" || len(s.Control.Databases) != 3 || s.Table.Operators != 5 || len(s.Control.Nodes) < 3 {
+			if len(l) != 1 || l[0].Primary != "d1" || l[0].Phase != "open" || len(s.Control.Databases) != 3 || s.Table.OperatorRevision != 5 || len(s.Control.Nodes) < 3 {
 				return false
 			}
 		}
 		p := ss[3]
-		return p.Table.Operators == 5 && len(p.Pool.Groups) == 1 && p.Pool.Groups[0].Primary == "d1" && len(p.Pool.Groups[0].Databases) == 3
+		return p.Table.OperatorRevision == 5 && len(p.Pool.Groups) == 1 && p.Pool.Groups[0].Primary == "d1" && len(p.Pool.Groups[0].Databases) == 3
 	})
 
 	for i, s := range ss {
-		if s.Name == "" || s.Run == 0 || s.UpUs <= 0 || len(s.Voters) != 3 || s.Table.RouteN != 1 || s.Table.Routes[0].Kind != "pinned" || s.Table.Limits.TxIdleUs != 3_000_000 {
+		if s.Name == "" || s.Run == 0 || s.UpUs <= 0 || len(s.Voters) != 3 || s.Table.RouteCount != 1 || s.Table.Routes[0].Kind != "pinned" || s.Table.Limits.TransactionIdleTimeoutUs != 3_000_000 {
 			t.Errorf("%d: %+v", i, s)
 		}
 		for _, v := range s.Voters {
-			if v.Disk == "" || !v.Votes || v.Membership != 1 || v.HeardUs < 0 || v.HeardUs > 5_000_000 {
+			if v.Disk == "" || !v.Voting || v.Membership != 1 || v.HeardUs < 0 || v.HeardUs > 5_000_000 {
 				t.Errorf("%d: %+v", i, v)
 			}
 		}
@@ -176,35 +179,35 @@
 	if r < 0 || !slices.Contains(c.Registers[r].Changes, "made-by-a-test") || c.Registers[r].Revision != c.Table.Revision || c.Registers[r].Accepted == 0 {
 		t.Errorf("%+v", c.Registers)
 	}
-	if d := c.Control.Databases[2]; d.ID != "d3" || !d.Leaving || d.Gone || d.Capacity != 4 || d.HeardUs < 0 {
+	if d := c.Control.Databases[2]; d.ID != "d3" || !d.Draining || d.Gone || d.Capacity != 4 || d.HeardUs < 0 {
 		t.Errorf("%+v", d)
 	}
-	if l := c.Control.Leaders[0]; l.Group != "stock" || l.Term != 1 || l.Address != "127.0.0.9:80" || l.Doubt {
+	if l := c.Control.Leaders[0]; l.Group != "stock" || l.Term != 1 || l.Address != "127.0.0.9:80" || l.Unconfirmed {
 		t.Errorf("%+v", l)
 	}
 	i := slices.IndexFunc(c.Control.Nodes, func(n fleetstate.Node) bool { return n.Kind == fleetstate.KindPool })
 	if i < 0 {
 		t.Fatalf("%+v", c.Control.Nodes)
 	}
-	if a, err := fleetstate.At(c.Control.Nodes[i].Node); err != nil || a != all[3] {
+	if a, err := fleetstate.StateAddress(c.Control.Nodes[i].Node); err != nil || a != all[3] {
 		t.Error(a, err)
 	}
-	if d := ss[3].Pool.Groups[0].Databases[2]; !d.Leaving || d.Most <= 0 || d.FailingUs != fleetstate.Never {
+	if d := ss[3].Pool.Groups[0].Databases[2]; !d.Draining || d.MaxConnections <= 0 || d.FailingUs != fleetstate.Unknown {
 		t.Errorf("%+v", d)
 	}
-	if short, err := fleetstate.Ask(ctx, all[0], false); err != nil || short.Table.Routes != nil || short.Table.RouteN != 1 {
+	if short, err := fleetstate.Fetch(ctx, all[0], false); err != nil || short.Table.Routes != nil || short.Table.RouteCount != 1 {
 		t.Errorf("%v %+v", err, short.Table)
 	}
 }
 
 // A range of two ports has none to tell the state at, and the process runs.
-func TestAShortRangeTellsNothing(t *testing.T) {
-	b := ports.Boot{IP: "10.0.0.1", PortFirst: 7440, PortLast: 7441}
-	if at, ok := b.State(b.PortFirst); ok {
+func TestPortRangeTooShortForStatePort(t *testing.T) {
+	b := ports.ProcessConfig{IP: "10.0.0.1", PortFirst: 7440, PortLast: 7441}
+	if at, ok := b.StateAddress(b.PortFirst); ok {
 		t.Error(at)
 	}
 	b.PortLast = 7443
-	if at, ok := b.State(b.PortFirst + 1); !ok || !strings.HasSuffix(at, ":7443") {
+	if at, ok := b.StateAddress(b.PortFirst + 1); !ok || !strings.HasSuffix(at, ":7443") {
 		t.Error(at, ok)
 	}
 }
--- a/fleetstate/http.go
+++ b/fleetstate/http.go
@@ -17,32 +17,32 @@
 
 const (
 	// Path is where the state stands; ?routes=1 brings the routing table's items.
-	Path      = "/v1/state"
-	askTime   = 3 * time.Second
-	mostState = 64 << 20
-	atOnce    = 64
-	leaveTime = 100 * time.Millisecond
+	Path                 = "/v1/state"
+	requestTimeout       = 3 * time.Second
+	maxStateBytes        = 64 << 20
+	maxConcurrentFetches = 64
+	shutdownTimeout      = 100 * time.Millisecond
 )
 
 // Source puts the state together; whole asks for the routing table's items. False
 // says that the process could not.
-type Source func(ctx context.Context, whole bool) (State, bool)
+type Source func(ctx context.Context, includeItems bool) (ProcessState, bool)
 
 // Handler answers operators; more mounts what else a process has for them.
-func Handler(s Source, more ...func(*http.ServeMux)) http.Handler {
-	m := http.NewServeMux()
+func Handler(source Source, more ...func(*http.ServeMux)) http.Handler {
+	mux := http.NewServeMux()
 	for _, f := range more {
-		f(m)
+		f(mux)
 	}
-	m.HandleFunc("GET "+Path, func(w http.ResponseWriter, r *http.Request) {
-		ctx, stop := context.WithTimeout(r.Context(), askTime)
+	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, r *http.Request) {
+		ctx, stop := context.WithTimeout(r.Context(), requestTimeout)
 		defer stop()
-		st, ok := s(ctx, r.URL.Query().Get("routes") == "1")
+		state, ok := source(ctx, r.URL.Query().Get("routes") == "1")
 		if !ok {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		b, err := json.Marshal(st)
+		b, err := json.Marshal(state)
 		if err != nil {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
@@ -50,22 +50,22 @@
 		w.Header().Set("Content-Type", "application/json")
 		w.Write(append(b, '\n'))
 	})
-	return m
+	return mux
 }
 
 // Serve answers at an address until the context ends. Nothing runs while nobody
 // asks but the wait for a connection.
-func Serve(ctx context.Context, address string, s Source, more ...func(*http.ServeMux)) error {
+func Serve(ctx context.Context, address string, source Source, more ...func(*http.ServeMux)) error {
 	ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
-	srv := &http.Server{Handler: Handler(s, more...), ReadHeaderTimeout: askTime, ReadTimeout: askTime, WriteTimeout: 4 * askTime,
-		IdleTimeout: askTime, MaxHeaderBytes: 8 << 10}
+	srv := &http.Server{Handler: Handler(source, more...), ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout, WriteTimeout: 4 * requestTimeout,
+		IdleTimeout: requestTimeout, MaxHeaderBytes: 8 << 10}
 	ended := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(ended)
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveTime)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
 		if srv.Shutdown(ctx) != nil {
 			srv.Close()
@@ -79,15 +79,15 @@
 	return err
 }
 
-// Ask asks one process.
-func Ask(ctx context.Context, address string, whole bool) (State, error) {
-	ctx, stop := context.WithTimeout(ctx, 2*askTime)
+// Fetch asks one process.
+func Fetch(ctx context.Context, address string, includeItems bool) (ProcessState, error) {
+	ctx, stop := context.WithTimeout(ctx, 2*requestTimeout)
 	defer stop()
 	u := "http://" + address + Path
-	if whole {
+	if includeItems {
 		u += "?routes=1"
 	}
-	var s State
+	var s ProcessState
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
 		return s, err
@@ -100,7 +100,7 @@
 	if res.StatusCode != http.StatusOK {
 		return s, fmt.Errorf("%s: %s", address, res.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, mostState)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxStateBytes)).Decode(&s); err != nil {
 		return s, fmt.Errorf("%s: %w", address, err)
 	}
 	if s.Kind == "" {
@@ -109,32 +109,32 @@
 	return s, nil
 }
 
-// Reply is what came of asking one process.
-type Reply struct {
-	At    string
-	State State
-	Err   error
+// FetchResult is what came of asking one process.
+type FetchResult struct {
+	Address string
+	State   ProcessState
+	Err     error
 }
 
-// AskAll asks all, many at once; the replies stand in the order of the addresses.
-func AskAll(ctx context.Context, addresses []string, whole bool) []Reply {
-	rs := make([]Reply, len(addresses))
+// FetchAll asks all, many at once; the replies stand in the order of the addresses.
+func FetchAll(ctx context.Context, addresses []string, includeItems bool) []FetchResult {
+	results := make([]FetchResult, len(addresses))
 	var g sync.WaitGroup
-	turn := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrentFetches)
 	for i, a := range addresses {
-		turn <- struct{}{}
+		slots <- struct{}{}
 		g.Go(func() {
-			defer func() { <-turn }()
-			s, err := Ask(ctx, a, whole)
-			rs[i] = Reply{At: a, State: s, Err: err}
+			defer func() { <-slots }()
+			s, err := Fetch(ctx, a, includeItems)
+			results[i] = FetchResult{Address: a, State: s, Err: err}
 		})
 	}
 	g.Wait()
-	return rs
+	return results
 }
 
-// At is where the process that others reach at node tells its state.
-func At(node string) (string, error) {
+// StateAddress is where the process that others reach at node tells its state.
+func StateAddress(node string) (string, error) {
 	h, p, err := net.SplitHostPort(node)
 	if err != nil {
 		return "", err
@@ -143,17 +143,17 @@
 	if err != nil {
 		return "", err
 	}
-	return net.JoinHostPort(h, strconv.Itoa(n+ports.StateAfter)), nil
+	return net.JoinHostPort(h, strconv.Itoa(n+ports.StatePortOffset)), nil
 }
 
 // FirstControl is the first control process among the replies.
-func FirstControl(rs []Reply) (State, error) {
+func FirstControl(results []FetchResult) (ProcessState, error) {
 	var all []error
-	for _, r := range rs {
+	for _, r := range results {
 		if r.Err == nil && r.State.Control != nil {
 			return r.State, nil
 		}
 		all = append(all, r.Err)
 	}
-	return State{}, errors.Join(append(all, errors.New("none of these is a control process that replies"))...)
+	return ProcessState{}, errors.Join(append(all, errors.New("none of these is a control process that replies"))...)
 }
--- a/internal/behaviourhash/behaviourhash_test.go
+++ b/internal/behaviourhash/behaviourhash_test.go
@@ -42,25 +42,25 @@
 // encoded one after the other, so that the order of the map is the one given.
 func dutyRow(t *testing.T, order ...string) Row {
 	t.Helper()
-	grant, err := proto.Marshal(&schema.Grant{Node: "a"})
+	grant, err := proto.Marshal(&schema.ConnectionLease{Node: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range order {
-		entry, err := proto.Marshal(&schema.Grant{Connections: map[string]int32{name: int32(len(name))}})
+		entry, err := proto.Marshal(&schema.ConnectionLease{Connections: map[string]int32{name: int32(len(name))}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		grant = append(grant, entry...)
 	}
 	grants := protowire.AppendBytes(protowire.AppendTag(nil, 1, protowire.BytesType), grant)
-	state, err := proto.Marshal(&schema.DutyState{Holder: "h", Term: 2})
+	state, err := proto.Marshal(&schema.RoleState{Leader: "h", Term: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	state = protowire.AppendBytes(protowire.AppendTag(state, 5, protowire.BytesType), grants)
 	r := New()
-	r.Envelope(1, "a", "b", &schema.Envelope{From: "a", Body: &schema.Envelope_News{News: &schema.News{
+	r.Envelope(1, "a", "b", &schema.Envelope{From: "a", Body: &schema.Envelope_RegisterUpdate{RegisterUpdate: &schema.RegisterUpdate{
 		Registers: []*schema.Register{{Key: "duty/x", Value: &schema.Value{Data: state}}}}}})
 	return r.Row(0, 0)
 }
--- a/internal/behaviourhash/dutystate.go
+++ b/internal/behaviourhash/dutystate.go
@@ -67,8 +67,8 @@
 // orderDutyState encodes bytes anew if they are a duty state with grants; others
 // are given back as they are.
 func orderDutyState(b []byte) []byte {
-	s := &schema.DutyState{}
-	if proto.Unmarshal(b, s) != nil || s.Holder == "" || s.Grants == nil {
+	s := &schema.RoleState{}
+	if proto.Unmarshal(b, s) != nil || s.Leader == "" || s.ConnectionLeases == nil {
 		return b
 	}
 	return marshal(s)
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -14,50 +14,50 @@
 
 // Rules.
 const (
-	// RoutedUnvouched: a node routes a statement, or refuses a name, only by a
+	// RoutedUnconfirmed: a node routes a statement, or refuses a name, only by a
 	// routing table that a majority of the voters vouched for no longer ago than a
 	// change may take to be in force everywhere.
-	RoutedUnvouched Rule = "routed-unvouched"
-	// TableWentBack: within a run, a process's routing table never becomes older.
-	TableWentBack Rule = "table-went-back"
-	// AgreedChanged: a revision that is known to be agreed keeps its content.
-	AgreedChanged Rule = "agreed-changed"
-	// OlderHandedOut: a control process answers no call by a table older than one
+	RoutedUnconfirmed Rule = "routed-unvouched"
+	// TableRevertedToOlder: within a run, a process's routing table never becomes older.
+	TableRevertedToOlder Rule = "table-went-back"
+	// CommittedValueChanged: a revision that is known to be agreed keeps its content.
+	CommittedValueChanged Rule = "agreed-changed"
+	// StaleTableReturned: a control process answers no call by a table older than one
 	// that it knew to be agreed when the call came.
-	OlderHandedOut Rule = "older-handed-out"
-	// LearnedLate: a process whose looks a majority of the voters returns learns what
+	StaleTableReturned Rule = "older-handed-out"
+	// LearnedTooLate: a process whose looks a majority of the voters returns learns what
 	// they agreed within a bounded time.
-	LearnedLate Rule = "learned-late"
+	LearnedTooLate Rule = "learned-late"
 )
 
 // Violation is a broken rule and how it was broken.
 type Violation struct {
-	Rule Rule
-	Text string
+	Rule   Rule
+	Detail string
 }
 
 // Checks counts violations of one process. The zero value is ready for use.
 type Checks struct {
-	counts map[Rule]int64
-	fresh  []Violation
+	counts     map[Rule]int64
+	unreported []Violation
 }
 
-// Broken notes a violation. Callers test the condition themselves, so that a check that
+// Violated notes a violation. Callers test the condition themselves, so that a check that
 // holds costs nothing more.
-func (c *Checks) Broken(rule Rule, format string, a ...any) {
+func (c *Checks) Violated(rule Rule, format string, a ...any) {
 	if c.counts == nil {
 		c.counts = map[Rule]int64{}
 	}
 	c.counts[rule]++
 	if c.counts[rule] == 1 {
-		c.fresh = append(c.fresh, Violation{Rule: rule, Text: fmt.Sprintf(format, a...)})
+		c.unreported = append(c.unreported, Violation{Rule: rule, Detail: fmt.Sprintf(format, a...)})
 	}
 }
 
-// Take hands out the first violation of each rule, once, for the log.
-func (c *Checks) Take() []Violation {
-	fresh := c.fresh
-	c.fresh = nil
+// TakeNew hands out the first violation of each rule, once, for the log.
+func (c *Checks) TakeNew() []Violation {
+	fresh := c.unreported
+	c.unreported = nil
 	return fresh
 }
 
--- a/language/example_test.go
+++ b/language/example_test.go
@@ -10,7 +10,7 @@
 func Example() {
 	now := time.Date(2027, 1, 30, 18, 0, 0, 0, time.UTC)
 	s, _ := language.Parse("book the Cluj replica for replacement at 02:00", now)
-	places := []language.Place{
+	places := []language.Target{
 		{Name: "stock-a", Partner: "shop", Group: "shop/stock", Zone: "iasi", Primary: true},
 		{Name: "stock-b", Partner: "shop", Group: "shop/stock", Zone: "cluj"},
 	}
--- a/language/language.go
+++ b/language/language.go
@@ -34,50 +34,50 @@
 
 // Verbs.
 const (
-	VerbBook    = "book"
-	VerbConfirm = "confirm"
-	VerbCancel  = "cancel"
-	VerbMove    = "move"
-	VerbBooked  = "booked"
-	VerbStatus  = "status"
-	VerbApplied = "applied"
-	VerbWhy     = "why"
-	VerbHelp    = "help"
+	VerbSchedule    = "book"
+	VerbConfirm     = "confirm"
+	VerbCancel      = "cancel"
+	VerbMove        = "move"
+	VerbListWindows = "booked"
+	VerbStatus      = "status"
+	VerbApplied     = "applied"
+	VerbWhy         = "why"
+	VerbHelp        = "help"
 )
 
 // Sentence is what was understood.
 type Sentence struct {
-	Verb    string
-	Name    []Word
-	Kind    string
-	Booking uint64
-	At      time.Time
-	From    time.Time // of a question about a day
-	Until   time.Time
-	Whom    Word   // whose bookings are asked for
-	Read    string // the id of a read that is asked about
-	Group   Word   // the group whose reads are asked about
+	Verb     string
+	Name     []Token
+	Kind     string
+	WindowID uint64
+	At       time.Time
+	From     time.Time // of a question about a day
+	Until    time.Time
+	Subject  Token  // whose bookings are asked for
+	ReadID   string // the id of a read that is asked about
+	Group    Token  // the group whose reads are asked about
 }
 
-// Word is one word and where it begins, from column 1.
-type Word struct {
+// Token is one word and where it begins, from column 1.
+type Token struct {
 	Text   string
 	Column int
 }
 
 // Error points at a column.
 type Error struct {
-	Column  int
-	Text    string
-	Several bool // a name fits several; the text names them
+	Column    int
+	Text      string
+	Ambiguous bool // a name fits several; the text names them
 }
 
-func fail(column int, text string) *Error { return &Error{Column: column, Text: text} }
+func errorAt(column int, text string) *Error { return &Error{Column: column, Text: text} }
 
 func (e *Error) Error() string { return fmt.Sprintf("column %d: %s", e.Column, e.Text) }
 
-// Place is something a name can mean.
-type Place struct {
+// Target is something a name can mean.
+type Target struct {
 	Name    string // of a database or machine
 	Machine bool
 	Partner string
@@ -87,7 +87,7 @@
 }
 
 // String is how a place is told apart from others.
-func (p Place) String() string {
+func (p Target) String() string {
 	if p.Machine {
 		return p.Name + " (machine in " + p.Zone + ")"
 	}
@@ -98,55 +98,55 @@
 	return fmt.Sprintf("%s (%s of %s in %s)", p.Name, r, p.Group, p.Zone)
 }
 
-type reader struct {
-	ws  []Word
-	i   int
-	end int
-	now time.Time
+type parser struct {
+	tokens    []Token
+	index     int
+	endColumn int
+	now       time.Time
 }
 
-func words(s string) ([]Word, int) {
-	var ws []Word
-	rs := []rune(s)
-	for i := 0; i < len(rs); {
-		if unicode.IsSpace(rs[i]) {
+func tokenize(s string) ([]Token, int) {
+	var tokens []Token
+	runes := []rune(s)
+	for i := 0; i < len(runes); {
+		if unicode.IsSpace(runes[i]) {
 			i++
 			continue
 		}
 		j := i
-		for j < len(rs) && !unicode.IsSpace(rs[j]) {
+		for j < len(runes) && !unicode.IsSpace(runes[j]) {
 			j++
 		}
-		ws = append(ws, Word{Text: string(rs[i:j]), Column: i + 1})
+		tokens = append(tokens, Token{Text: string(runes[i:j]), Column: i + 1})
 		i = j
 	}
-	return ws, len(rs) + 1
+	return tokens, len(runes) + 1
 }
 
 // Parse reads a sentence; now is the time in the partner's zone.
 func Parse(text string, now time.Time) (Sentence, error) {
-	ws, end := words(strings.TrimRight(strings.TrimRight(text, " \t\n?."), " "))
-	r := &reader{ws: ws, end: end, now: now}
+	tokens, end := tokenize(strings.TrimRight(strings.TrimRight(text, " \t\n?."), " "))
+	r := &parser{tokens: tokens, endColumn: end, now: now}
 	w := r.next()
 	var s Sentence
 	var err error
 	switch strings.ToLower(w.Text) {
 	case "":
-		return s, fail(1, "nothing was said; try help")
+		return s, errorAt(1, "nothing was said; try help")
 	case "book":
-		s, err = r.book()
+		s, err = r.parseSchedule()
 	case "confirm", "cancel":
 		s.Verb = strings.ToLower(w.Text)
-		s.Booking, err = r.booking()
+		s.WindowID, err = r.parseWindowID()
 	case "move":
 		s.Verb = VerbMove
-		if s.Booking, err = r.booking(); err == nil {
+		if s.WindowID, err = r.parseWindowID(); err == nil {
 			if err = r.expect("to"); err == nil {
-				s.At, err = r.time()
+				s.At, err = r.parseTime()
 			}
 		}
 	case "what":
-		s, err = r.question()
+		s, err = r.parseListWindows()
 	case "status":
 		s.Verb = VerbStatus
 	case "who":
@@ -155,54 +155,54 @@
 			r.next()
 		}
 	case "why":
-		s, err = r.why()
+		s, err = r.parseWhy()
 	case "help":
 		s.Verb = VerbHelp
 	default:
-		return s, fail(w.Column, fmt.Sprintf("%q begins no sentence; these do: book, confirm, cancel, move, what, why, status, who, help", w.Text))
+		return s, errorAt(w.Column, fmt.Sprintf("%q begins no sentence; these do: book, confirm, cancel, move, what, why, status, who, help", w.Text))
 	}
 	if err != nil {
 		return s, err
 	}
 	if w := r.peek(); w.Text != "" {
-		return s, fail(w.Column, fmt.Sprintf("nothing is expected here, found %q", w.Text))
+		return s, errorAt(w.Column, fmt.Sprintf("nothing is expected here, found %q", w.Text))
 	}
 	return s, nil
 }
 
-func (r *reader) peek() Word {
-	if r.i < len(r.ws) {
-		return r.ws[r.i]
+func (r *parser) peek() Token {
+	if r.index < len(r.tokens) {
+		return r.tokens[r.index]
 	}
-	return Word{Column: r.end}
+	return Token{Column: r.endColumn}
 }
 
-func (r *reader) next() Word {
+func (r *parser) next() Token {
 	w := r.peek()
-	r.i++
+	r.index++
 	return w
 }
 
-func (r *reader) expect(t string) error {
+func (r *parser) expect(t string) error {
 	if w := r.next(); !strings.EqualFold(w.Text, t) {
-		return fail(w.Column, fmt.Sprintf("expected %q, found %s", t, found(w)))
+		return errorAt(w.Column, fmt.Sprintf("expected %q, found %s", t, describe(w)))
 	}
 	return nil
 }
 
-func found(w Word) string {
+func describe(w Token) string {
 	if w.Text == "" {
 		return "the end"
 	}
 	return strconv.Quote(w.Text)
 }
 
-func (r *reader) book() (Sentence, error) {
-	s := Sentence{Verb: VerbBook}
+func (r *parser) parseSchedule() (Sentence, error) {
+	s := Sentence{Verb: VerbSchedule}
 	for {
 		w := r.peek()
 		if w.Text == "" {
-			return s, fail(w.Column, `expected "for" and what is to be done`)
+			return s, errorAt(w.Column, `expected "for" and what is to be done`)
 		}
 		if strings.EqualFold(w.Text, "for") {
 			break
@@ -211,7 +211,7 @@
 	}
 	f := r.next()
 	if len(s.Name) == 0 {
-		return s, fail(f.Column, "expected what is to be moved")
+		return s, errorAt(f.Column, "expected what is to be moved")
 	}
 	k := r.next()
 	switch strings.ToLower(k.Text) {
@@ -222,29 +222,29 @@
 	case "stop", "stopping":
 		s.Kind = bookings.Stop
 	default:
-		return s, fail(k.Column, "expected replacement, switch or stop, found "+found(k))
+		return s, errorAt(k.Column, "expected replacement, switch or stop, found "+describe(k))
 	}
 	if strings.EqualFold(r.peek().Text, "at") || strings.EqualFold(r.peek().Text, "on") {
 		r.next()
 	}
 	var err error
-	s.At, err = r.time()
+	s.At, err = r.parseTime()
 	return s, err
 }
 
-func (r *reader) booking() (uint64, error) {
+func (r *parser) parseWindowID() (uint64, error) {
 	if strings.EqualFold(r.peek().Text, "booking") {
 		r.next()
 	}
 	w := r.next()
 	n, err := strconv.ParseUint(strings.TrimPrefix(w.Text, "#"), 10, 64)
 	if err != nil {
-		return 0, fail(w.Column, "expected a booking's number, found "+found(w))
+		return 0, errorAt(w.Column, "expected a booking's number, found "+describe(w))
 	}
 	return n, nil
 }
 
-func (r *reader) day(w Word) (time.Time, bool) {
+func (r *parser) parseDay(w Token) (time.Time, bool) {
 	y, m, d := r.now.Date()
 	switch strings.ToLower(w.Text) {
 	case "today":
@@ -256,10 +256,10 @@
 	return t, err == nil
 }
 
-// time is [day] HH:MM; without a day it is the next such moment.
-func (r *reader) time() (time.Time, error) {
+// parseTime is [day] HH:MM; without a day it is the next such moment.
+func (r *parser) parseTime() (time.Time, error) {
 	w := r.next()
-	day, has := r.day(w)
+	day, has := r.parseDay(w)
 	if has {
 		if w = r.next(); strings.EqualFold(w.Text, "at") {
 			w = r.next()
@@ -267,16 +267,16 @@
 	}
 	c, err := time.Parse("15:04", w.Text)
 	if err != nil {
-		return time.Time{}, fail(w.Column, "expected a time such as 02:00, or a day and a time, found "+found(w))
+		return time.Time{}, errorAt(w.Column, "expected a time such as 02:00, or a day and a time, found "+describe(w))
 	}
 	if !has {
-		if d, ok := r.day(r.peek()); ok {
+		if d, ok := r.parseDay(r.peek()); ok {
 			day, has = d, true
 			r.next()
 		}
 	}
 	if !has {
-		day, _ = r.day(Word{Text: "today"})
+		day, _ = r.parseDay(Token{Text: "today"})
 	}
 	y, m, d := day.Date()
 	t := time.Date(y, m, d, c.Hour(), c.Minute(), 0, 0, r.now.Location())
@@ -286,8 +286,8 @@
 	return t, nil
 }
 
-func (r *reader) question() (Sentence, error) {
-	s := Sentence{Verb: VerbBooked}
+func (r *parser) parseListWindows() (Sentence, error) {
+	s := Sentence{Verb: VerbListWindows}
 	if err := r.expect("is"); err != nil {
 		return s, err
 	}
@@ -299,24 +299,24 @@
 		if strings.EqualFold(w.Text, "on") {
 			w = r.next()
 		}
-		d, ok := r.day(w)
+		d, ok := r.parseDay(w)
 		if !ok {
-			return s, fail(w.Column, "expected today, tomorrow, a date such as 2027-01-31 or for and whom, found "+found(w))
+			return s, errorAt(w.Column, "expected today, tomorrow, a date such as 2027-01-31 or for and whom, found "+describe(w))
 		}
 		y, m, n := d.Date()
 		s.From, s.Until = d, time.Date(y, m, n+1, 0, 0, 0, 0, d.Location())
 	}
 	if strings.EqualFold(r.peek().Text, "for") {
 		r.next()
-		if s.Whom = r.next(); s.Whom.Text == "" {
-			return s, fail(s.Whom.Column, "expected a partner, group, database or machine behind for")
+		if s.Subject = r.next(); s.Subject.Text == "" {
+			return s, errorAt(s.Subject.Column, "expected a partner, group, database or machine behind for")
 		}
 	}
 	return s, nil
 }
 
-// why is read ID on its copy, or why are reads of GROUP where they are.
-func (r *reader) why() (Sentence, error) {
+// parseWhy is read ID on its copy, or why are reads of GROUP where they are.
+func (r *parser) parseWhy() (Sentence, error) {
 	s := Sentence{Verb: VerbWhy}
 	w := r.next()
 	rest := []string{"on", "its", "copy"}
@@ -326,8 +326,8 @@
 			return s, err
 		}
 		id := r.next()
-		if s.Read = id.Text; s.Read == "" {
-			return s, fail(id.Column, "expected the id that the read's caller gave")
+		if s.ReadID = id.Text; s.ReadID == "" {
+			return s, errorAt(id.Column, "expected the id that the read's caller gave")
 		}
 	case "are":
 		for _, t := range []string{"reads", "of"} {
@@ -336,11 +336,11 @@
 			}
 		}
 		if s.Group = r.next(); s.Group.Text == "" {
-			return s, fail(s.Group.Column, "expected a group")
+			return s, errorAt(s.Group.Column, "expected a group")
 		}
 		rest = []string{"where", "they", "are"}
 	default:
-		return s, fail(w.Column, "expected is or are, found "+found(w))
+		return s, errorAt(w.Column, "expected is or are, found "+describe(w))
 	}
 	if r.peek().Text == "" {
 		return s, nil
@@ -358,9 +358,9 @@
 }
 
 // Group finds the one group that a word names among a partner's places.
-func Group(w Word, all []Place, partner string) (string, error) {
-	var own []Place
-	for _, p := range all {
+func Group(w Token, targets []Target, partner string) (string, error) {
+	var own []Target
+	for _, p := range targets {
 		if p.Partner == partner {
 			own = append(own, p)
 		}
@@ -370,53 +370,53 @@
 			return p.Group, nil
 		}
 	}
-	return "", fail(w.Column, fmt.Sprintf("%s has no group %q; there are: %s", partner, w.Text, list(own, func(p Place) string { return p.Group })))
+	return "", errorAt(w.Column, fmt.Sprintf("%s has no group %q; there are: %s", partner, w.Text, joinSorted(own, func(p Target) string { return p.Group })))
 }
 
-// Whom tells which bookings a word names: of a partner, group, database or
+// MatchSubject tells which bookings a word names: of a partner, group, database or
 // machine.
-func Whom(w Word, all []Place) (fits func(owner, group, target string) bool, err error) {
+func MatchSubject(w Token, targets []Target) (fits func(owner, group, target string) bool, err error) {
 	last := func(t string) string { return t[strings.LastIndex(t, "/")+1:] }
-	is := func(t string) bool {
+	matches := func(t string) bool {
 		return t != "" && (strings.EqualFold(t, w.Text) || strings.EqualFold(last(t), w.Text))
 	}
-	for _, p := range all {
-		if is(p.Name) || is(p.Partner) || is(p.Group) {
-			return func(owner, group, target string) bool { return is(owner) || is(group) || is(target) }, nil
+	for _, p := range targets {
+		if matches(p.Name) || matches(p.Partner) || matches(p.Group) {
+			return func(owner, group, target string) bool { return matches(owner) || matches(group) || matches(target) }, nil
 		}
 	}
-	return nil, fail(w.Column, fmt.Sprintf("%q is no partner, group, database or machine; there are: %s", w.Text, list(all, func(p Place) string { return p.Name })))
+	return nil, errorAt(w.Column, fmt.Sprintf("%q is no partner, group, database or machine; there are: %s", w.Text, joinSorted(targets, func(p Target) string { return p.Name })))
 }
 
 // Resolve finds the one place that words name. With none or several it says
 // which there are.
-func Resolve(ws []Word, all []Place, machines bool) (Place, error) {
-	at := ws[0].Column
+func Resolve(tokens []Token, targets []Target, machines bool) (Target, error) {
+	at := tokens[0].Column
 	var zone, group, role, name string
-	for i := 0; i < len(ws); i++ {
-		w := strings.ToLower(ws[i].Text)
+	for i := 0; i < len(tokens); i++ {
+		w := strings.ToLower(tokens[i].Text)
 		switch {
 		case slices.Contains([]string{"the", "a", "database", "machine", "in", "at"}, w):
 		case w == "replica" || w == "primary":
 			role = w
 		case w == "of":
-			if i+1 == len(ws) {
-				return Place{}, fail(ws[i].Column, "expected a group behind of")
+			if i+1 == len(tokens) {
+				return Target{}, errorAt(tokens[i].Column, "expected a group behind of")
 			}
 			i++
-			group = strings.ToLower(ws[i].Text)
-			if !slices.ContainsFunc(all, func(p Place) bool { return inGroup(p, group) }) {
-				return Place{}, fail(ws[i].Column, fmt.Sprintf("no group %q; there are: %s", ws[i].Text, list(all, func(p Place) string { return p.Group })))
+			group = strings.ToLower(tokens[i].Text)
+			if !slices.ContainsFunc(targets, func(p Target) bool { return inGroup(p, group) }) {
+				return Target{}, errorAt(tokens[i].Column, fmt.Sprintf("no group %q; there are: %s", tokens[i].Text, joinSorted(targets, func(p Target) string { return p.Group })))
 			}
-		case slices.ContainsFunc(all, func(p Place) bool { return strings.EqualFold(p.Name, w) }):
+		case slices.ContainsFunc(targets, func(p Target) bool { return strings.EqualFold(p.Name, w) }):
 			name = w
-		case slices.ContainsFunc(all, func(p Place) bool { return strings.EqualFold(p.Zone, w) }):
+		case slices.ContainsFunc(targets, func(p Target) bool { return strings.EqualFold(p.Zone, w) }):
 			zone = w
-		case slices.ContainsFunc(all, func(p Place) bool { return inGroup(p, w) }):
+		case slices.ContainsFunc(targets, func(p Target) bool { return inGroup(p, w) }):
 			group = w
 		default:
-			return Place{}, fail(ws[i].Column, fmt.Sprintf("%q is no database, machine, zone or group; there are: %s", ws[i].Text,
-				list(all, func(p Place) string {
+			return Target{}, errorAt(tokens[i].Column, fmt.Sprintf("%q is no database, machine, zone or group; there are: %s", tokens[i].Text,
+				joinSorted(targets, func(p Target) string {
 					if p.Machine != machines {
 						return ""
 					}
@@ -424,8 +424,8 @@
 				})))
 		}
 	}
-	var fit []Place
-	for _, p := range all {
+	var fit []Target
+	for _, p := range targets {
 		if p.Machine == machines && (name == "" || strings.EqualFold(p.Name, name)) && (zone == "" || strings.EqualFold(p.Zone, zone)) &&
 			(group == "" || inGroup(p, group)) && (role == "" || (role == "primary") == p.Primary && !p.Machine) {
 			fit = append(fit, p)
@@ -435,30 +435,30 @@
 	case 1:
 		return fit[0], nil
 	case 0:
-		return Place{}, fail(at, "nothing fits; there are: "+list(all, func(p Place) string {
+		return Target{}, errorAt(at, "nothing fits; there are: "+joinSorted(targets, func(p Target) string {
 			if p.Machine != machines {
 				return ""
 			}
 			return p.String()
 		}))
 	}
-	return Place{}, &Error{Column: at, Text: "this fits: " + list(fit, Place.String), Several: true}
+	return Target{}, &Error{Column: at, Text: "this fits: " + joinSorted(fit, Target.String), Ambiguous: true}
 }
 
-func inGroup(p Place, g string) bool {
+func inGroup(p Target, g string) bool {
 	return p.Group != "" && (strings.EqualFold(p.Group, g) || strings.EqualFold(p.Group[strings.Index(p.Group, "/")+1:], g))
 }
 
-func list(ps []Place, f func(Place) string) string {
-	var ts []string
-	for _, p := range ps {
-		if t := f(p); t != "" && !slices.Contains(ts, t) {
-			ts = append(ts, t)
+func joinSorted(targets []Target, f func(Target) string) string {
+	var texts []string
+	for _, p := range targets {
+		if t := f(p); t != "" && !slices.Contains(texts, t) {
+			texts = append(texts, t)
 		}
 	}
-	slices.Sort(ts)
-	if len(ts) == 0 {
+	slices.Sort(texts)
+	if len(texts) == 0 {
 		return "none"
 	}
-	return strings.Join(ts, ", ")
+	return strings.Join(texts, ", ")
 }
--- a/language/language_test.go
+++ b/language/language_test.go
@@ -9,9 +9,9 @@
 )
 
 var (
-	zone   = time.FixedZone("EET", 2*3600)
-	now    = time.Date(2026, 12, 1, 23, 30, 0, 0, zone)
-	places = []Place{
+	zone    = time.FixedZone("EET", 2*3600)
+	now     = time.Date(2026, 12, 1, 23, 30, 0, 0, zone)
+	targets = []Target{
 		{Name: "inventory-1-a", Partner: "pharmacies", Group: "pharmacies/inventory-1", Zone: "cluj", Primary: true},
 		{Name: "inventory-1-b", Partner: "pharmacies", Group: "pharmacies/inventory-1", Zone: "iasi"},
 		{Name: "inventory-2-a", Partner: "pharmacies", Group: "pharmacies/inventory-2", Zone: "iasi", Primary: true},
@@ -21,19 +21,19 @@
 	}
 )
 
-func TestSentences(t *testing.T) {
+func TestParseCommands(t *testing.T) {
 	for text, want := range map[string]Sentence{
-		"book the Cluj replica for replacement at 02:00":       {Verb: VerbBook, Kind: bookings.Replacement, At: time.Date(2026, 12, 2, 2, 0, 0, 0, zone)},
-		"book pool-1 for stop at 23:45":                        {Verb: VerbBook, Kind: bookings.Stop, At: time.Date(2026, 12, 1, 23, 45, 0, 0, zone)},
-		"Book inventory-1-a for switch at tomorrow 04:05":      {Verb: VerbBook, Kind: bookings.Switch, At: time.Date(2026, 12, 2, 4, 5, 0, 0, zone)},
-		"book inventory-1-a for switch at 04:05 2026-12-24":    {Verb: VerbBook, Kind: bookings.Switch, At: time.Date(2026, 12, 24, 4, 5, 0, 0, zone)},
-		"book inventory-1-a for switch on 2026-12-24 at 04:05": {Verb: VerbBook, Kind: bookings.Switch, At: time.Date(2026, 12, 24, 4, 5, 0, 0, zone)},
-		"confirm booking 3":                                    {Verb: VerbConfirm, Booking: 3},
-		"cancel #4":                                            {Verb: VerbCancel, Booking: 4},
-		"move booking 3 to tomorrow 05:00":                     {Verb: VerbMove, Booking: 3, At: time.Date(2026, 12, 2, 5, 0, 0, 0, zone)},
-		"what is booked?":                                      {Verb: VerbBooked},
-		"what is booked tomorrow":                              {Verb: VerbBooked, From: time.Date(2026, 12, 2, 0, 0, 0, 0, zone), Until: time.Date(2026, 12, 3, 0, 0, 0, 0, zone)},
-		"what is booked on 2027-01-31":                         {Verb: VerbBooked, From: time.Date(2027, 1, 31, 0, 0, 0, 0, zone), Until: time.Date(2027, 2, 1, 0, 0, 0, 0, zone)},
+		"book the Cluj replica for replacement at 02:00":       {Verb: VerbSchedule, Kind: bookings.Replacement, At: time.Date(2026, 12, 2, 2, 0, 0, 0, zone)},
+		"book pool-1 for stop at 23:45":                        {Verb: VerbSchedule, Kind: bookings.Stop, At: time.Date(2026, 12, 1, 23, 45, 0, 0, zone)},
+		"Book inventory-1-a for switch at tomorrow 04:05":      {Verb: VerbSchedule, Kind: bookings.Switch, At: time.Date(2026, 12, 2, 4, 5, 0, 0, zone)},
+		"book inventory-1-a for switch at 04:05 2026-12-24":    {Verb: VerbSchedule, Kind: bookings.Switch, At: time.Date(2026, 12, 24, 4, 5, 0, 0, zone)},
+		"book inventory-1-a for switch on 2026-12-24 at 04:05": {Verb: VerbSchedule, Kind: bookings.Switch, At: time.Date(2026, 12, 24, 4, 5, 0, 0, zone)},
+		"confirm booking 3":                                    {Verb: VerbConfirm, WindowID: 3},
+		"cancel #4":                                            {Verb: VerbCancel, WindowID: 4},
+		"move booking 3 to tomorrow 05:00":                     {Verb: VerbMove, WindowID: 3, At: time.Date(2026, 12, 2, 5, 0, 0, 0, zone)},
+		"what is booked?":                                      {Verb: VerbListWindows},
+		"what is booked tomorrow":                              {Verb: VerbListWindows, From: time.Date(2026, 12, 2, 0, 0, 0, 0, zone), Until: time.Date(2026, 12, 3, 0, 0, 0, 0, zone)},
+		"what is booked on 2027-01-31":                         {Verb: VerbListWindows, From: time.Date(2027, 1, 31, 0, 0, 0, 0, zone), Until: time.Date(2027, 2, 1, 0, 0, 0, 0, zone)},
 		"status":                                               {Verb: VerbStatus}, "who applied": {Verb: VerbApplied}, "help": {Verb: VerbHelp},
 	} {
 		s, err := Parse(text, now)
@@ -42,13 +42,13 @@
 			continue
 		}
 		s.Name = nil
-		if s.Verb != want.Verb || s.Kind != want.Kind || s.Booking != want.Booking || !s.At.Equal(want.At) || !s.From.Equal(want.From) || !s.Until.Equal(want.Until) {
+		if s.Verb != want.Verb || s.Kind != want.Kind || s.WindowID != want.WindowID || !s.At.Equal(want.At) || !s.From.Equal(want.From) || !s.Until.Equal(want.Until) {
 			t.Errorf("%q: %+v", text, s)
 		}
 	}
 }
 
-func TestErrorsPointAtTheColumn(t *testing.T) {
+func TestParseErrorsNameTheColumn(t *testing.T) {
 	for text, column := range map[string]int{
 		"":                                     1,
 		"bok the replica":                      1,
@@ -76,30 +76,30 @@
 	}
 }
 
-func TestQuestions(t *testing.T) {
+func TestParseQuestions(t *testing.T) {
 	for text, want := range map[string]Sentence{
-		"why is read t17 on its copy":               {Verb: VerbWhy, Read: "t17"},
-		"why is read t17 on this copy?":             {Verb: VerbWhy, Read: "t17"},
-		"why are reads of inventory-1":              {Verb: VerbWhy, Group: Word{"inventory-1", 18}},
-		"what is booked for pharmacies":             {Verb: VerbBooked, Whom: Word{"pharmacies", 20}},
+		"why is read t17 on its copy":               {Verb: VerbWhy, ReadID: "t17"},
+		"why is read t17 on this copy?":             {Verb: VerbWhy, ReadID: "t17"},
+		"why are reads of inventory-1":              {Verb: VerbWhy, Group: Token{"inventory-1", 18}},
+		"what is booked for pharmacies":             {Verb: VerbListWindows, Subject: Token{"pharmacies", 20}},
 		"who applied what":                          {Verb: VerbApplied},
-		"why are reads of ledger-1 where they are?": {Verb: VerbWhy, Group: Word{"ledger-1", 18}},
+		"why are reads of ledger-1 where they are?": {Verb: VerbWhy, Group: Token{"ledger-1", 18}},
 	} {
 		s, err := Parse(text, now)
-		if err != nil || s.Verb != want.Verb || s.Read != want.Read || s.Group != want.Group || s.Whom != want.Whom {
+		if err != nil || s.Verb != want.Verb || s.ReadID != want.ReadID || s.Group != want.Group || s.Subject != want.Subject {
 			t.Errorf("%q: %+v, %v", text, s, err)
 		}
 	}
-	if g, err := Group(Word{"inventory-2", 1}, places, "pharmacies"); err != nil || g != "pharmacies/inventory-2" {
+	if g, err := Group(Token{"inventory-2", 1}, targets, "pharmacies"); err != nil || g != "pharmacies/inventory-2" {
 		t.Errorf("%s %v", g, err)
 	}
-	if _, err := Group(Word{"inventory-2", 4}, places, "lender"); err == nil || err.Error() != `column 4: lender has no group "inventory-2"; there are: none` {
+	if _, err := Group(Token{"inventory-2", 4}, targets, "lender"); err == nil || err.Error() != `column 4: lender has no group "inventory-2"; there are: none` {
 		t.Errorf("another partner's group: %v", err)
 	}
-	if f, err := Whom(Word{"inventory-1", 1}, places); err != nil || !f("pharmacies", "pharmacies/inventory-1", "pharmacies/inventory-1-a") || f("pharmacies", "pharmacies/inventory-2", "pharmacies/inventory-2-a") {
+	if f, err := MatchSubject(Token{"inventory-1", 1}, targets); err != nil || !f("pharmacies", "pharmacies/inventory-1", "pharmacies/inventory-1-a") || f("pharmacies", "pharmacies/inventory-2", "pharmacies/inventory-2-a") {
 		t.Errorf("bookings of a group: %v", err)
 	}
-	if _, err := Whom(Word{"nobody", 3}, places); err == nil {
+	if _, err := MatchSubject(Token{"nobody", 3}, targets); err == nil {
 		t.Error("bookings of nobody")
 	}
 }
@@ -117,14 +117,14 @@
 			t.Errorf("%q: %v", text, err)
 		}
 		if err == nil && len(s.Name) > 0 {
-			if _, err := Resolve(s.Name, places, s.Kind == "stop"); err != nil && !errors.As(err, &e) {
+			if _, err := Resolve(s.Name, targets, s.Kind == "stop"); err != nil && !errors.As(err, &e) {
 				t.Errorf("%q: %v", text, err)
 			}
 		}
 	})
 }
 
-func TestNames(t *testing.T) {
+func TestResolve(t *testing.T) {
 	for text, want := range map[string]string{
 		"the Cluj replica":                      "inventory-2-b",
 		"the primary of inventory-1":            "inventory-1-a",
@@ -132,14 +132,14 @@
 		"inventory-1-b":                         "inventory-1-b",
 		"the replica of pharmacies/inventory-1": "inventory-1-b",
 	} {
-		ws, _ := words(text)
-		p, err := Resolve(ws, places, false)
+		ws, _ := tokenize(text)
+		p, err := Resolve(ws, targets, false)
 		if err != nil || p.Name != want {
 			t.Errorf("%q: %v %v", text, p, err)
 		}
 	}
-	ws, _ := words("pool-2")
-	if p, err := Resolve(ws, places, true); err != nil || p.Name != "pool-2" {
+	ws, _ := tokenize("pool-2")
+	if p, err := Resolve(ws, targets, true); err != nil || p.Name != "pool-2" {
 		t.Errorf("%v %v", p, err)
 	}
 	for text, want := range map[string]string{
@@ -148,8 +148,8 @@
 		"the Sibiu replica":               `column 5: "Sibiu" is no database, machine, zone or group; there are: inventory-1-a, inventory-1-b, inventory-2-a, inventory-2-b`,
 		"the primary of nowhere":          `column 16: no group "nowhere"; there are: pharmacies/inventory-1, pharmacies/inventory-2`,
 	} {
-		ws, _ := words(text)
-		if _, err := Resolve(ws, places, false); err == nil || err.Error() != want {
+		ws, _ := tokenize(text)
+		if _, err := Resolve(ws, targets, false); err == nil || err.Error() != want {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/links/links.go
+++ b/links/links.go
@@ -21,59 +21,59 @@
 )
 
 const (
-	lineLength  = 1024
-	dialTime    = 300 * time.Millisecond
-	dialAgain   = 100 * time.Millisecond
-	idleOut     = 30 * time.Second
-	stuckWrites = 3 * time.Second
-	unheard     = 900 * time.Millisecond
+	queueCapacity         = 1024
+	dialTimeout           = 300 * time.Millisecond
+	redialDelay           = 100 * time.Millisecond
+	idleTimeout           = 30 * time.Second
+	writeTimeout          = 3 * time.Second
+	unacknowledgedTimeout = 900 * time.Millisecond
 )
 
-// Links is one process's end of all its links.
-type Links struct {
-	self    string
-	local   net.Addr
-	receive func(*schema.Envelope)
-	ctx     context.Context
-	mu      sync.Mutex
-	out     map[string]chan *schema.Envelope
-	sent    atomic.Uint64
-	dropped atomic.Uint64
-	taken   atomic.Uint64
-	cut     atomic.Bool
+// Transport is one process's end of all its links.
+type Transport struct {
+	self         string
+	localAddress net.Addr
+	receive      func(*schema.Envelope)
+	ctx          context.Context
+	mu           sync.Mutex
+	queues       map[string]chan *schema.Envelope
+	sent         atomic.Uint64
+	dropped      atomic.Uint64
+	received     atomic.Uint64
+	partitioned  atomic.Bool
 }
 
-// Cut has nothing pass any more, in either direction, until it is mended: what a
+// SetPartitioned has nothing pass any more, in either direction, until it is mended: what a
 // broken network does, for trials.
-func (l *Links) Cut(broken bool) { l.cut.Store(broken) }
+func (l *Transport) SetPartitioned(broken bool) { l.partitioned.Store(broken) }
 
 // New makes the links of a process, whose connections come from a local address
 // or from any; receive is called from many goroutines.
-func New(ctx context.Context, self string, local net.Addr, receive func(*schema.Envelope)) *Links {
-	return &Links{self: self, local: local, receive: receive, ctx: ctx, out: map[string]chan *schema.Envelope{}}
+func New(ctx context.Context, self string, local net.Addr, receive func(*schema.Envelope)) *Transport {
+	return &Transport{self: self, localAddress: local, receive: receive, ctx: ctx, queues: map[string]chan *schema.Envelope{}}
 }
 
 // Counts are envelopes sent, dropped and received.
-func (l *Links) Counts() (sent, dropped, received uint64) {
-	return l.sent.Load(), l.dropped.Load(), l.taken.Load()
+func (l *Transport) Counts() (sent, dropped, received uint64) {
+	return l.sent.Load(), l.dropped.Load(), l.received.Load()
 }
 
 // Send hands an envelope on; it never blocks.
-func (l *Links) Send(to string, e *schema.Envelope) {
+func (l *Transport) Send(to string, e *schema.Envelope) {
 	if to == l.self {
 		l.receive(e)
 		return
 	}
-	if l.cut.Load() {
+	if l.partitioned.Load() {
 		l.dropped.Add(1)
 		return
 	}
 	l.mu.Lock()
-	ch := l.out[to]
+	ch := l.queues[to]
 	if ch == nil {
-		ch = make(chan *schema.Envelope, lineLength)
-		l.out[to] = ch
-		go l.run(to, ch)
+		ch = make(chan *schema.Envelope, queueCapacity)
+		l.queues[to] = ch
+		go l.sendLoop(to, ch)
 	}
 	l.mu.Unlock()
 	select {
@@ -83,18 +83,18 @@
 	}
 }
 
-func (l *Links) run(to string, ch chan *schema.Envelope) {
+func (l *Transport) sendLoop(to string, ch chan *schema.Envelope) {
 	for l.ctx.Err() == nil {
-		if l.connected(to, ch) {
+		if l.sendOverConnection(to, ch) {
 			l.mu.Lock()
 			if len(ch) == 0 {
-				delete(l.out, to)
+				delete(l.queues, to)
 				l.mu.Unlock()
 				return
 			}
 			l.mu.Unlock()
 		}
-		t := time.NewTimer(dialAgain)
+		t := time.NewTimer(redialDelay)
 		select {
 		case <-l.ctx.Done():
 		case <-t.C:
@@ -108,15 +108,15 @@
 	}
 }
 
-// connected sends over one connection until it breaks; true says that it was
+// sendOverConnection sends over one connection until it breaks; true says that it was
 // merely idle.
-func (l *Links) connected(to string, ch chan *schema.Envelope) bool {
-	d := net.Dialer{Timeout: dialTime, LocalAddr: l.local, Control: giveUpSoon}
+func (l *Transport) sendOverConnection(to string, ch chan *schema.Envelope) bool {
+	d := net.Dialer{Timeout: dialTimeout, LocalAddr: l.localAddress, Control: setUserTimeout}
 	nc, err := d.DialContext(l.ctx, "tcp", to)
 	if err != nil {
 		return false
 	}
-	c := drpcconn.New(expiring{nc})
+	c := drpcconn.New(writeDeadlineConn{nc})
 	defer c.Close()
 	ctx, stop := context.WithCancel(l.ctx)
 	defer stop()
@@ -124,7 +124,7 @@
 	if err != nil {
 		return false
 	}
-	t := time.NewTimer(idleOut)
+	t := time.NewTimer(idleTimeout)
 	defer t.Stop()
 	for {
 		select {
@@ -133,7 +133,7 @@
 				return false
 			}
 			l.sent.Add(1)
-			t.Reset(idleOut)
+			t.Reset(idleTimeout)
 		case <-c.Closed():
 			return false
 		case <-t.C:
@@ -144,33 +144,33 @@
 	}
 }
 
-// giveUpSoon has the kernel end a connection whose bytes nobody confirms: behind
+// setUserTimeout has the kernel end a connection whose bytes nobody confirms: behind
 // a cut it would else try again ever less often, and long after the cut is over.
-func giveUpSoon(_, _ string, c syscall.RawConn) error {
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var err error
 	if e := c.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unheard.Milliseconds()))
+		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 	}); e != nil {
 		return e
 	}
 	return err
 }
 
-// expiring gives up on a neighbour that takes no bytes: its kernel may hold
+// writeDeadlineConn gives up on a neighbour that takes no bytes: its kernel may hold
 // the connection open long after its process stopped.
-type expiring struct{ net.Conn }
+type writeDeadlineConn struct{ net.Conn }
 
-func (d expiring) Write(b []byte) (int, error) {
-	if err := d.SetWriteDeadline(time.Now().Add(stuckWrites)); err != nil {
+func (d writeDeadlineConn) Write(b []byte) (int, error) {
+	if err := d.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	return d.Conn.Write(b)
 }
 
-// Local is the address that connections of a process come from, so that others
+// LocalAddress is the address that connections of a process come from, so that others
 // can tell it by it: the IP of the first address named, on which it listens, or
 // any where it listens on all.
-func Local(listen ...string) net.Addr {
+func LocalAddress(listen ...string) net.Addr {
 	h, _, err := net.SplitHostPort(cmp.Or(listen...))
 	if ip := net.ParseIP(h); err == nil && ip != nil && !ip.IsUnspecified() {
 		return &net.TCPAddr{IP: ip}
@@ -178,27 +178,27 @@
 	return nil
 }
 
-type nodes struct{ l *Links }
+type nodesServer struct{ transport *Transport }
 
 // Link takes a neighbour's envelopes until it hangs up.
-func (n nodes) Link(s schema.DRPCNodes_LinkStream) error {
+func (n nodesServer) Link(s schema.DRPCNodes_LinkStream) error {
 	for {
 		e, err := s.Recv()
 		if err != nil {
 			return s.SendAndClose(&schema.LinkEnd{})
 		}
-		if n.l.cut.Load() {
+		if n.transport.partitioned.Load() {
 			continue
 		}
-		n.l.taken.Add(1)
-		n.l.receive(e)
+		n.transport.received.Add(1)
+		n.transport.receive(e)
 	}
 }
 
 // Serve takes links on a listener until the context ends.
-func (l *Links) Serve(ln net.Listener) error {
+func (l *Transport) Serve(ln net.Listener) error {
 	m := drpcmux.New()
-	if err := schema.DRPCRegisterNodes(m, nodes{l}); err != nil {
+	if err := schema.DRPCRegisterNodes(m, nodesServer{l}); err != nil {
 		return err
 	}
 	return drpcserver.New(m).Serve(l.ctx, ln)
--- a/links/links_test.go
+++ b/links/links_test.go
@@ -49,9 +49,9 @@
 	return ln.Addr().String(), broken
 }
 
-// TestAnEnvelopeArrivesOnceAtMost: connections break at any byte; what was lost
+// TestEnvelopeDeliveredAtMostOnce: connections break at any byte; what was lost
 // with one is not sent again over the next.
-func TestAnEnvelopeArrivesOnceAtMost(t *testing.T) {
+func TestEnvelopeDeliveredAtMostOnce(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	var mu sync.Mutex
 	seen := map[string]int{}
@@ -106,9 +106,9 @@
 	return string(b)
 }
 
-// TestASilentNeighbourHoldsNobodyUp: a neighbour that takes no bytes costs what
+// TestUnresponsivePeerBlocksNobody: a neighbour that takes no bytes costs what
 // is sent to it and nothing else.
-func TestASilentNeighbourHoldsNobodyUp(t *testing.T) {
+func TestUnresponsivePeerBlocksNobody(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/loop/loop.go
+++ b/loop/loop.go
@@ -9,33 +9,33 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// mostAtOnce is how many events one step takes at the most.
-const mostAtOnce = 256
+// maxBatch is how many events one step takes at the most.
+const maxBatch = 256
 
 // Loop is one core's goroutine.
 type Loop struct {
-	clock clockwork.Clock
-	began time.Time
-	in    chan any
+	clock     clockwork.Clock
+	startedAt time.Time
+	queue     chan any
 }
 
 // New makes a loop with a line of the length given. began is the start of the
 // process: its loops tell each other times.
-func New(clock clockwork.Clock, began time.Time, length int) *Loop {
-	return &Loop{clock: clock, began: began, in: make(chan any, length)}
+func New(clock clockwork.Clock, startedAt time.Time, capacity int) *Loop {
+	return &Loop{clock: clock, startedAt: startedAt, queue: make(chan any, capacity)}
 }
 
 // NowUs is the process's monotonic time; it starts at a second, so that 0 can
 // stand for never.
-func (l *Loop) NowUs() int64 { return l.clock.Since(l.began).Microseconds() + 1_000_000 }
+func (l *Loop) NowUs() int64 { return l.clock.Since(l.startedAt).Microseconds() + 1_000_000 }
 
 // Post puts an event in line; it waits while the line is full.
-func (l *Loop) Post(e any) { l.in <- e }
+func (l *Loop) Post(e any) { l.queue <- e }
 
-// Offer puts an event in line unless the line is full.
-func (l *Loop) Offer(e any) bool {
+// TryPost puts an event in line unless the line is full.
+func (l *Loop) TryPost(e any) bool {
 	select {
-	case l.in <- e:
+	case l.queue <- e:
 		return true
 	default:
 		return false
@@ -43,26 +43,26 @@
 }
 
 // Run steps until the context ends.
-func (l *Loop) Run(ctx context.Context, tick time.Duration, step func(now int64, evs []any)) {
+func (l *Loop) Run(ctx context.Context, tick time.Duration, step func(now int64, events []any)) {
 	t := l.clock.NewTicker(tick)
 	defer t.Stop()
 	for {
-		var evs []any
+		var events []any
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.Chan():
-		case e := <-l.in:
-			evs = append(evs, e)
+		case e := <-l.queue:
+			events = append(events, e)
 		}
-		for more := true; more && len(evs) < mostAtOnce; {
+		for more := true; more && len(events) < maxBatch; {
 			select {
-			case e := <-l.in:
-				evs = append(evs, e)
+			case e := <-l.queue:
+				events = append(events, e)
 			default:
 				more = false
 			}
 		}
-		step(l.NowUs(), evs)
+		step(l.NowUs(), events)
 	}
 }
--- a/neighbours/neighbours.go
+++ b/neighbours/neighbours.go
@@ -10,12 +10,12 @@
 	"stoneford/step"
 )
 
-// Watchers is how many nodes watch each node.
-const Watchers = 3
+// WatchersPerNode is how many nodes watch each node.
+const WatchersPerNode = 3
 
 const (
-	pingEvery    = 250_000
-	suspectAfter = 1_000_000
+	probeInterval    = 250_000
+	suspicionTimeout = 1_000_000
 )
 
 // Effects of a step. Suspected has the neighbours whose standing changed.
@@ -24,92 +24,92 @@
 	Changed map[string]bool // neighbour to suspected
 }
 
-type watched struct {
-	heard     int64
+type peer struct {
+	heardAt   int64
 	suspected bool
 }
 
-// Watch is one node's watch over its neighbours.
-type Watch struct {
-	self    string
-	watched map[string]*watched
-	number  uint64
-	next    int64
+// Detector is one node's watch over its neighbours.
+type Detector struct {
+	self        string
+	peers       map[string]*peer
+	sequence    uint64
+	nextProbeAt int64
 }
 
 // New makes a watch over nobody.
-func New(self string) *Watch { return &Watch{self: self, watched: map[string]*watched{}} }
+func New(self string) *Detector { return &Detector{self: self, peers: map[string]*peer{}} }
 
-// Of names who watches a node: the first few of all others, ranked by the hash
+// WatchersOf names who watches a node: the first few of all others, ranked by the hash
 // of the pair. Every node that knows the same others names the same ones.
-func Of(node string, all []string) []string {
+func WatchersOf(node string, all []string) []string {
 	os := step.Rank(node, slices.DeleteFunc(slices.Clone(all), func(o string) bool { return o == node }))
-	return os[:min(Watchers, len(os))]
+	return os[:min(WatchersPerNode, len(os))]
 }
 
-// Nodes brings all nodes this one knows of.
-func (w *Watch) Nodes(now int64, all []string) {
-	m := map[string]*watched{}
+// SetNodes brings all nodes this one knows of.
+func (w *Detector) SetNodes(now int64, all []string) {
+	m := map[string]*peer{}
 	for _, n := range all {
-		if n != w.self && slices.Contains(Of(n, all), w.self) {
-			if m[n] = w.watched[n]; m[n] == nil {
-				m[n] = &watched{heard: now}
+		if n != w.self && slices.Contains(WatchersOf(n, all), w.self) {
+			if m[n] = w.peers[n]; m[n] == nil {
+				m[n] = &peer{heardAt: now}
 			}
 		}
 	}
-	w.watched = m
+	w.peers = m
 }
 
 // Peers are the nodes this one watches.
-func (w *Watch) Peers() []string { return slices.Sorted(maps.Keys(w.watched)) }
+func (w *Detector) Peers() []string { return slices.Sorted(maps.Keys(w.peers)) }
 
 // Tick pings and looks for silence.
-func (w *Watch) Tick(now int64) Effects {
-	fx := Effects{Changed: map[string]bool{}}
-	if now < w.next {
-		return fx
+func (w *Detector) Tick(now int64) Effects {
+	effects := Effects{Changed: map[string]bool{}}
+	if now < w.nextProbeAt {
+		return effects
 	}
-	if now-w.next > suspectAfter && w.next > 0 {
+	if now-w.nextProbeAt > suspicionTimeout && w.nextProbeAt > 0 {
 		// This node itself stood still: the silence may be its own.
-		for _, v := range w.watched {
-			v.heard = now
+		for _, v := range w.peers {
+			v.heardAt = now
 		}
 	}
-	w.next = now + pingEvery
-	w.number++
+	w.nextProbeAt = now + probeInterval
+	w.sequence++
 	for _, n := range w.Peers() {
-		v := w.watched[n]
-		fx.Send = append(fx.Send, step.Send{To: n, Env: &schema.Envelope{From: w.self, Body: &schema.Envelope_Ping{Ping: &schema.Ping{Number: w.number}}}})
-		if !v.suspected && now-v.heard > suspectAfter {
+		v := w.peers[n]
+		effects.Send = append(effects.Send, step.Send{To: n, Envelope: &schema.Envelope{From: w.self, Body: &schema.Envelope_Ping{Ping: &schema.Ping{Sequence: w.sequence}}}})
+		if !v.suspected && now-v.heardAt > suspicionTimeout {
 			v.suspected = true
-			fx.Changed[n] = true
+			effects.Changed[n] = true
 		}
 	}
-	return fx
+	return effects
 }
 
 // Step takes a ping or a pong.
-func (w *Watch) Step(now int64, e *schema.Envelope) Effects {
-	fx := Effects{Changed: map[string]bool{}}
+func (w *Detector) Step(now int64, e *schema.Envelope) Effects {
+	effects := Effects{Changed: map[string]bool{}}
 	switch b := e.Body.(type) {
 	case *schema.Envelope_Ping:
-		fx.Send = append(fx.Send, step.Send{To: e.From, Env: &schema.Envelope{From: w.self, Body: &schema.Envelope_Pong{Pong: &schema.Pong{Number: b.Ping.Number}}}})
+		effects.Send = append(effects.Send, step.Send{To: e.From, Envelope: &schema.Envelope{From: w.self, Body: &schema.Envelope_Pong{Pong: &schema.Pong{Sequence: b.Ping.Sequence}}}})
 	case *schema.Envelope_Pong:
-		if v := w.watched[e.From]; v != nil {
-			v.heard = now
+		if v := w.peers[e.From]; v != nil {
+			v.heardAt = now
 			if v.suspected {
 				v.suspected = false
-				fx.Changed[e.From] = false
+				effects.Changed[e.From] = false
 			}
 		}
 	}
-	return fx
+	return effects
 }
 
-// Confirmed says whether a node counts as dead: a majority of those who watch
+// SuspicionConfirmed says whether a node counts as dead: a majority of those who watch
 // it, of the nodes known, suspect it.
-func Confirmed(node string, all []string, suspects func(watcher string) bool) bool {
-	ws := Of(node, all)
+func SuspicionConfirmed(node string, all []string, suspects func(watcher string) bool) bool {
+	ws := WatchersOf(node, all)
 	n := 0
 	for _, o := range ws {
 		if suspects(o) {
--- a/neighbours/neighbours_test.go
+++ b/neighbours/neighbours_test.go
@@ -16,27 +16,27 @@
 		all = append(all, fmt.Sprint("n", i))
 		many := map[string]int{}
 		for _, n := range all {
-			ws := Of(n, all)
-			if len(ws) != min(Watchers, len(all)-1) || slices.Contains(ws, n) {
+			ws := WatchersOf(n, all)
+			if len(ws) != min(WatchersPerNode, len(all)-1) || slices.Contains(ws, n) {
 				t.Fatalf("%s of %d is watched by %v", n, len(all), ws)
 			}
 			for _, w := range ws {
 				many[w]++
 			}
 			less := slices.DeleteFunc(slices.Clone(all), func(o string) bool { return o == all[0] })
-			if !slices.Contains(ws, all[0]) && n != all[0] && !slices.Equal(ws, Of(n, less)) {
+			if !slices.Contains(ws, all[0]) && n != all[0] && !slices.Equal(ws, WatchersOf(n, less)) {
 				t.Fatalf("%s changed watchers though it lost none", n)
 			}
 		}
 	}
 }
 
-// TestFrozenWatcherBlamesNobody: a watcher that stood still starts anew
+// TestPausedWatcherSuspectsNobody: a watcher that stood still starts anew
 // instead of suspecting all it watches.
-func TestFrozenWatcherBlamesNobody(t *testing.T) {
+func TestPausedWatcherSuspectsNobody(t *testing.T) {
 	w := New("a")
 	now := int64(1_000_000)
-	w.Nodes(now, []string{"a", "b", "c"})
+	w.SetNodes(now, []string{"a", "b", "c"})
 	reply := func() {
 		for _, s := range w.Tick(now).Send {
 			w.Step(now, &schema.Envelope{From: s.To, Body: &schema.Envelope_Pong{Pong: &schema.Pong{}}})
@@ -44,16 +44,16 @@
 	}
 	for range 10 {
 		reply()
-		now += pingEvery
+		now += probeInterval
 	}
 	now += 30_000_000
-	if fx := w.Tick(now); len(fx.Changed) > 0 {
-		t.Fatalf("after standing still it suspects %v", fx.Changed)
+	if effects := w.Tick(now); len(effects.Changed) > 0 {
+		t.Fatalf("after standing still it suspects %v", effects.Changed)
 	}
 	// Real silence is suspected all the same.
 	seen := false
 	for range 10 {
-		now += pingEvery
+		now += probeInterval
 		seen = seen || len(w.Tick(now).Changed) > 0
 	}
 	if !seen {
@@ -61,11 +61,11 @@
 	}
 }
 
-func ExampleConfirmed() {
+func ExampleSuspicionConfirmed() {
 	all := []string{"a", "b", "c", "d", "e"}
-	ws := Of("a", all)
+	ws := WatchersOf("a", all)
 	one := func(w string) bool { return w == ws[0] }
 	two := func(w string) bool { return w == ws[0] || w == ws[1] }
-	fmt.Println(Confirmed("a", all, one), Confirmed("a", all, two))
+	fmt.Println(SuspicionConfirmed("a", all, one), SuspicionConfirmed("a", all, two))
 	// Output: false true
 }
--- a/operators/client.go
+++ b/operators/client.go
@@ -22,8 +22,8 @@
 }
 
 const (
-	askTime   = 7 * time.Second
-	replyMost = 64 << 20
+	callTimeout   = 7 * time.Second
+	maxReplyBytes = 64 << 20
 )
 
 // HTTP sends operators' calls. A call leaves once: each has a connection of its
@@ -36,8 +36,8 @@
 // ReadReply reads a control process's reply into out. It is a single JSON value
 // and, but for a status, holds a code; what is not is the word of another program,
 // or part of a reply.
-func ReadReply(rs *http.Response, out any) error {
-	b, err := io.ReadAll(io.LimitReader(rs.Body, replyMost))
+func ReadReply(response *http.Response, out any) error {
+	b, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
 		return err
 	}
@@ -45,24 +45,24 @@
 		Code *result.Code `json:"code"`
 	}
 	if err := json.Unmarshal(b, &head); err != nil {
-		return fmt.Errorf("%s: %w", rs.Status, err)
+		return fmt.Errorf("%s: %w", response.Status, err)
 	}
-	if head.Code == nil && rs.Request.Method != http.MethodGet {
-		return fmt.Errorf("%s: this is no control process", rs.Status)
+	if head.Code == nil && response.Request.Method != http.MethodGet {
+		return fmt.Errorf("%s: this is no control process", response.Status)
 	}
 	return json.Unmarshal(b, out)
 }
 
-// Do puts a query to the control processes in turn until one replies. A change
+// Call puts a query to the control processes in turn until one replies. A change
 // goes to the next only when the one before it was never reached: after that,
 // whether it took effect is for the operator to read.
-func (c Client) Do(ctx context.Context, method, path string, in, out any) error {
+func (c Client) Call(ctx context.Context, method, path string, in, out any) error {
 	if len(c.Addresses) == 0 {
 		return errors.New("no control process is named (STONEFORD_CONTROL or --control)")
 	}
 	var all []error
 	for _, a := range c.Addresses {
-		err := c.one(ctx, a, method, path, in, out)
+		err := c.callOne(ctx, a, method, path, in, out)
 		if err == nil {
 			return nil
 		}
@@ -77,30 +77,30 @@
 
 type dialError struct{ error }
 
-func (c Client) one(ctx context.Context, addr, method, path string, in, out any) error {
-	ctx, stop := context.WithTimeout(ctx, askTime)
+func (c Client) callOne(ctx context.Context, address, method, path string, in, out any) error {
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	var b []byte
+	var body []byte
 	if in != nil {
 		var err error
-		if b, err = json.Marshal(in); err != nil {
+		if body, err = json.Marshal(in); err != nil {
 			return err
 		}
 	}
-	rq, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(b))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	rq.Header.Set("Authorization", "Bearer "+c.Token)
-	rs, err := HTTP.Do(rq)
+	request.Header.Set("Authorization", "Bearer "+c.Token)
+	response, err := HTTP.Do(request)
 	if err != nil {
-		if dialed(err) {
+		if isDialError(err) {
 			return &dialError{err}
 		}
 		return err
 	}
-	defer rs.Body.Close()
-	return ReadReply(rs, out)
+	defer response.Body.Close()
+	return ReadReply(response, out)
 }
 
 // Configuration reads the partner's configuration; applied asks who works by which
@@ -111,7 +111,7 @@
 	if applied {
 		p += "?applied=1"
 	}
-	return r, c.Do(ctx, http.MethodGet, p, nil, &r)
+	return r, c.Call(ctx, http.MethodGet, p, nil, &r)
 }
 
 // Change sends a whole configuration or a merge patch based on a revision.
@@ -124,7 +124,7 @@
 	if dry {
 		p += "?dry_run=1"
 	}
-	return r, c.Do(ctx, m, p, control.ConfigurationBody{BasedOn: base, Configuration: configuration}, &r)
+	return r, c.Call(ctx, m, p, control.ConfigurationBody{BasedOn: base, Configuration: configuration}, &r)
 }
 
 // Status reads what a control process knows of the fleet.
@@ -134,15 +134,15 @@
 		Code result.Code `json:"code"`
 		Text string      `json:"text"`
 	}
-	err := c.Do(ctx, http.MethodGet, "/v1/status", nil, &s)
+	err := c.Call(ctx, http.MethodGet, "/v1/status", nil, &s)
 	if err == nil && s.Code != result.OK {
 		err = fmt.Errorf("%d %s", s.Code, s.Text)
 	}
 	return s.Status, err
 }
 
-// Say types a sentence of the language.
-func (c Client) Say(ctx context.Context, text string) (control.SentenceReply, error) {
+// Run types a sentence of the language.
+func (c Client) Run(ctx context.Context, text string) (control.SentenceReply, error) {
 	var r control.SentenceReply
-	return r, c.Do(ctx, http.MethodPost, "/v1/say", map[string]string{"text": text}, &r)
+	return r, c.Call(ctx, http.MethodPost, "/v1/say", map[string]string{"text": text}, &r)
 }
--- a/operators/dial.go
+++ b/operators/dial.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// dialed says that the other side was never reached.
-func dialed(err error) bool {
+// isDialError says that the other side was never reached.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/paxos/ballot.go
+++ b/paxos/ballot.go
@@ -2,22 +2,22 @@
 
 import "stoneford/schema"
 
-// Less orders ballots: by membership, then by round, then by proposer. A nil
+// BallotLess orders ballots: by membership, then by round, then by proposer. A nil
 // ballot is below all others.
-func Less(a, b *schema.Ballot) bool {
+func BallotLess(a, b *schema.Ballot) bool {
 	switch {
 	case a.GetMembership() != b.GetMembership():
 		return a.GetMembership() < b.GetMembership()
-	case a.GetRound() != b.GetRound():
-		return a.GetRound() < b.GetRound()
+	case a.GetNumber() != b.GetNumber():
+		return a.GetNumber() < b.GetNumber()
 	default:
 		return a.GetProposer() < b.GetProposer()
 	}
 }
 
-// Same reports whether two ballots are one.
-func Same(a, b *schema.Ballot) bool { return !Less(a, b) && !Less(b, a) }
+// BallotEqual reports whether two ballots are one.
+func BallotEqual(a, b *schema.Ballot) bool { return !BallotLess(a, b) && !BallotLess(b, a) }
 
-func copyBallot(b *schema.Ballot) *schema.Ballot {
-	return &schema.Ballot{Membership: b.GetMembership(), Round: b.GetRound(), Proposer: b.GetProposer()}
+func cloneBallot(b *schema.Ballot) *schema.Ballot {
+	return &schema.Ballot{Membership: b.GetMembership(), Number: b.GetNumber(), Proposer: b.GetProposer()}
 }
--- a/paxos/example_test.go
+++ b/paxos/example_test.go
@@ -13,23 +13,23 @@
 	names := []string{"a", "b", "c"}
 	acceptors := map[string]*paxos.Acceptor{}
 	for i, n := range names {
-		acceptors[n] = paxos.NewAcceptor(n, uint64(i+1), paxos.Place{}, names)
+		acceptors[n] = paxos.NewAcceptor(n, uint64(i+1), paxos.Location{}, names)
 	}
 	p := paxos.NewProposer("a", "1", names)
 	var queue []step.Send
 	var ended []paxos.Outcome
-	proposed := func(fx paxos.ProposerEffects) {
-		queue, ended = append(queue, fx.Send...), append(ended, fx.Outcomes...)
+	proposed := func(effects paxos.ProposerEffects) {
+		queue, ended = append(queue, effects.Send...), append(ended, effects.Outcomes...)
 	}
 	run := func() {
 		for len(queue) > 0 {
 			s := queue[0]
 			queue = queue[1:]
-			if paxos.IsForProposer(s.Env) && s.To == "a" {
-				proposed(p.Step(1, s.Env))
+			if paxos.IsForProposer(s.Envelope) && s.To == "a" {
+				proposed(p.Step(1, s.Envelope))
 			}
-			if paxos.IsForAcceptor(s.Env) {
-				queue = append(queue, acceptors[s.To].Step(1, s.Env).Send...)
+			if paxos.IsForAcceptor(s.Envelope) {
+				queue = append(queue, acceptors[s.To].Step(1, s.Envelope).Send...)
 			}
 		}
 	}
@@ -40,12 +40,12 @@
 		run()
 	}
 	p.SetMembership(1, acceptors["a"].Membership())
-	proposed(p.Ask(1, paxos.Change{Name: "first", Key: "colour", Data: []byte("green"), Deadline: 1_000_000}))
+	proposed(p.Propose(1, paxos.Change{ID: "first", Key: "colour", Data: []byte("green"), Deadline: 1_000_000}))
 	run()
-	proposed(p.Ask(1, paxos.Change{Name: "late", Key: "colour", Base: 0, Data: []byte("red"), Deadline: 1_000_000}))
+	proposed(p.Propose(1, paxos.Change{ID: "late", Key: "colour", BaseRevision: 0, Data: []byte("red"), Deadline: 1_000_000}))
 	run()
 	for _, o := range ended {
-		fmt.Println(o.Change.Name, o.Verdict == paxos.Agreed, o.Value.Revision, string(o.Value.Data))
+		fmt.Println(o.Change.ID, o.Verdict == paxos.Committed, o.Value.Revision, string(o.Value.Data))
 	}
 	// Output:
 	// first true 1 green
