--- a/paxos/exhaustive_test.go
+++ b/paxos/exhaustive_test.go
@@ -28,25 +28,25 @@
 	modelFounders = paxos.Membership{Number: 1, Voters: map[string]uint64{"a": 1, "b": 2, "c": 3}}
 )
 
-// modelLocal is one acceptor: its disk, and what it has in memory only.
-type modelLocal struct {
+// modelAcceptor is one acceptor: its disk, and what it has in memory only.
+type modelAcceptor struct {
 	disk      string // snapshot
 	responses string // ids of state responses, two bytes each
 }
 
 // modelState is all acceptors and all that was sent, by ids.
 type modelState struct {
-	local [5]uint16
-	lost  uint8
-	sent  []uint16 // in order
+	acceptors [5]uint16
+	lostDisks uint8
+	sent      []uint16 // in order
 }
 
 func (s modelState) key() string {
 	b := make([]byte, 0, 11+2*len(s.sent))
-	for _, l := range s.local {
+	for _, l := range s.acceptors {
 		b = binary.BigEndian.AppendUint16(b, l)
 	}
-	b = append(b, s.lost)
+	b = append(b, s.lostDisks)
 	for _, m := range s.sent {
 		b = binary.BigEndian.AppendUint16(b, m)
 	}
@@ -69,29 +69,29 @@
 	next  modelState
 }
 
-// arrival is one acceptor's step on one envelope; each is computed once.
-type arrival struct {
-	local uint16
-	name  int
-	text  string
+// modelDelivery is one acceptor's step on one envelope; each is computed once.
+type modelDelivery struct {
+	acceptor uint16
+	name     int
+	envelope string
 }
 
 type modelResult struct {
-	local uint16
-	sent  []uint16
+	acceptor uint16
+	sent     []uint16
 }
 
 // smallModel holds what states refer to by id.
 type smallModel struct {
-	locals   []modelLocal
-	localIDs map[modelLocal]uint16
-	sends    []*schema.Envelope
-	sendIDs  map[string]uint16
-	results  map[arrival]modelResult
-	views    map[view]*paxos.Acceptor
-	losses   uint8
-	planted  fault
-	fail     string
+	acceptors   []modelAcceptor
+	acceptorIDs map[modelAcceptor]uint16
+	sends       []*schema.Envelope
+	sendIDs     map[string]uint16
+	results     map[modelDelivery]modelResult
+	views       map[view]*paxos.Acceptor
+	losses      uint8
+	mutation    mutation
+	failure     string
 }
 
 // view is an acceptor to look at only.
@@ -100,8 +100,8 @@
 	local uint16
 }
 
-func newSmallModel(losses uint8, planted fault) *smallModel {
-	return &smallModel{localIDs: map[modelLocal]uint16{}, sendIDs: map[string]uint16{}, results: map[arrival]modelResult{}, views: map[view]*paxos.Acceptor{}, losses: losses, planted: planted}
+func newSmallModel(losses uint8, mutation mutation) *smallModel {
+	return &smallModel{acceptorIDs: map[modelAcceptor]uint16{}, sendIDs: map[string]uint16{}, results: map[modelDelivery]modelResult{}, views: map[view]*paxos.Acceptor{}, losses: losses, mutation: mutation}
 }
 
 func encoded(m proto.Message) string {
@@ -112,11 +112,11 @@
 	return string(b)
 }
 
-func (m *smallModel) local(l modelLocal) uint16 {
-	id, ok := m.localIDs[l]
+func (m *smallModel) acceptorID(l modelAcceptor) uint16 {
+	id, ok := m.acceptorIDs[l]
 	if !ok {
-		id = uint16(len(m.locals))
-		m.locals, m.localIDs[l] = append(m.locals, l), id
+		id = uint16(len(m.acceptors))
+		m.acceptors, m.acceptorIDs[l] = append(m.acceptors, l), id
 	}
 	return id
 }
@@ -131,14 +131,14 @@
 	return id
 }
 
-// acceptor is a clone to step.
-func (m *smallModel) acceptor(name int, id uint16) *paxos.Acceptor {
-	l := m.locals[id]
-	disk := &schema.VoterLog{}
+// newAcceptor is a clone to step.
+func (m *smallModel) newAcceptor(name int, id uint16) *paxos.Acceptor {
+	l := m.acceptors[id]
+	disk := &schema.WALEntry{}
 	if err := proto.Unmarshal([]byte(l.disk), disk); err != nil {
 		panic(err)
 	}
-	a := paxos.NewAcceptor(modelNames[name], disk.Life, paxos.Place{}, nil)
+	a := paxos.NewAcceptor(modelNames[name], disk.DiskId, paxos.Location{}, nil)
 	a.Restore(disk)
 	for i := 0; i < len(l.responses); i += 2 {
 		a.Step(0, proto.Clone(m.sends[binary.BigEndian.Uint16([]byte(l.responses[i:]))]).(*schema.Envelope))
@@ -146,78 +146,78 @@
 	return a
 }
 
-// see is an acceptor to look at, not to step.
-func (m *smallModel) see(name int, id uint16) *paxos.Acceptor {
+// readOnlyAcceptor is an acceptor to look at, not to step.
+func (m *smallModel) readOnlyAcceptor(name int, id uint16) *paxos.Acceptor {
 	a, ok := m.views[view{name, id}]
 	if !ok {
-		a = m.acceptor(name, id)
+		a = m.newAcceptor(name, id)
 		m.views[view{name, id}] = a
 	}
 	return a
 }
 
-// arrive has an envelope arrive at an acceptor; it hands back its new state and
+// deliver has an envelope arrive at an acceptor; it hands back its new state and
 // what it sends that matters here.
-func (m *smallModel) arrive(name int, id uint16, e *schema.Envelope) modelResult {
-	at := arrival{id, name, encoded(e)}
+func (m *smallModel) deliver(name int, id uint16, e *schema.Envelope) modelResult {
+	at := modelDelivery{id, name, encoded(e)}
 	if r, ok := m.results[at]; ok {
 		return r
 	}
-	a := m.acceptor(name, id)
+	a := m.newAcceptor(name, id)
 	before := a.Membership().Number
-	fx := a.Step(0, proto.Clone(e).(*schema.Envelope))
-	l := modelLocal{disk: encoded(a.Snapshot()), responses: m.locals[id].responses}
+	effects := a.Step(0, proto.Clone(e).(*schema.Envelope))
+	l := modelAcceptor{disk: encoded(a.Snapshot()), responses: m.acceptors[id].responses}
 	switch {
-	case a.Membership().Number != before || a.Active() == a.Membership().Number:
+	case a.Membership().Number != before || a.ActiveMembership() == a.Membership().Number:
 		l.responses = ""
 	case e.GetStateResponse() != nil && e.GetStateResponse().Membership == a.Membership().Number:
 		l.responses += string(binary.BigEndian.AppendUint16(nil, m.send(e)))
 	}
-	r := modelResult{local: m.local(l)}
-	for _, s := range fx.Send {
-		if s.Env.GetPromise().GetGiven() || s.Env.GetAccepted().GetGiven() || s.Env.GetStateResponse() != nil {
-			r.sent = append(r.sent, m.send(s.Env))
+	r := modelResult{acceptor: m.acceptorID(l)}
+	for _, s := range effects.Send {
+		if s.Envelope.GetPromise().GetGranted() || s.Envelope.GetAccepted().GetGranted() || s.Envelope.GetStateResponse() != nil {
+			r.sent = append(r.sent, m.send(s.Envelope))
 		}
 	}
 	m.results[at] = r
 	return r
 }
 
-// began is a state in which a, b and c vote and nothing was ever proposed.
-func (m *smallModel) began() modelState {
+// initialState is a state in which a, b and c vote and nothing was ever proposed.
+func (m *smallModel) initialState() modelState {
 	var s modelState
 	for i, name := range modelNames {
-		a := paxos.NewAcceptor(name, uint64(i+1), paxos.Place{}, nil)
-		a.Adopt(modelFounders)
-		s.local[i] = m.local(modelLocal{disk: encoded(a.Snapshot())})
+		a := paxos.NewAcceptor(name, uint64(i+1), paxos.Location{}, nil)
+		a.AdoptMembership(modelFounders)
+		s.acceptors[i] = m.acceptorID(modelAcceptor{disk: encoded(a.Snapshot())})
 	}
 	return s
 }
 
-// choice is what a ballot of a proposer is about.
-type choice struct {
-	key   string
-	name  string // of the change
-	round uint64
+// proposal is what a ballot of a proposer is about.
+type proposal struct {
+	key    string
+	name   string // of the change
+	number uint64
 }
 
-var modelChoices = []choice{{"k", "x", 1}, {"k", "y", 2}, {paxos.MembershipKey, "d for c", 1}, {paxos.MembershipKey, "e for b", 2}, {paxos.MembershipKey, "new disk", 3}}
+var modelProposals = []proposal{{"k", "x", 1}, {"k", "y", 2}, {paxos.MembershipKey, "d for c", 1}, {paxos.MembershipKey, "e for b", 2}, {paxos.MembershipKey, "new disk", 3}}
 
-func (c choice) ballot(membership uint64) *schema.Ballot {
-	return &schema.Ballot{Membership: membership, Round: c.round, Proposer: c.name}
+func (c proposal) ballot(membership uint64) *schema.Ballot {
+	return &schema.Ballot{Membership: membership, Number: c.number, Proposer: c.name}
 }
 
 // wanted is the value that a choice puts forward, nil for none.
-func (m *smallModel) wanted(s modelState, c choice, current paxos.Membership) *schema.Value {
+func (m *smallModel) wanted(s modelState, c proposal, current paxos.Membership) *schema.Value {
 	if c.key == "k" {
-		return &schema.Value{Revision: 1, Changes: []string{c.name}, Data: []byte(c.name)}
+		return &schema.Value{Revision: 1, ChangeIds: []string{c.name}, Data: []byte(c.name)}
 	}
 	voters := maps.Clone(current.Voters)
 	switch c.name {
 	case "new disk":
 		for i, name := range modelNames {
-			if life := m.see(i, s.local[i]).Life(); voters[name] != 0 && voters[name] != life {
-				voters[name] = life
+			if diskID := m.readOnlyAcceptor(i, s.acceptors[i]).DiskID(); voters[name] != 0 && voters[name] != diskID {
+				voters[name] = diskID
 			}
 		}
 	default:
@@ -227,13 +227,13 @@
 		}
 		delete(voters, out)
 		i := slices.Index(modelNames, in)
-		voters[in] = m.see(i, s.local[i]).Life()
+		voters[in] = m.readOnlyAcceptor(i, s.acceptors[i]).DiskID()
 	}
 	if maps.Equal(voters, current.Voters) {
 		return nil
 	}
 	next := current.Next(voters)
-	return &schema.Value{Revision: next.Number, Changes: []string{c.name}, Data: next.Encode()}
+	return &schema.Value{Revision: next.Number, ChangeIds: []string{c.name}, Data: next.Encode()}
 }
 
 // seen is what the envelopes of a state say was chosen.
@@ -243,11 +243,11 @@
 	ballots     []*schema.Accept  // chosen ones
 }
 
-// look finds what was chosen, and checks that no revision has two values.
-func (m *smallModel) look(s modelState) seen {
+// findChosen finds what was chosen, and checks that no revision has two values.
+func (m *smallModel) findChosen(s modelState) seen {
 	v := seen{memberships: map[uint64]paxos.Membership{1: modelFounders}, values: map[string]string{}}
-	for again := true; again; {
-		again = false
+	for changed := true; changed; {
+		changed = false
 		for _, id := range s.sent {
 			accept := m.sends[id].GetAccept()
 			if accept == nil || slices.Contains(v.ballots, accept) || !m.chosen(s, v, accept) {
@@ -257,12 +257,12 @@
 			m.isChosen(v, accept.Key, accept.Value)
 			if next, err := paxos.DecodeMembership(accept.Value.Data); accept.Key == paxos.MembershipKey && err == nil {
 				v.memberships[next.Number] = next
-				again = true
+				changed = true
 			}
 		}
 	}
 	for _, id := range s.sent {
-		if l := m.sends[id].GetNews(); l != nil { // what a learner took for chosen
+		if l := m.sends[id].GetRegisterUpdate(); l != nil { // what a learner took for chosen
 			m.isChosen(v, l.Registers[0].Key, l.Registers[0].Value)
 		}
 	}
@@ -271,8 +271,8 @@
 
 func (m *smallModel) isChosen(v seen, key string, value *schema.Value) {
 	k := fmt.Sprint(key, value.Revision)
-	if was, ok := v.values[k]; ok && was != string(value.Data) {
-		m.fail = fmt.Sprintf("%s revision %d is both %q and %q", key, value.Revision, was, value.Data)
+	if previous, ok := v.values[k]; ok && previous != string(value.Data) {
+		m.failure = fmt.Sprintf("%s revision %d is both %q and %q", key, value.Revision, previous, value.Data)
 	}
 	v.values[k] = string(value.Data)
 }
@@ -286,24 +286,24 @@
 	n := 0
 	for _, id := range s.sent {
 		e := m.sends[id]
-		if a := e.GetAccepted(); a != nil && a.Key == accept.Key && paxos.Same(a.Promised, accept.Ballot) && voters.Has(e.From, a.Life) {
+		if a := e.GetAccepted(); a != nil && a.Key == accept.Key && paxos.BallotEqual(a.Promised, accept.Ballot) && voters.HasVoter(e.From, a.DiskId) {
 			n++
 		}
 	}
 	return n >= voters.Quorum()
 }
 
-// checkHolds checks that whoever votes holds what was chosen under earlier
+// checkVotersHoldChosen checks that whoever votes holds what was chosen under earlier
 // memberships.
-func (m *smallModel) checkHolds(s modelState, v seen) {
+func (m *smallModel) checkVotersHoldChosen(s modelState, v seen) {
 	for i, name := range modelNames {
-		a := m.see(i, s.local[i])
+		a := m.readOnlyAcceptor(i, s.acceptors[i])
 		for _, accept := range v.ballots {
-			if accept.Key != "k" || accept.Ballot.Membership >= a.Active() {
+			if accept.Key != "k" || accept.Ballot.Membership >= a.ActiveMembership() {
 				continue
 			}
-			if c := a.Cell("k"); c == nil || paxos.Less(c.Accepted, accept.Ballot) {
-				m.fail = fmt.Sprintf("%s votes under %d without %q of %d", name, a.Active(), accept.Value.Data, accept.Ballot.Membership)
+			if c := a.RegisterState("k"); c == nil || paxos.BallotLess(c.Accepted, accept.Ballot) {
+				m.failure = fmt.Sprintf("%s votes under %d without %q of %d", name, a.ActiveMembership(), accept.Value.Data, accept.Ballot.Membership)
 			}
 		}
 	}
@@ -313,19 +313,19 @@
 func (m *smallModel) moves(s modelState) []modelMove {
 	var out []modelMove
 	add := func(label string, next modelState) { out = append(out, modelMove{label, next}) }
-	v := m.look(s)
-	m.checkHolds(s, v)
+	v := m.findChosen(s)
+	m.checkVotersHoldChosen(s, v)
 	step := func(label string, i int, e *schema.Envelope) {
-		r := m.arrive(i, s.local[i], e)
+		r := m.deliver(i, s.acceptors[i], e)
 		next := s.with(r.sent...)
-		next.local[i] = r.local
-		if next.local != s.local || len(next.sent) != len(s.sent) {
+		next.acceptors[i] = r.acceptor
+		if next.acceptors != s.acceptors || len(next.sent) != len(s.sent) {
 			add(modelNames[i]+" "+label, next)
 		}
 	}
 	for _, number := range slices.Sorted(maps.Keys(v.memberships)) {
 		current := v.memberships[number]
-		for _, c := range modelChoices {
+		for _, c := range modelProposals {
 			want := m.wanted(s, c, current)
 			if want == nil {
 				continue
@@ -338,7 +338,7 @@
 				// something; who copies the answer is another step.
 				asker := slices.Sorted(maps.Keys(current.Previous))[0]
 				step(fmt.Sprint("learns ", number), i, &schema.Envelope{From: asker, Body: &schema.Envelope_StateRequest{
-					StateRequest: &schema.StateRequest{Membership: current.Message(), Life: current.Previous[asker]}}})
+					StateRequest: &schema.StateRequest{Membership: current.Proto(), DiskId: current.Previous[asker]}}})
 			}
 		}
 	}
@@ -349,43 +349,43 @@
 				step(fmt.Sprintf("accepts %s@%d", e.GetAccept().Ballot.Proposer, e.GetAccept().Ballot.Membership), i, e)
 			}
 			if e.GetStateResponse() != nil && e.From != modelNames[i] {
-				step("copies "+e.From, i, m.plantResponse(e))
+				step("copies "+e.From, i, m.mutateResponse(e))
 			}
 		}
 	}
 	m.restarts(s, add)
-	if m.planted == earlierCounted {
-		m.learn(s, v, add)
+	if m.mutation == earlierCounted {
+		m.learnMutation(s, v, add)
 	}
 	return out
 }
 
-// plantResponse has one voter's word for what was held before be enough.
-func (m *smallModel) plantResponse(e *schema.Envelope) *schema.Envelope {
-	if m.planted != emptyNewcomerVotes {
+// mutateResponse has one voter's word for what was held before be enough.
+func (m *smallModel) mutateResponse(e *schema.Envelope) *schema.Envelope {
+	if m.mutation != emptyNewcomerAccepts {
 		return e
 	}
 	e = proto.Clone(e).(*schema.Envelope)
-	e.GetStateResponse().Active = e.GetStateResponse().Membership
+	e.GetStateResponse().ActiveMembership = e.GetStateResponse().Membership
 	return e
 }
 
 // proposals are the steps of one ballot.
-func (m *smallModel) proposals(s modelState, c choice, current paxos.Membership, want *schema.Value, step func(string, int, *schema.Envelope), add func(string, modelState)) {
+func (m *smallModel) proposals(s modelState, c proposal, current paxos.Membership, want *schema.Value, step func(string, int, *schema.Envelope), add func(string, modelState)) {
 	ballot := c.ballot(current.Number)
 	var promises []*schema.Envelope
 	for i, name := range modelNames {
-		if current.Has(name, m.see(i, s.local[i]).Life()) {
+		if current.HasVoter(name, m.readOnlyAcceptor(i, s.acceptors[i]).DiskID()) {
 			step(fmt.Sprintf("promises %s@%d", c.name, current.Number), i, &schema.Envelope{From: "p", Body: &schema.Envelope_Prepare{
 				Prepare: &schema.Prepare{Key: c.key, Ballot: ballot, Membership: current.Number}}})
 		}
 	}
 	for _, id := range s.sent {
 		e := m.sends[id]
-		if a := e.GetAccept(); a != nil && a.Key == c.key && paxos.Same(a.Ballot, ballot) {
+		if a := e.GetAccept(); a != nil && a.Key == c.key && paxos.BallotEqual(a.Ballot, ballot) {
 			return // a ballot has one value
 		}
-		if p := e.GetPromise(); p != nil && p.Key == c.key && paxos.Same(p.Promised, ballot) && current.Has(e.From, p.Life) {
+		if p := e.GetPromise(); p != nil && p.Key == c.key && paxos.BallotEqual(p.Promised, ballot) && current.HasVoter(e.From, p.DiskId) {
 			promises = append(promises, e)
 		}
 	}
@@ -395,7 +395,7 @@
 		for i, e := range promises {
 			if set&(1<<i) != 0 {
 				n++
-				if p := e.GetPromise(); newest == nil || paxos.Less(newest.Accepted, p.Accepted) {
+				if p := e.GetPromise(); newest == nil || paxos.BallotLess(newest.Accepted, p.Accepted) {
 					newest = p
 				}
 			}
@@ -416,51 +416,51 @@
 // voters that lose their disks.
 func (m *smallModel) restarts(s modelState, add func(string, modelState)) {
 	for i, name := range modelNames {
-		l := m.locals[s.local[i]]
+		l := m.acceptors[s.acceptors[i]]
 		if l.responses != "" {
 			next := s
-			next.local[i] = m.local(modelLocal{disk: l.disk})
+			next.acceptors[i] = m.acceptorID(modelAcceptor{disk: l.disk})
 			add(name+" restarts", next)
 		}
-		if m.planted == adoptionNotSynced || m.planted == stopNotSynced {
-			m.forget(s, i, add)
+		if m.mutation == adoptionNotSynced || m.mutation == stopNotSynced {
+			m.forgetMutation(s, i, add)
 		}
-		if s.lost < m.losses && i < 3 {
+		if s.lostDisks < m.losses && i < 3 {
 			next := s
-			next.lost++
-			a := paxos.NewAcceptor(name, uint64(10+i), paxos.Place{}, nil)
-			next.local[i] = m.local(modelLocal{disk: encoded(a.Snapshot())})
+			next.lostDisks++
+			a := paxos.NewAcceptor(name, uint64(10+i), paxos.Location{}, nil)
+			next.acceptors[i] = m.acceptorID(modelAcceptor{disk: encoded(a.Snapshot())})
 			add(name+" loses its disk", next)
 		}
 	}
 }
 
-// forget is the plant of a voter that restarts without the membership that it
+// forgetMutation is the plant of a voter that restarts without the membership that it
 // adopted and, with one of the plants, without the successor that it accepted.
-func (m *smallModel) forget(s modelState, i int, add func(string, modelState)) {
-	disk := m.see(i, s.local[i]).Snapshot()
-	if disk.Active != 1 || disk.Membership.Number != 2 {
+func (m *smallModel) forgetMutation(s modelState, i int, add func(string, modelState)) {
+	disk := m.readOnlyAcceptor(i, s.acceptors[i]).Snapshot()
+	if disk.ActiveMembership != 1 || disk.Membership.Number != 2 {
 		return
 	}
-	disk.Membership = modelFounders.Message()
-	if m.planted == stopNotSynced {
-		disk.Cells = slices.DeleteFunc(disk.Cells, func(c *schema.Cell) bool { return c.Key == paxos.MembershipKey })
+	disk.Membership = modelFounders.Proto()
+	if m.mutation == stopNotSynced {
+		disk.Registers = slices.DeleteFunc(disk.Registers, func(c *schema.RegisterState) bool { return c.Key == paxos.MembershipKey })
 	}
 	next := s
-	next.local[i] = m.local(modelLocal{disk: encoded(disk)})
+	next.acceptors[i] = m.acceptorID(modelAcceptor{disk: encoded(disk)})
 	add(modelNames[i]+" forgets", next)
 }
 
-// learn is the plant of a learner that counts what was accepted before.
-func (m *smallModel) learn(s modelState, v seen, add func(string, modelState)) {
+// learnMutation is the plant of a learner that counts what was accepted before.
+func (m *smallModel) learnMutation(s modelState, v seen, add func(string, modelState)) {
 	for _, current := range v.memberships {
 		by := map[string]int{}
 		for i, name := range modelNames {
-			a := m.see(i, s.local[i])
-			if c := a.Cell("k"); c != nil && a.Active() == current.Number && current.Has(name, a.Life()) {
+			a := m.readOnlyAcceptor(i, s.acceptors[i])
+			if c := a.RegisterState("k"); c != nil && a.ActiveMembership() == current.Number && current.HasVoter(name, a.DiskID()) {
 				k := c.Accepted.String()
 				if by[k]++; by[k] == current.Quorum() {
-					add("learnt", s.with(m.send(&schema.Envelope{Body: &schema.Envelope_News{News: &schema.News{Registers: []*schema.Register{{Key: "k", Value: c.Value}}}}})))
+					add("learnt", s.with(m.send(&schema.Envelope{Body: &schema.Envelope_RegisterUpdate{RegisterUpdate: &schema.RegisterUpdate{Registers: []*schema.Register{{Key: "k", Value: c.Value}}}}})))
 				}
 			}
 		}
@@ -487,7 +487,7 @@
 
 // exhaust goes through every interleaving from a state, to a depth or until a
 // check fails or the time is up; it hands back how many states it met, by depth.
-func (m *smallModel) exhaust(s modelState, depth int, until time.Time) (counts []int, whole bool) {
+func (m *smallModel) exhaust(s modelState, depth int, until time.Time) (counts []int, complete bool) {
 	met := map[string]bool{s.key(): true}
 	layer := []modelState{s}
 	for range depth {
@@ -499,7 +499,7 @@
 					next = append(next, move.next)
 				}
 			}
-			if m.fail != "" {
+			if m.failure != "" {
 				return append(counts, len(next)), true
 			}
 			if time.Now().After(until) {
@@ -510,17 +510,17 @@
 		layer = next
 	}
 	for _, s := range layer {
-		m.checkHolds(s, m.look(s))
+		m.checkVotersHoldChosen(s, m.findChosen(s))
 	}
 	return counts, true
 }
 
-func words(s string) []string { return strings.Split(strings.TrimSpace(s), "; ") }
+func splitLabels(s string) []string { return strings.Split(strings.TrimSpace(s), "; ") }
 
 const (
-	xChosen    = "a promises x@1; b promises x@1; x@1 is put to the vote; a accepts x@1; b accepts x@1"
-	dForCAsked = "a promises d for c@1; b promises d for c@1; d for c@1 is put to the vote"
-	dForC      = dForCAsked + "; a accepts d for c@1; b accepts d for c@1"
+	chooseX      = "a promises x@1; b promises x@1; x@1 is put to the vote; a accepts x@1; b accepts x@1"
+	proposeDForC = "a promises d for c@1; b promises d for c@1; d for c@1 is put to the vote"
+	acceptDForC  = proposeDForC + "; a accepts d for c@1; b accepts d for c@1"
 )
 
 // TestEveryInterleaving: from each of these beginnings, whatever comes next in
@@ -536,36 +536,36 @@
 	}{
 		{"nothing proposed", "", 7, 1},
 		{"one accepted x", "a promises x@1; b promises x@1; x@1 is put to the vote; b accepts x@1", 7, 1},
-		{"x is chosen, a successor accepted by one", xChosen + "; " + dForCAsked + "; a accepts d for c@1", 6, 1},
-		{"x and a successor are chosen", xChosen + "; " + dForC, 7, 1},
-		{"a votes under the successor", xChosen + "; " + dForC + "; b learns 2; a learns 2; a copies b", 6, 1},
+		{"x is chosen, a successor accepted by one", chooseX + "; " + proposeDForC + "; a accepts d for c@1", 6, 1},
+		{"x and a successor are chosen", chooseX + "; " + acceptDForC, 7, 1},
+		{"a votes under the successor", chooseX + "; " + acceptDForC + "; b learns 2; a learns 2; a copies b", 6, 1},
 	} {
-		m := newSmallModel(c.losses, soundFleet)
-		s := m.began()
+		m := newSmallModel(c.losses, noMutation)
+		s := m.initialState()
 		if c.before != "" {
-			s = m.follow(t, s, words(c.before)...)
+			s = m.follow(t, s, splitLabels(c.before)...)
 		}
 		depth := c.depth
 		if slower > 1 || testing.Short() {
 			depth -= 2
 		}
-		began := time.Now()
-		counts, _ := m.exhaust(s, depth, began.Add(5*time.Minute))
+		startedAt := time.Now()
+		counts, _ := m.exhaust(s, depth, startedAt.Add(5*time.Minute))
 		for _, n := range counts {
 			total += n
 		}
-		t.Logf("%s: depth %d, states by depth %v, %d states of an acceptor, %d envelopes, %v", c.name, depth, counts, len(m.locals), len(m.sends), time.Since(began).Round(time.Millisecond))
-		if m.fail != "" {
-			t.Errorf("%s: %s", c.name, m.fail)
+		t.Logf("%s: depth %d, states by depth %v, %d states of an acceptor, %d envelopes, %v", c.name, depth, counts, len(m.acceptors), len(m.sends), time.Since(startedAt).Round(time.Millisecond))
+		if m.failure != "" {
+			t.Errorf("%s: %s", c.name, m.failure)
 		}
 	}
 	t.Logf("%d states", total)
 }
 
-// TestPlantedFaultsInEveryInterleaving: the same checks fail for these faults, and
+// TestMutationsInEveryInterleaving: the same checks fail for these faults, and
 // for none of them in the same place without it. A voter that forgets only the
 // membership that it adopted does no harm, as it is sealed still.
-func TestPlantedFaultsInEveryInterleaving(t *testing.T) {
+func TestMutationsInEveryInterleaving(t *testing.T) {
 	if slower > 1 {
 		t.Skip("the race detector has nothing to see here")
 	}
@@ -576,24 +576,24 @@
 		rivals        = "a promises x@1; b promises x@1; x@1 is put to the vote; a accepts x@1; b promises y@1; c promises y@1; y@1 is put to the vote; c accepts y@1"
 	)
 	for _, c := range []struct {
-		planted fault
-		before  string
-		depth   int
-		red     bool
+		mutation mutation
+		before   string
+		depth    int
+		red      bool
 	}{
-		{emptyNewcomerVotes, xChosen + "; " + eForB, 4, true},
+		{emptyNewcomerAccepts, chooseX + "; " + eForB, 4, true},
 		{stopNotSynced, dForCWithoutB + "; c learns 2; a learns 2; d learns 2; a copies c; d copies a; d copies c; " + xUnderSecond, 6, true},
 		{adoptionNotSynced, dForCWithoutB + "; c learns 2; a learns 2; d learns 2; a copies c; d copies a; d copies c; " + xUnderSecond, 6, false},
-		{earlierCounted, rivals + "; " + dForC + "; a learns 2; b learns 2; c learns 2; d learns 2; d copies a; d copies b; a copies b; b copies c", 6, true},
+		{earlierCounted, rivals + "; " + acceptDForC + "; a learns 2; b learns 2; c learns 2; d learns 2; d copies a; d copies b; a copies b; b copies c", 6, true},
 	} {
-		for _, planted := range []fault{soundFleet, c.planted} {
-			m := newSmallModel(0, planted)
-			s := m.follow(t, m.began(), words(c.before)...)
-			began := time.Now()
-			counts, whole := m.exhaust(s, c.depth, began.Add(time.Minute))
-			t.Logf("%q planted where %q may show: depth %d, states by depth %v, %v: %q", planted, c.planted, c.depth, counts, time.Since(began).Round(time.Millisecond), m.fail)
-			if red := c.red && planted != soundFleet; !whole || (m.fail != "") != red {
-				t.Errorf("%q: red %v, wanted %v; whole %v", planted, m.fail != "", red, whole)
+		for _, mutation := range []mutation{noMutation, c.mutation} {
+			m := newSmallModel(0, mutation)
+			s := m.follow(t, m.initialState(), splitLabels(c.before)...)
+			startedAt := time.Now()
+			counts, complete := m.exhaust(s, c.depth, startedAt.Add(time.Minute))
+			t.Logf("%q planted where %q may show: depth %d, states by depth %v, %v: %q", mutation, c.mutation, c.depth, counts, time.Since(startedAt).Round(time.Millisecond), m.failure)
+			if red := c.red && mutation != noMutation; !complete || (m.failure != "") != red {
+				t.Errorf("%q: red %v, wanted %v; whole %v", mutation, m.failure != "", red, complete)
 			}
 		}
 	}
--- a/paxos/fleet_test.go
+++ b/paxos/fleet_test.go
@@ -13,25 +13,25 @@
 	"stoneford/step"
 )
 
-// flight is an envelope under way. Any of those under way may be the next to
+// delivery is an envelope under way. Any of those under way may be the next to
 // arrive, arrive twice, or never.
-type flight struct {
-	to  string
-	env *schema.Envelope
+type delivery struct {
+	to       string
+	envelope *schema.Envelope
 }
 
-// fault is what a test plants into the harness around the cores.
-type fault string
+// mutation is what a test plants into the harness around the cores.
+type mutation string
 
 const (
-	soundFleet         fault = ""
-	emptyNewcomerVotes fault = "a newcomer votes before it holds everything"
-	removedVoterCounts fault = "a removed voter's word counts"
-	unchosenAdopted    fault = "a change adopted without being chosen"
-	sealingNotSynced   fault = "the sealing is not synced"
-	adoptionNotSynced  fault = "the adopted membership is not synced"
-	stopNotSynced      fault = "neither the sealing nor the adopted membership is synced"
-	earlierCounted     fault = "values accepted under an earlier membership count as chosen"
+	noMutation           mutation = ""
+	emptyNewcomerAccepts mutation = "a newcomer votes before it holds everything"
+	removedVoterCounts   mutation = "a removed voter's word counts"
+	unchosenAdopted      mutation = "a change adopted without being chosen"
+	sealingNotSynced     mutation = "the sealing is not synced"
+	adoptionNotSynced    mutation = "the adopted membership is not synced"
+	stopNotSynced        mutation = "neither the sealing nor the adopted membership is synced"
+	earlierCounted       mutation = "values accepted under an earlier membership count as chosen"
 )
 
 // fleet is machines that come and go, under a scheduler that takes one small step
@@ -39,79 +39,79 @@
 // process restarts, with its disk or without; a machine is replaced for good by an
 // empty one elsewhere; a voter leaves in order; a proposer asks; links are cut.
 type fleet struct {
-	ledger
-	fault     fault
-	r         *rand.Rand
-	now       int64
-	size      int
-	founders  []string
-	processes map[string]*process
-	down      map[string]bool
-	left      []string // addresses whose machine is gone
-	named     int      // addresses given out
-	under     []flight
-	cuts      map[[2]string]bool
-	members   map[uint64]paxos.Membership // by number
-	checked   map[*process]uint64         // number of each process's, once checked
-	founded   bool                        // a voter took part in a choice
-	looks     map[string]map[string]*schema.Cell
-	changes   int
-	voted     map[*process]uint64          // newest membership that each is known to vote under
-	before    map[uint64]map[string]uint64 // what was agreed when the first began to vote, by membership
-	appeared  map[uint64]int64             // when a membership was first seen, by number
-	lost      map[uint64]int64             // when a disk was lost, by its identity
-	busy      int                          // steps that faults come more often for, after a change of the voters
-	counts    fleetCounts
+	history
+	mutation         mutation
+	random           *rand.Rand
+	now              int64
+	size             int
+	founders         []string
+	processes        map[string]*process
+	down             map[string]bool
+	removedAddresses []string // addresses whose machine is gone
+	addressCount     int      // addresses given out
+	inTransit        []delivery
+	partitions       map[[2]string]bool
+	members          map[uint64]paxos.Membership // by number
+	checked          map[*process]uint64         // number of each process's, once checked
+	founded          bool                        // a voter took part in a choice
+	observed         map[string]map[string]*schema.RegisterState
+	changes          int
+	votedUnder       map[*process]uint64          // newest membership that each is known to vote under
+	committedBefore  map[uint64]map[string]uint64 // what was agreed when the first began to vote, by membership
+	firstSeenAt      map[uint64]int64             // when a membership was first seen, by number
+	diskLostAt       map[uint64]int64             // when a disk was lost, by its identity
+	stormSteps       int                          // steps that faults come more often for, after a change of the voters
+	counts           fleetCounts
 }
 
 // fleetCounts is what happened in the runs.
 type fleetCounts struct {
-	disks, machines, leaves, restarts, blackouts, learned, rushes, beyond, turnovers int
-	memberships                                                                      uint64
-	ended                                                                            map[paxos.Verdict]int
+	disks, machines, drains, restarts, blackouts, learnedValues, rivalProposals, beyondBound, turnovers int
+	memberships                                                                                         uint64
+	outcomes                                                                                            map[paxos.Verdict]int
 }
 
 func (c *fleetCounts) add(o fleetCounts) {
-	c.disks, c.machines, c.leaves, c.restarts = c.disks+o.disks, c.machines+o.machines, c.leaves+o.leaves, c.restarts+o.restarts
-	c.blackouts, c.learned, c.beyond, c.turnovers = c.blackouts+o.blackouts, c.learned+o.learned, c.beyond+o.beyond, c.turnovers+o.turnovers
-	c.rushes += o.rushes
+	c.disks, c.machines, c.drains, c.restarts = c.disks+o.disks, c.machines+o.machines, c.drains+o.drains, c.restarts+o.restarts
+	c.blackouts, c.learnedValues, c.beyondBound, c.turnovers = c.blackouts+o.blackouts, c.learnedValues+o.learnedValues, c.beyondBound+o.beyondBound, c.turnovers+o.turnovers
+	c.rivalProposals += o.rivalProposals
 	c.memberships += o.memberships
-	for v, n := range o.ended {
-		c.ended[v] += n
+	for v, n := range o.outcomes {
+		c.outcomes[v] += n
 	}
 }
 
-func newFleet(seed uint64, size int, planted fault) *fleet {
-	f := &fleet{ledger: newLedger("x", "y"), fault: planted, r: rand.New(rand.NewPCG(seed, uint64(size))), now: 1_000_000, size: size,
-		processes: map[string]*process{}, down: map[string]bool{}, cuts: map[[2]string]bool{}, members: map[uint64]paxos.Membership{}, checked: map[*process]uint64{}, voted: map[*process]uint64{}, before: map[uint64]map[string]uint64{}, appeared: map[uint64]int64{}, lost: map[uint64]int64{},
-		looks: map[string]map[string]*schema.Cell{}, counts: fleetCounts{ended: map[paxos.Verdict]int{}}}
+func newFleet(seed uint64, size int, mutation mutation) *fleet {
+	f := &fleet{history: newHistory("x", "y"), mutation: mutation, random: rand.New(rand.NewPCG(seed, uint64(size))), now: 1_000_000, size: size,
+		processes: map[string]*process{}, down: map[string]bool{}, partitions: map[[2]string]bool{}, members: map[uint64]paxos.Membership{}, checked: map[*process]uint64{}, votedUnder: map[*process]uint64{}, committedBefore: map[uint64]map[string]uint64{}, firstSeenAt: map[uint64]int64{}, diskLostAt: map[uint64]int64{},
+		observed: map[string]map[string]*schema.RegisterState{}, counts: fleetCounts{outcomes: map[paxos.Verdict]int{}}}
 	for range size {
 		f.founders = append(f.founders, f.address())
 	}
 	for _, a := range f.founders {
-		f.machine(a)
+		f.addMachine(a)
 		f.start(a, f.founders)
 	}
 	return f
 }
 
 func (f *fleet) address() string {
-	f.named++
-	return fmt.Sprintf("m%02d", f.named)
+	f.addressCount++
+	return fmt.Sprintf("m%02d", f.addressCount)
 }
 
-// machine puts an empty machine at an address.
-func (f *fleet) machine(address string) {
-	p := &process{address: address, target: f.size, silence: 300_000}
-	p.beforeLog = f.beforeLog
+// addMachine puts an empty machine at an address.
+func (f *fleet) addMachine(address string) {
+	p := &process{address: address, target: f.size, replacementTimeout: 300_000}
+	p.mutateLog = f.mutateLog
 	f.processes[address] = p
-	f.left = slices.DeleteFunc(f.left, func(a string) bool { return a == address })
+	f.removedAddresses = slices.DeleteFunc(f.removedAddresses, func(a string) bool { return a == address })
 }
 
 func (f *fleet) start(address string, founders []string) {
-	f.processes[address].start(f.now, f.r, founders)
+	f.processes[address].start(f.now, f.random, founders)
 	delete(f.down, address)
-	delete(f.looks, address)
+	delete(f.observed, address)
 	delete(f.checked, f.processes[address])
 }
 
@@ -119,137 +119,137 @@
 // or at another.
 func (f *fleet) newcomer() {
 	address := f.address()
-	if len(f.left) > 0 && f.r.IntN(3) == 0 {
-		address = f.left[f.r.IntN(len(f.left))]
+	if len(f.removedAddresses) > 0 && f.random.IntN(3) == 0 {
+		address = f.removedAddresses[f.random.IntN(len(f.removedAddresses))]
 	}
-	f.machine(address)
+	f.addMachine(address)
 	f.start(address, nil)
 }
 
 func (f *fleet) addresses() []string { return slices.Sorted(maps.Keys(f.processes)) }
 
-func (f *fleet) any() string {
+func (f *fleet) anyAddress() string {
 	all := f.addresses()
-	return all[f.r.IntN(len(all))]
+	return all[f.random.IntN(len(all))]
 }
 
-// beforeLog plants entries that are lost on restart.
-func (f *fleet) beforeLog(_ *process, log []*schema.VoterLog) []*schema.VoterLog {
-	return slices.DeleteFunc(slices.Clone(log), func(l *schema.VoterLog) bool {
-		sealing := !l.Snapshot && len(l.Cells) == 1 && l.Cells[0].Key == paxos.MembershipKey
+// mutateLog plants entries that are lost on restart.
+func (f *fleet) mutateLog(_ *process, log []*schema.WALEntry) []*schema.WALEntry {
+	return slices.DeleteFunc(slices.Clone(log), func(l *schema.WALEntry) bool {
+		sealing := !l.Snapshot && len(l.Registers) == 1 && l.Registers[0].Key == paxos.MembershipKey
 		adopted := !l.Snapshot && l.Membership != nil
-		return sealing && (f.fault == sealingNotSynced || f.fault == stopNotSynced) ||
-			adopted && (f.fault == adoptionNotSynced || f.fault == stopNotSynced)
+		return sealing && (f.mutation == sealingNotSynced || f.mutation == stopNotSynced) ||
+			adopted && (f.mutation == adoptionNotSynced || f.mutation == stopNotSynced)
 	})
 }
 
-// unsynced reports whether snapshots would mend what the planted fault leaves out.
-func (f *fleet) unsynced() bool {
-	return f.fault == sealingNotSynced || f.fault == adoptionNotSynced || f.fault == stopNotSynced
+// omitsSync reports whether snapshots would mend what the planted fault leaves out.
+func (f *fleet) omitsSync() bool {
+	return f.mutation == sealingNotSynced || f.mutation == adoptionNotSynced || f.mutation == stopNotSynced
 }
 
 // flush takes what a process sends and tells, and checks it.
 func (f *fleet) flush(p *process) {
-	if len(p.disk) > 50 && f.r.IntN(20) == 0 && !f.unsynced() {
-		p.disk = []*schema.VoterLog{p.acceptor.Snapshot()}
+	if len(p.disk) > 50 && f.random.IntN(20) == 0 && !f.omitsSync() {
+		p.disk = []*schema.WALEntry{p.acceptor.Snapshot()}
 	}
-	for _, s := range p.takeSends() {
-		if a := s.Env.GetAccepted(); a.GetGiven() {
+	for _, s := range p.takeOutgoing() {
+		if a := s.Envelope.GetAccepted(); a.GetGranted() {
 			f.founded = true
-			f.isMembership(p)
+			f.checkMembership(p)
 		}
 		f.post(s)
 	}
 	if p.acceptor.Membership().Number > 1 {
-		f.isMembership(p)
+		f.checkMembership(p)
 	}
-	f.holds(p)
-	for _, o := range p.takeEnded() {
-		f.counts.ended[o.Verdict]++
-		f.outcome(o)
+	f.checkNewVoterState(p)
+	for _, o := range p.takeOutcomes() {
+		f.counts.outcomes[o.Verdict]++
+		f.recordOutcome(o)
 	}
 }
 
-// holds checks that a voter that begins to vote holds whatever was agreed when
+// checkNewVoterState checks that a voter that begins to vote holds whatever was agreed when
 // nobody voted under its membership yet.
-func (f *fleet) holds(p *process) {
-	n := p.acceptor.Active()
-	if n == 0 || f.voted[p] >= n {
+func (f *fleet) checkNewVoterState(p *process) {
+	n := p.acceptor.ActiveMembership()
+	if n == 0 || f.votedUnder[p] >= n {
 		return
 	}
-	f.voted[p] = n
-	if f.before[n] == nil {
-		f.before[n] = maps.Clone(f.agreedAt)
+	f.votedUnder[p] = n
+	if f.committedBefore[n] == nil {
+		f.committedBefore[n] = maps.Clone(f.committedRevision)
 	}
 	for _, k := range []string{"x", "y"} {
-		if held := p.acceptor.Values()[k].GetRevision(); held < f.before[n][k] {
-			f.bad("%s votes under membership %d with revision %d of %s; %d was agreed before", p.address, n, held, k, f.before[n][k])
+		if heldRevision := p.acceptor.AcceptedValues()[k].GetRevision(); heldRevision < f.committedBefore[n][k] {
+			f.failf("%s votes under membership %d with revision %d of %s; %d was agreed before", p.address, n, heldRevision, k, f.committedBefore[n][k])
 		}
 	}
 }
 
-// isMembership checks that nobody goes by another membership of that number.
-func (f *fleet) isMembership(p *process) {
+// checkMembership checks that nobody goes by another membership of that number.
+func (f *fleet) checkMembership(p *process) {
 	m := p.acceptor.Membership()
 	if f.checked[p] == m.Number {
 		return
 	}
 	f.checked[p] = m.Number
-	was, ok := f.members[m.Number]
+	previous, ok := f.members[m.Number]
 	if !ok {
-		f.members[m.Number], f.appeared[m.Number] = m, f.now
-		f.busy = 60
-	} else if !maps.Equal(was.Voters, m.Voters) || !maps.Equal(was.Previous, m.Previous) {
-		f.bad("membership %d is both %v and %v", m.Number, was, m)
+		f.members[m.Number], f.firstSeenAt[m.Number] = m, f.now
+		f.stormSteps = 60
+	} else if !maps.Equal(previous.Voters, m.Voters) || !maps.Equal(previous.Previous, m.Previous) {
+		f.failf("membership %d is both %v and %v", m.Number, previous, m)
 	}
 }
 
 func (f *fleet) post(s step.Send) {
-	f.under = append(f.under, flight{s.To, proto.Clone(s.Env).(*schema.Envelope)})
-	if f.fault == removedVoterCounts && s.Env.GetPrepare() != nil && f.r.IntN(3) == 0 {
-		f.under = append(f.under, flight{f.any(), proto.Clone(s.Env).(*schema.Envelope)})
+	f.inTransit = append(f.inTransit, delivery{s.To, proto.Clone(s.Envelope).(*schema.Envelope)})
+	if f.mutation == removedVoterCounts && s.Envelope.GetPrepare() != nil && f.random.IntN(3) == 0 {
+		f.inTransit = append(f.inTransit, delivery{f.anyAddress(), proto.Clone(s.Envelope).(*schema.Envelope)})
 	}
 }
 
-func (f *fleet) arrive(g flight) {
+func (f *fleet) deliverTo(g delivery) {
 	p := f.processes[g.to]
-	if p == nil || f.down[g.to] || f.cuts[[2]string{g.env.From, g.to}] {
+	if p == nil || f.down[g.to] || f.partitions[[2]string{g.envelope.From, g.to}] {
 		return
 	}
-	if e := f.beforeTake(p, g.env); e != nil {
-		p.take(f.now, e)
+	if e := f.mutateReceived(p, g.envelope); e != nil {
+		p.receive(f.now, e)
 	}
-	if f.fault == unchosenAdopted && g.env.GetAccept().GetKey() == paxos.MembershipKey {
-		if m, err := paxos.DecodeMembership(g.env.GetAccept().GetValue().GetData()); err == nil {
-			p.accepted(f.now, p.acceptor.Adopt(m))
+	if f.mutation == unchosenAdopted && g.envelope.GetAccept().GetKey() == paxos.MembershipKey {
+		if m, err := paxos.DecodeMembership(g.envelope.GetAccept().GetValue().GetData()); err == nil {
+			p.applyAcceptorEffects(f.now, p.acceptor.AdoptMembership(m))
 		}
 	}
 	f.flush(p)
 }
 
-// beforeTake plants faults into what a process receives.
-func (f *fleet) beforeTake(p *process, e *schema.Envelope) *schema.Envelope {
+// mutateReceived plants faults into what a process receives.
+func (f *fleet) mutateReceived(p *process, e *schema.Envelope) *schema.Envelope {
 	m := p.acceptor.Membership()
-	voter := m.Has(p.address, p.acceptor.Life())
+	voter := m.HasVoter(p.address, p.acceptor.DiskID())
 	switch {
-	case f.fault == emptyNewcomerVotes && e.GetStateResponse() != nil:
+	case f.mutation == emptyNewcomerAccepts && e.GetStateResponse() != nil:
 		s := e.GetStateResponse()
-		s.Active = s.Membership
-		s.Cells = slices.DeleteFunc(s.Cells, func(c *schema.Cell) bool { return c.Key != paxos.MembershipKey })
-	case f.fault == removedVoterCounts && e.GetPrepare() != nil && m.Known() && !voter:
+		s.ActiveMembership = s.Membership
+		s.Registers = slices.DeleteFunc(s.Registers, func(c *schema.RegisterState) bool { return c.Key != paxos.MembershipKey })
+	case f.mutation == removedVoterCounts && e.GetPrepare() != nil && m.Known() && !voter:
 		// It replies as if it voted still, and accepts what it is sent.
 		q := e.GetPrepare()
-		c := p.acceptor.Cell(q.Key)
-		f.post(step.Send{To: e.From, Env: &schema.Envelope{From: p.address, Body: &schema.Envelope_Promise{Promise: &schema.Promise{
-			Key: q.Key, Attempt: q.Attempt, Membership: q.Membership, Life: p.acceptor.Life(), Given: true, Promised: q.Ballot,
+		c := p.acceptor.RegisterState(q.Key)
+		f.post(step.Send{To: e.From, Envelope: &schema.Envelope{From: p.address, Body: &schema.Envelope_Promise{Promise: &schema.Promise{
+			Key: q.Key, Attempt: q.Attempt, Membership: q.Membership, DiskId: p.acceptor.DiskID(), Granted: true, Promised: q.Ballot,
 			Accepted: c.GetAccepted(), Value: c.GetValue()}}}})
 		return nil
-	case f.fault == removedVoterCounts && e.GetPromise() != nil && !m.Has(e.From, e.GetPromise().Life):
+	case f.mutation == removedVoterCounts && e.GetPromise() != nil && !m.HasVoter(e.From, e.GetPromise().DiskId):
 		// The proposer takes its word for that of a voter it has not heard.
 		voters := m.Addresses()
 		if len(voters) > 0 {
-			e.From = voters[f.r.IntN(len(voters))]
-			e.GetPromise().Life = m.Voters[e.From]
+			e.From = voters[f.random.IntN(len(voters))]
+			e.GetPromise().DiskId = m.Voters[e.From]
 		}
 	}
 	return e
@@ -262,100 +262,100 @@
 		return
 	}
 	for _, o := range f.addresses() {
-		if !f.down[o] && !f.cuts[[2]string{o, address}] {
-			p.heard[o] = f.now
+		if !f.down[o] && !f.partitions[[2]string{o, address}] {
+			p.heardAt[o] = f.now
 		}
 	}
 	p.tick(f.now)
 	f.flush(p)
-	if o := f.any(); o != address && !f.down[o] && f.r.IntN(2) == 0 {
+	if o := f.anyAddress(); o != address && !f.down[o] && f.random.IntN(2) == 0 {
 		if m := f.processes[o].acceptor.Membership(); m.Number > p.acceptor.Membership().Number {
-			f.post(step.Send{To: address, Env: &schema.Envelope{From: o, Body: &schema.Envelope_MembershipNotice{
-				MembershipNotice: &schema.MembershipNotice{Membership: m.Message()}}}})
+			f.post(step.Send{To: address, Envelope: &schema.Envelope{From: o, Body: &schema.Envelope_MembershipNotice{
+				MembershipNotice: &schema.MembershipNotice{Membership: m.Proto()}}}})
 		}
 	}
-	if f.r.IntN(3) == 0 {
-		f.look(p)
+	if f.random.IntN(3) == 0 {
+		f.observe(p)
 	}
 	// It goes only once a majority of those after it vote: until then they may need what it holds.
-	if m := p.acceptor.Membership(); p.leaving && m.Known() && !m.Has(address, p.acceptor.Life()) && f.keptDisks(m.Voters, m.Number, "") >= m.Quorum() {
-		f.counts.leaves++
+	if m := p.acceptor.Membership(); p.draining && m.Known() && !m.HasVoter(address, p.acceptor.DiskID()) && f.remainingDisks(m.Voters, m.Number, "") >= m.Quorum() {
+		f.counts.drains++
 		f.remove(address)
 	}
 }
 
-// look has a process learn what was chosen from what it sees accepted: each voter
+// observe has a process learn what was chosen from what it sees accepted: each voter
 // at a moment of its own.
-func (f *fleet) look(p *process) {
+func (f *fleet) observe(p *process) {
 	m := p.acceptor.Membership()
-	o := f.processes[f.any()]
-	if o.acceptor.Active() != m.Number || !m.Has(o.address, o.acceptor.Life()) || f.cuts[[2]string{o.address, p.address}] {
+	o := f.processes[f.anyAddress()]
+	if o.acceptor.ActiveMembership() != m.Number || !m.HasVoter(o.address, o.acceptor.DiskID()) || f.partitions[[2]string{o.address, p.address}] {
 		return
 	}
-	seen := f.looks[p.address]
+	seen := f.observed[p.address]
 	if seen == nil {
-		seen = map[string]*schema.Cell{}
-		f.looks[p.address] = seen
+		seen = map[string]*schema.RegisterState{}
+		f.observed[p.address] = seen
 	}
 	for _, k := range []string{"x", "y"} {
-		c := o.acceptor.Cell(k)
+		c := o.acceptor.RegisterState(k)
 		if c == nil {
 			continue
 		}
 		seen[fmt.Sprint(m.Number, k, o.address)] = c
 		n := 0
 		for _, voter := range m.Addresses() {
-			if s := seen[fmt.Sprint(m.Number, k, voter)]; s != nil && paxos.Same(s.Accepted, c.Accepted) {
+			if s := seen[fmt.Sprint(m.Number, k, voter)]; s != nil && paxos.BallotEqual(s.Accepted, c.Accepted) {
 				n++
 			}
 		}
-		if n >= m.Quorum() && (c.Accepted.Membership == m.Number || f.fault == earlierCounted) {
-			f.counts.learned++
-			f.learned(k, c.Value)
+		if n >= m.Quorum() && (c.Accepted.Membership == m.Number || f.mutation == earlierCounted) {
+			f.counts.learnedValues++
+			f.recordLearned(k, c.Value)
 		}
 	}
 }
 
-func (f *fleet) learned(k string, v *schema.Value) {
-	if was, ok := f.chosen[k][v.Revision]; ok && was != string(v.Data) {
-		f.bad("%s revision %d is both %s and, learned, %s", k, v.Revision, was, v.Data)
+func (f *fleet) recordLearned(k string, v *schema.Value) {
+	if previous, ok := f.chosen[k][v.Revision]; ok && previous != string(v.Data) {
+		f.failf("%s revision %d is both %s and, learned, %s", k, v.Revision, previous, v.Data)
 	}
 	f.chosen[k][v.Revision] = string(v.Data)
-	f.agreedAt[k] = max(f.agreedAt[k], v.Revision)
+	f.committedRevision[k] = max(f.committedRevision[k], v.Revision)
 }
 
-func (f *fleet) ask(address string, read bool, within int64) string {
+func (f *fleet) propose(address string, read bool, within int64) string {
 	f.changes++
-	k := []string{"x", "y"}[f.r.IntN(2)]
-	c := paxos.Change{Name: fmt.Sprintf("%s-%d", address, f.changes), Key: k, Read: read, Deadline: f.now + within}
+	k := []string{"x", "y"}[f.random.IntN(2)]
+	c := paxos.Change{ID: fmt.Sprintf("%s-%d", address, f.changes), Key: k, ReadOnly: read, Deadline: f.now + within}
 	if !read {
-		c.Base, c.Data = f.agreedAt[k], []byte(c.Name)
+		c.BaseRevision, c.Data = f.committedRevision[k], []byte(c.ID)
 	}
-	f.began[c.Name] = f.agreedAt[k]
+	f.revisionAtStart[c.ID] = f.committedRevision[k]
 	p := f.processes[address]
-	p.ask(f.now, c)
+	p.propose(f.now, c)
 	f.flush(p)
-	return c.Name
+	return c.ID
 }
 
 // remove takes a machine away for good.
 func (f *fleet) remove(address string) {
-	f.lost[f.processes[address].acceptor.Life()] = f.now
+	f.diskLostAt[f.processes[address].acceptor.DiskID()] = f.now
 	delete(f.processes, address)
 	delete(f.down, address)
-	f.left = append(f.left, address)
+	f.removedAddresses = append(f.removedAddresses, address)
 }
 
-// keptDisks is how many of these disks are there still, and vote or have stopped
+// remainingDisks is how many of these disks are there still, and vote or have stopped
 // voting under the membership of that number, if one is given.
-func (f *fleet) keptDisks(voters map[string]uint64, number uint64, without string) int {
+func (f *fleet) remainingDisks(voters map[string]uint64, number uint64, without string) int {
 	n := 0
-	for address, life := range voters {
+	for address, diskID := range voters {
 		p := f.processes[address]
-		if p == nil || address == without || p.acceptor.Life() != life {
+		if p == nil || address == without || p.acceptor.DiskID() != diskID {
 			continue
 		}
-		if number == 0 || p.acceptor.Snapshot().Active >= number {
+		if number == 0 || p.acceptor.Snapshot().ActiveMembership >= number {
 			n++
 		}
 	}
@@ -365,7 +365,7 @@
 // recoverable reports whether a majority of the newest voters still has its disks,
 // and what they begin with is there, if one machine more is lost.
 func (f *fleet) recoverable(without string) bool {
-	m := newest(f.processes)
+	m := newestMembership(f.processes)
 	if !m.Known() {
 		for _, p := range f.processes {
 			if slices.Contains(f.founders, p.address) && p.acceptor.Membership().Known() {
@@ -377,24 +377,24 @@
 	sets := []map[string]uint64{m.Voters}
 	for _, p := range f.processes {
 		// Successors that may be chosen without anybody knowing it.
-		for _, c := range p.acceptor.Snapshot().Cells {
+		for _, c := range p.acceptor.Snapshot().Registers {
 			if n, err := paxos.DecodeMembership(c.Value.GetData()); c.Key == paxos.MembershipKey && err == nil && n.Number > m.Number {
 				sets = append(sets, n.Voters)
 			}
 		}
 	}
-	for _, g := range f.under {
-		if n, err := paxos.DecodeMembership(g.env.GetAccept().GetValue().GetData()); g.env.GetAccept().GetKey() == paxos.MembershipKey && err == nil && n.Number > m.Number {
+	for _, g := range f.inTransit {
+		if n, err := paxos.DecodeMembership(g.envelope.GetAccept().GetValue().GetData()); g.envelope.GetAccept().GetKey() == paxos.MembershipKey && err == nil && n.Number > m.Number {
 			sets = append(sets, n.Voters)
 		}
 	}
 	for _, voters := range sets {
-		if f.keptDisks(voters, 0, without) <= len(voters)/2 {
+		if f.remainingDisks(voters, 0, without) <= len(voters)/2 {
 			return false
 		}
 	}
-	return m.Number == 1 || f.keptDisks(m.Voters, m.Number, without) > 0 ||
-		f.keptDisks(m.Previous, m.Number-1, without) > len(m.Previous)/2
+	return m.Number == 1 || f.remainingDisks(m.Voters, m.Number, without) > 0 ||
+		f.remainingDisks(m.Previous, m.Number-1, without) > len(m.Previous)/2
 }
 
 // lostTooSoon reports whether so many of a membership's voters were lost after it
@@ -402,28 +402,28 @@
 // a second, is tried for two, and may be settled by a sealed voter after that.
 func (f *fleet) lostTooSoon(m paxos.Membership) bool {
 	n := 0
-	for _, life := range m.Voters {
-		if at, ok := f.lost[life]; ok && at > f.appeared[m.Number]-4*silentAfter {
+	for _, diskID := range m.Voters {
+		if at, ok := f.diskLostAt[diskID]; ok && at > f.firstSeenAt[m.Number]-4*unresponsiveAfter {
 			n++
 		}
 	}
 	return len(m.Voters)-n < m.Quorum()
 }
 
-// settled reports whether a majority of the newest voters would vote without one
+// toleratesLossOf reports whether a majority of the newest voters would vote without one
 // machine.
-func (f *fleet) settled(without string) bool {
-	m := newest(f.processes)
-	return m.Known() && f.recoverable(without) && f.keptDisks(m.Voters, m.Number, without) >= m.Quorum()
+func (f *fleet) toleratesLossOf(without string) bool {
+	m := newestMembership(f.processes)
+	return m.Known() && f.recoverable(without) && f.remainingDisks(m.Voters, m.Number, without) >= m.Quorum()
 }
 
-// strike is one fault.
-func (f *fleet) strike() {
-	a := f.any()
-	switch k := f.r.IntN(100); {
+// injectFault is one fault.
+func (f *fleet) injectFault() {
+	a := f.anyAddress()
+	switch k := f.random.IntN(100); {
 	case k < 25:
 		f.counts.restarts++
-		f.start(a, f.listFor(a))
+		f.start(a, f.foundersFor(a))
 	case k < 35:
 		f.down[a] = true
 	case k < 50:
@@ -431,24 +431,24 @@
 	case k < 68:
 		f.replace(a)
 	case k < 78:
-		f.leave(a)
+		f.drain(a)
 	case k < 94:
-		b := f.any()
-		f.cuts[[2]string{a, b}] = a != b
-		if f.r.IntN(2) == 0 {
-			f.cuts[[2]string{b, a}] = a != b
+		b := f.anyAddress()
+		f.partitions[[2]string{a, b}] = a != b
+		if f.random.IntN(2) == 0 {
+			f.partitions[[2]string{b, a}] = a != b
 		}
 	default:
 		f.counts.blackouts++
-		f.under = nil
+		f.inTransit = nil
 		for _, o := range f.addresses() {
-			f.start(o, f.listFor(o))
+			f.start(o, f.foundersFor(o))
 		}
 	}
 }
 
-// listFor is the founders that a process is told as it restarts with its disk.
-func (f *fleet) listFor(address string) []string {
+// foundersFor is the founders that a process is told as it restarts with its disk.
+func (f *fleet) foundersFor(address string) []string {
 	p := f.processes[address]
 	if slices.Contains(f.founders, address) && (p.acceptor.Membership().Known() || len(p.disk) > 0) && f.counts.machines == 0 {
 		return f.founders
@@ -459,38 +459,38 @@
 	return nil
 }
 
-// spared reports whether one disk more may be lost: nearly always only as many
+// mayLoseDisk reports whether one disk more may be lost: nearly always only as many
 // that the runs go on to show something.
-func (f *fleet) spared(a string) bool {
-	if !newest(f.processes).Known() {
+func (f *fleet) mayLoseDisk(a string) bool {
+	if !newestMembership(f.processes).Known() {
 		return f.counts.disks < (f.size-1)/2 // of those that found
 	}
-	if f.settled(a) {
+	if f.toleratesLossOf(a) {
 		return true
 	}
-	if f.founded && f.r.IntN(100) < 2 {
-		f.counts.beyond++
+	if f.founded && f.random.IntN(100) < 2 {
+		f.counts.beyondBound++
 		return true
 	}
 	return false
 }
 
 func (f *fleet) wipe(a string) {
-	if !f.spared(a) {
+	if !f.mayLoseDisk(a) {
 		return
 	}
 	var founders []string
-	if f.counts.disks < (f.size-1)/2 && f.counts.machines == 0 && f.r.IntN(2) == 0 {
+	if f.counts.disks < (f.size-1)/2 && f.counts.machines == 0 && f.random.IntN(2) == 0 {
 		founders = f.founders // it is told to found, and finds the others founded
 	}
 	f.counts.disks++
-	f.lost[f.processes[a].acceptor.Life()] = f.now
-	f.machine(a)
+	f.diskLostAt[f.processes[a].acceptor.DiskID()] = f.now
+	f.addMachine(a)
 	f.start(a, founders)
 }
 
 func (f *fleet) replace(a string) {
-	if !f.founded || !f.spared(a) {
+	if !f.founded || !f.mayLoseDisk(a) {
 		return
 	}
 	f.counts.machines++
@@ -499,82 +499,82 @@
 	f.newcomer()
 }
 
-// leave has a process hand its place over; the newcomer comes first.
-func (f *fleet) leave(a string) {
+// drain has a process hand its place over; the newcomer comes first.
+func (f *fleet) drain(a string) {
 	p := f.processes[a]
-	if !f.founded || p.leaving || f.down[a] || len(f.processes) > f.size+3 {
+	if !f.founded || p.draining || f.down[a] || len(f.processes) > f.size+3 {
 		return
 	}
 	f.counts.machines++
 	f.newcomer()
-	p.leaving = true
-	p.acceptor.Leave()
+	p.draining = true
+	p.acceptor.Drain()
 }
 
-// rush has two voters put a change of the voters of their own to the vote at once.
-func (f *fleet) rush() {
+// proposeRivals has two voters put a change of the voters of their own to the vote at once.
+func (f *fleet) proposeRivals() {
 	var spares []*process
 	for _, a := range f.addresses() {
-		if p := f.processes[a]; !p.leaving && !f.down[a] && !newest(f.processes).Has(a, p.acceptor.Life()) {
+		if p := f.processes[a]; !p.draining && !f.down[a] && !newestMembership(f.processes).HasVoter(a, p.acceptor.DiskID()) {
 			spares = append(spares, p)
 		}
 	}
-	if len(spares) == 0 || !f.whole() {
+	if len(spares) == 0 || !f.allVote() {
 		return
 	}
 	for range 2 {
-		p := f.processes[f.any()]
+		p := f.processes[f.anyAddress()]
 		m := p.acceptor.Membership()
-		in := spares[f.r.IntN(len(spares))]
-		if f.down[p.address] || !p.acceptor.Votes() || m.Voters[in.address] != 0 {
+		in := spares[f.random.IntN(len(spares))]
+		if f.down[p.address] || !p.acceptor.IsVoter() || m.Voters[in.address] != 0 {
 			continue
 		}
 		voters := maps.Clone(m.Voters)
-		delete(voters, m.Addresses()[f.r.IntN(len(m.Voters))])
-		voters[in.address] = in.acceptor.Life()
+		delete(voters, m.Addresses()[f.random.IntN(len(m.Voters))])
+		voters[in.address] = in.acceptor.DiskID()
 		f.changes++
-		f.counts.rushes++
-		p.ask(f.now, paxos.Change{Key: paxos.MembershipKey, Name: fmt.Sprint("rush", f.changes), Base: m.Number, Data: m.Next(voters).Encode(), Deadline: f.now + 2_000_000})
+		f.counts.rivalProposals++
+		p.propose(f.now, paxos.Change{Key: paxos.MembershipKey, ID: fmt.Sprint("rush", f.changes), BaseRevision: m.Number, Data: m.Next(voters).Encode(), Deadline: f.now + 2_000_000})
 		f.flush(p)
 	}
 }
 
 func (f *fleet) step() {
-	f.now += int64(f.r.IntN(3_000))
+	f.now += int64(f.random.IntN(3_000))
 	strikes := 1
-	if f.busy > 0 {
-		f.busy--
+	if f.stormSteps > 0 {
+		f.stormSteps--
 		strikes = 4 // during a change of the voters and right after it
 	}
-	switch k := f.r.IntN(100); {
-	case k < 76 && len(f.under) > 0:
+	switch k := f.random.IntN(100); {
+	case k < 76 && len(f.inTransit) > 0:
 		f.deliver()
 	case k < 90:
-		f.now += int64(f.r.IntN(60_000))
-		f.tick(f.any())
+		f.now += int64(f.random.IntN(60_000))
+		f.tick(f.anyAddress())
 	case k < 94:
-		if a := f.any(); !f.down[a] {
-			f.ask(a, f.r.IntN(4) == 0, int64(100_000+f.r.IntN(4_000_000)))
+		if a := f.anyAddress(); !f.down[a] {
+			f.propose(a, f.random.IntN(4) == 0, int64(100_000+f.random.IntN(4_000_000)))
 		}
 	case k < 97:
-		f.mend()
+		f.repair()
 	case k == 97:
-		if f.r.IntN(2) == 0 {
-			f.rush()
+		if f.random.IntN(2) == 0 {
+			f.proposeRivals()
 		}
-	case f.r.IntN(4) < strikes:
-		f.strike()
+	case f.random.IntN(4) < strikes:
+		f.injectFault()
 	}
-	if len(f.under) > 400 {
-		f.under = slices.Delete(f.under, 0, 50)
+	if len(f.inTransit) > 400 {
+		f.inTransit = slices.Delete(f.inTransit, 0, 50)
 	}
 }
 
-// mend joins all links again and starts what is down.
-func (f *fleet) mend() {
-	clear(f.cuts)
+// repair joins all links again and starts what is down.
+func (f *fleet) repair() {
+	clear(f.partitions)
 	for _, a := range slices.Sorted(maps.Keys(f.down)) {
-		f.start(a, f.listFor(a))
+		f.start(a, f.foundersFor(a))
 	}
 }
 
@@ -582,42 +582,42 @@
 // receiver is killed right after, with a part of what it said under way.
 func (f *fleet) deliver() {
 	// The newest are likelier, so that some stay under way for very long.
-	i := len(f.under) - 1 - int(float64(len(f.under))*f.r.Float64()*f.r.Float64())
-	g := f.under[i]
-	switch k := f.r.IntN(100); {
+	i := len(f.inTransit) - 1 - int(float64(len(f.inTransit))*f.random.Float64()*f.random.Float64())
+	g := f.inTransit[i]
+	switch k := f.random.IntN(100); {
 	case k < 4: // doubled
-		f.arrive(flight{g.to, proto.Clone(g.env).(*schema.Envelope)})
+		f.deliverTo(delivery{g.to, proto.Clone(g.envelope).(*schema.Envelope)})
 	case k < 7:
-		f.under = slices.Delete(f.under, i, i+1)
+		f.inTransit = slices.Delete(f.inTransit, i, i+1)
 	case k == 7 && f.processes[g.to] != nil && !f.down[g.to]:
-		f.under = slices.Delete(f.under, i, i+1)
-		n := len(f.under)
-		f.arrive(g)
-		if len(f.under) > n {
-			f.under = f.under[:n+f.r.IntN(len(f.under)-n+1)]
+		f.inTransit = slices.Delete(f.inTransit, i, i+1)
+		n := len(f.inTransit)
+		f.deliverTo(g)
+		if len(f.inTransit) > n {
+			f.inTransit = f.inTransit[:n+f.random.IntN(len(f.inTransit)-n+1)]
 		}
 		if f.processes[g.to] != nil {
 			f.counts.restarts++
-			f.start(g.to, f.listFor(g.to))
+			f.start(g.to, f.foundersFor(g.to))
 		}
 	default:
-		f.under = slices.Delete(f.under, i, i+1)
-		f.arrive(g)
+		f.inTransit = slices.Delete(f.inTransit, i, i+1)
+		f.deliverTo(g)
 	}
 }
 
-// calm delivers all that is under way, in order, for a time or until all is done.
-func (f *fleet) calm(us int64, done func() bool) {
-	f.mend()
+// runRepaired delivers all that is under way, in order, for a time or until all is done.
+func (f *fleet) runRepaired(us int64, done func() bool) {
+	f.repair()
 	f.run(us, done)
 }
 
 func (f *fleet) run(us int64, done func() bool) {
-	for end := f.now + us; f.now < end && f.fail == "" && !done(); f.now += 20_000 {
-		for n := 0; len(f.under) > 0 && n < 2_000; n++ {
-			g := f.under[0]
-			f.under = f.under[1:]
-			f.arrive(g)
+	for end := f.now + us; f.now < end && f.failure == "" && !done(); f.now += 20_000 {
+		for n := 0; len(f.inTransit) > 0 && n < 2_000; n++ {
+			g := f.inTransit[0]
+			f.inTransit = f.inTransit[1:]
+			f.deliverTo(g)
 		}
 		for _, a := range f.addresses() {
 			f.tick(a)
@@ -625,20 +625,20 @@
 	}
 }
 
-// voting is how many of the newest voters vote.
-func (f *fleet) voting() (int, paxos.Membership) {
-	m, n := newest(f.processes), 0
+// countVoting is how many of the newest voters vote.
+func (f *fleet) countVoting() (int, paxos.Membership) {
+	m, n := newestMembership(f.processes), 0
 	for a := range m.Voters {
-		if p := f.processes[a]; p != nil && m.Has(a, p.acceptor.Life()) && p.acceptor.Active() == m.Number {
+		if p := f.processes[a]; p != nil && m.HasVoter(a, p.acceptor.DiskID()) && p.acceptor.ActiveMembership() == m.Number {
 			n++
 		}
 	}
 	return n, m
 }
 
-// whole reports whether all of the newest voters vote.
-func (f *fleet) whole() bool {
-	n, m := f.voting()
+// allVote reports whether all of the newest voters vote.
+func (f *fleet) allVote() bool {
+	n, m := f.countVoting()
 	return n >= f.size && n == len(m.Voters)
 }
 
@@ -646,52 +646,52 @@
 func (f *fleet) finish() {
 	able := f.recoverable("")
 	if !able {
-		f.counts.beyond++
+		f.counts.beyondBound++
 	}
 	for len(f.processes) < f.size+1 {
 		f.newcomer()
 	}
-	f.calm(15_000_000, f.whole)
-	n, m := f.voting()
+	f.runRepaired(15_000_000, f.allVote)
+	n, m := f.countVoting()
 	f.counts.memberships = m.Number
-	if f.members[1].Known() && !slices.ContainsFunc(f.founders, func(a string) bool { return m.Has(a, f.members[1].Voters[a]) }) {
+	if f.members[1].Known() && !slices.ContainsFunc(f.founders, func(a string) bool { return m.HasVoter(a, f.members[1].Voters[a]) }) {
 		f.counts.turnovers++
 	}
-	if f.fail == "" && able && n < m.Quorum() && f.lostTooSoon(m) {
-		f.counts.beyond++
+	if f.failure == "" && able && n < m.Quorum() && f.lostTooSoon(m) {
+		f.counts.beyondBound++
 		able = false
 	}
-	if f.fail != "" || !able {
+	if f.failure != "" || !able {
 		return
 	}
 	if !m.Known() || n < len(m.Voters) || len(m.Voters) < f.size {
-		f.bad("after the calm %d of %d voters vote under membership %d", n, len(m.Voters), m.Number)
+		f.failf("after the calm %d of %d voters vote under membership %d", n, len(m.Voters), m.Number)
 		return
 	}
 	for _, a := range f.addresses() {
 		if f.processes[a] == nil {
 			continue // it left in order in the meantime
 		}
-		ended := f.counts.ended[paxos.Agreed]
-		f.ask(a, true, 12_000_000)
-		f.calm(10_000_000, func() bool { return f.counts.ended[paxos.Agreed] > ended || f.processes[a] == nil })
-		if f.counts.ended[paxos.Agreed] == ended && f.processes[a] != nil {
-			f.bad("a last reading by %s did not end", a)
+		ended := f.counts.outcomes[paxos.Committed]
+		f.propose(a, true, 12_000_000)
+		f.runRepaired(10_000_000, func() bool { return f.counts.outcomes[paxos.Committed] > ended || f.processes[a] == nil })
+		if f.counts.outcomes[paxos.Committed] == ended && f.processes[a] != nil {
+			f.failf("a last reading by %s did not end", a)
 		}
 	}
 }
 
 // explore drives one seed.
-func explore(seed uint64, size, steps int, planted fault) *fleet {
-	f := newFleet(seed, size, planted)
+func explore(seed uint64, size, steps int, mutation mutation) *fleet {
+	f := newFleet(seed, size, mutation)
 	if seed%2 == 0 {
-		f.calm(1_000_000, f.whole)
+		f.runRepaired(1_000_000, f.allVote)
 		f.newcomer()
 	}
-	for n := 0; n < steps && f.fail == ""; n++ {
+	for n := 0; n < steps && f.failure == ""; n++ {
 		f.step()
 	}
-	if f.fail == "" {
+	if f.failure == "" {
 		f.finish()
 	}
 	return f
--- a/paxos/founding.go
+++ b/paxos/founding.go
@@ -10,57 +10,57 @@
 // firstMembership is the number of the membership that founders form.
 const firstMembership = 1
 
-// found tells the other founders which disks this one knows to be theirs.
-func (a *Acceptor) found(fx *Effects) {
-	if !a.logged {
-		a.logFounders(fx)
+// sendFounderReports tells the other founders which disks this one knows to be theirs.
+func (a *Acceptor) sendFounderReports(effects *Effects) {
+	if !a.identityLogged {
+		a.logFounders(effects)
 	}
 	for _, f := range a.founders {
 		if f != a.self {
-			a.send(fx, f, &schema.Envelope{Body: &schema.Envelope_Found{
-				Found: &schema.Found{Founders: a.founders, Voters: voterList(a.lives)}}})
+			a.send(effects, f, &schema.Envelope{Body: &schema.Envelope_FounderReport{
+				FounderReport: &schema.FounderReport{Founders: a.founders, Voters: votersToProto(a.founderDisks)}}})
 		}
 	}
-	a.form(fx)
+	a.formFirstMembership(effects)
 }
 
-// foundReported takes what another founder knows. One whose disk is empty again
+// handleFounderReport takes what another founder knows. One whose disk is empty again
 // before any founder formed takes part anew: it cannot have voted. Of two disks of
 // one founder the greater identity counts for everybody, so what a founder knows
 // only ever grows, however late an envelope of a lost disk comes.
-func (a *Acceptor) foundReported(fx *Effects, from string, m *schema.Found) {
+func (a *Acceptor) handleFounderReport(effects *Effects, from string, m *schema.FounderReport) {
 	if a.membership.Known() {
-		a.send(fx, from, &schema.Envelope{Body: &schema.Envelope_MembershipNotice{
-			MembershipNotice: &schema.MembershipNotice{Membership: a.membership.Message(), Known: m.Voters}}})
+		a.send(effects, from, &schema.Envelope{Body: &schema.Envelope_MembershipNotice{
+			MembershipNotice: &schema.MembershipNotice{Membership: a.membership.Proto(), ReportedVoters: m.Voters}}})
 		return
 	}
 	if !slices.Contains(m.Founders, from) || !slices.Contains(m.Founders, a.self) {
 		return
 	}
 	if len(a.founders) == 0 {
-		a.founders, a.nextSend = slices.Clone(m.Founders), 0
+		a.founders, a.nextRequestAt = slices.Clone(m.Founders), 0
 	}
-	report := voterMap(m.Voters)
-	newer := a.learnDisk(from, report[from])
-	if a.outgrow(report[a.self]) || newer {
-		a.logFounders(fx)
-		a.nextSend = 0
+	report := votersFromProto(m.Voters)
+	newer := a.learnFounderDisk(from, report[from])
+	if a.raiseDiskID(report[a.self]) || newer {
+		a.logFounders(effects)
+		a.nextRequestAt = 0
 	}
-	a.reports[from] = report
-	a.form(fx)
+	a.founderReports[from] = report
+	a.formFirstMembership(effects)
 }
 
 // logFounders keeps who founds, and whose disks are known, over a restart.
-func (a *Acceptor) logFounders(fx *Effects) {
-	a.logged = true
-	fx.Log = append(fx.Log, &schema.VoterLog{Life: a.life, Founders: a.knownFounders()})
+func (a *Acceptor) logFounders(effects *Effects) {
+	a.identityLogged = true
+	effects.Log = append(effects.Log, &schema.WALEntry{DiskId: a.diskID, Founders: a.founderVoters()})
 }
 
-// knownFounders are the founders, with the identities of those disks that are known.
-func (a *Acceptor) knownFounders() []*schema.Voter {
+// founderVoters are the founders, with the identities of those disks that are known.
+func (a *Acceptor) founderVoters() []*schema.Voter {
 	var out []*schema.Voter
 	for _, f := range a.founders {
-		out = append(out, &schema.Voter{Address: f, Life: a.lives[f]})
+		out = append(out, &schema.Voter{Address: f, DiskId: a.founderDisks[f]})
 	}
 	return out
 }
@@ -69,60 +69,60 @@
 	a.founders = nil
 	for _, f := range founders {
 		a.founders = append(a.founders, f.Address)
-		if f.Life != 0 {
-			a.lives[f.Address] = f.Life
+		if f.DiskId != 0 {
+			a.founderDisks[f.Address] = f.DiskId
 		}
 	}
 }
 
-// learnDisk takes a founder's disk if it is newer than the one known.
-func (a *Acceptor) learnDisk(founder string, life uint64) bool {
-	if life <= a.lives[founder] {
+// learnFounderDisk takes a founder's disk if it is newer than the one known.
+func (a *Acceptor) learnFounderDisk(founder string, diskID uint64) bool {
+	if diskID <= a.founderDisks[founder] {
 		return false
 	}
-	a.lives[founder] = life
+	a.founderDisks[founder] = diskID
 	return true
 }
 
-// outgrow gives this disk an identity above one of a disk that was lost here, so
+// raiseDiskID gives this disk an identity above one of a disk that was lost here, so
 // that it counts for the others. It has not voted under the one it had.
-func (a *Acceptor) outgrow(lost uint64) bool {
-	if lost <= a.life {
+func (a *Acceptor) raiseDiskID(lost uint64) bool {
+	if lost <= a.diskID {
 		return false
 	}
-	a.life = lost + 1 + a.life>>32
-	a.lives[a.self] = a.life
+	a.diskID = lost + 1 + a.diskID>>32
+	a.founderDisks[a.self] = a.diskID
 	return true
 }
 
-// form makes the first membership once all founders know the same disks. A founder
+// formFirstMembership makes the first membership once all founders know the same disks. A founder
 // that has formed never reports anything else, so any two that form with each other's
 // disks as they are form the same one.
-func (a *Acceptor) form(fx *Effects) {
-	if !a.knowsFounders() {
+func (a *Acceptor) formFirstMembership(effects *Effects) {
+	if !a.knowsAllFounderDisks() {
 		return
 	}
 	for _, f := range a.founders {
-		if f != a.self && !maps.Equal(a.reports[f], a.lives) {
+		if f != a.self && !maps.Equal(a.founderReports[f], a.founderDisks) {
 			return
 		}
 	}
-	a.adopt(fx, Membership{Number: firstMembership, Voters: maps.Clone(a.lives)})
+	a.adoptMembership(effects, Membership{Number: firstMembership, Voters: maps.Clone(a.founderDisks)})
 	for _, f := range a.founders {
 		if f != a.self {
-			a.notify(fx, f)
+			a.sendMembershipNotice(effects, f)
 		}
 	}
 }
 
-// knowsFounders reports whether this founder knows a disk of each, and so may have
+// knowsAllFounderDisks reports whether this founder knows a disk of each, and so may have
 // told the others that it would form with these.
-func (a *Acceptor) knowsFounders() bool {
-	return len(a.founders) > 0 && len(a.lives) == len(a.founders)
+func (a *Acceptor) knowsAllFounderDisks() bool {
+	return len(a.founders) > 0 && len(a.founderDisks) == len(a.founders)
 }
 
-// Founds reports whether this acceptor is a founder that knows no membership yet.
-func (a *Acceptor) Founds() bool {
+// IsFounding reports whether this acceptor is a founder that knows no membership yet.
+func (a *Acceptor) IsFounding() bool {
 	return slices.Contains(a.founders, a.self) && !a.membership.Known()
 }
 
@@ -131,16 +131,16 @@
 // others may form another with that disk, unless the sender knows of that disk too:
 // then the sender is not the disk that was lost.
 func (a *Acceptor) trusts(from string, m Membership, known map[string]uint64) bool {
-	if m.Number != firstMembership || a.membership.Known() || !a.knowsFounders() {
+	if m.Number != firstMembership || a.membership.Known() || !a.knowsAllFounderDisks() {
 		return true
 	}
-	return m.Has(from, a.lives[from]) || known[from] == a.lives[from] && known[from] != 0
+	return m.HasVoter(from, a.founderDisks[from]) || known[from] == a.founderDisks[from] && known[from] != 0
 }
 
-// recordMembership has the membership's register hold the first membership, so
+// recordFirstMembership has the membership's register hold the first membership, so
 // that its revision is the number of the membership ever after.
-func (a *Acceptor) recordMembership() {
-	r := a.at(MembershipKey)
-	r.accepted = &schema.Ballot{Round: 1}
+func (a *Acceptor) recordFirstMembership() {
+	r := a.ensureRegister(MembershipKey)
+	r.accepted = &schema.Ballot{Number: 1}
 	r.value = &schema.Value{Revision: a.membership.Number, Data: a.membership.Encode()}
 }
--- a/paxos/membership_test.go
+++ b/paxos/membership_test.go
@@ -30,15 +30,15 @@
 
 // exploreSeeds drives many seeds, a few at a time, and hands back what each of
 // them ended with.
-func exploreSeeds(seeds uint64, size, steps int, planted fault) []*fleet {
+func exploreSeeds(seeds uint64, size, steps int, mutation mutation) []*fleet {
 	done := make([]*fleet, seeds)
 	var next atomic.Uint64
 	var workers sync.WaitGroup
 	for range 3 {
 		workers.Go(func() {
 			for seed := next.Add(1) - 1; seed < seeds; seed = next.Add(1) - 1 {
-				f := explore(seed, size, steps, planted)
-				done[seed] = &fleet{ledger: ledger{fail: f.fail}, counts: f.counts}
+				f := explore(seed, size, steps, mutation)
+				done[seed] = &fleet{history: history{failure: f.failure}, counts: f.counts}
 			}
 		})
 	}
@@ -53,16 +53,16 @@
 func TestMembershipChanges(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		seeds := scheduleSeeds(500)
-		all := fleetCounts{ended: map[paxos.Verdict]int{}}
-		for seed, f := range exploreSeeds(seeds, size, 3000, soundFleet) {
-			if f.fail != "" {
-				t.Errorf("%d voters, seed %d: %s", size, seed, f.fail)
+		all := fleetCounts{outcomes: map[paxos.Verdict]int{}}
+		for seed, f := range exploreSeeds(seeds, size, 3000, noMutation) {
+			if f.failure != "" {
+				t.Errorf("%d voters, seed %d: %s", size, seed, f.failure)
 			}
 			all.add(f.counts)
 		}
 		t.Logf("%d voters, %d seeds: %+v", size, seeds, all)
 		n := int(seeds)
-		if all.memberships < 3*seeds || all.disks < 2*n || all.leaves < n/2 || all.ended[paxos.Agreed] < 10*n || all.learned < n || all.beyond > n/8 {
+		if all.memberships < 3*seeds || all.disks < 2*n || all.drains < n/2 || all.outcomes[paxos.Committed] < 10*n || all.learnedValues < n || all.beyondBound > n/8 {
 			t.Errorf("%d voters: the runs show little", size)
 		}
 	}
@@ -71,30 +71,30 @@
 // exploreFounding interrupts the first start: kills, and a minority of founders
 // that lose their disks, told to found again or not.
 func exploreFounding(seed uint64, size int) *fleet {
-	f := newFleet(seed, size, soundFleet)
-	for range 100 + f.r.IntN(200) {
-		f.now += int64(f.r.IntN(3_000))
-		switch k := f.r.IntN(100); {
-		case k < 60 && len(f.under) > 0:
+	f := newFleet(seed, size, noMutation)
+	for range 100 + f.random.IntN(200) {
+		f.now += int64(f.random.IntN(3_000))
+		switch k := f.random.IntN(100); {
+		case k < 60 && len(f.inTransit) > 0:
 			f.deliver()
 		case k < 85:
-			f.now += int64(f.r.IntN(60_000))
-			f.tick(f.any())
+			f.now += int64(f.random.IntN(60_000))
+			f.tick(f.anyAddress())
 		case k < 88:
-			a := f.any()
+			a := f.anyAddress()
 			f.counts.restarts++
 			f.start(a, f.founders)
 		case k < 91 && f.counts.disks < (size-1)/2:
-			f.wipe(f.any())
+			f.wipe(f.anyAddress())
 		case k < 95:
-			f.ask(f.any(), f.r.IntN(2) == 0, 1_000_000)
+			f.propose(f.anyAddress(), f.random.IntN(2) == 0, 1_000_000)
 		case k < 97:
-			f.cuts[[2]string{f.any(), f.any()}] = true
+			f.partitions[[2]string{f.anyAddress(), f.anyAddress()}] = true
 		case k < 99:
-			f.mend()
+			f.repair()
 		}
 	}
-	if f.fail == "" {
+	if f.failure == "" {
 		f.finish()
 	}
 	return f
@@ -105,29 +105,29 @@
 func TestFoundingInterrupted(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		seeds := scheduleSeeds(1500)
-		all, failed := fleetCounts{ended: map[paxos.Verdict]int{}}, 0
+		all, failed := fleetCounts{outcomes: map[paxos.Verdict]int{}}, 0
 		for seed := range seeds {
 			f := exploreFounding(seed, size)
-			if f.fail != "" {
+			if f.failure != "" {
 				if failed++; failed < 10 {
-					t.Errorf("%d founders, seed %d: %s", size, seed, f.fail)
+					t.Errorf("%d founders, seed %d: %s", size, seed, f.failure)
 				}
 			}
 			all.add(f.counts)
 		}
 		t.Logf("%d founders, %d seeds, %d failed: %+v", size, seeds, failed, all)
-		if all.disks < int(seeds)/2 || all.beyond > 0 {
+		if all.disks < int(seeds)/2 || all.beyondBound > 0 {
 			t.Errorf("%d founders: the runs show little", size)
 		}
 	}
 }
 
-// apart cuts these processes off from all others.
-func (f *fleet) apart(side ...string) {
+// separate cuts these processes off from all others.
+func (f *fleet) separate(side ...string) {
 	for _, a := range side {
 		for _, b := range f.addresses() {
 			if !slices.Contains(side, b) {
-				f.cuts[[2]string{a, b}], f.cuts[[2]string{b, a}] = true, true
+				f.partitions[[2]string{a, b}], f.partitions[[2]string{b, a}] = true, true
 			}
 		}
 	}
@@ -140,53 +140,53 @@
 // replaced gets nothing agreed, neither alone nor with a voter that does not know
 // the change yet, and is told that it is out once it hears anybody who does.
 func TestReturningVoterFindsItselfRemoved(t *testing.T) {
-	f := newFleet(1, 3, soundFleet)
-	f.calm(2_000_000, f.whole)
+	f := newFleet(1, 3, noMutation)
+	f.runRepaired(2_000_000, f.allVote)
 	a, b, c := f.founders[0], f.founders[1], f.founders[2]
 	f.newcomer()
-	f.apart(a)
+	f.separate(a)
 	f.flow(4_000_000)
-	if m := newest(f.processes); m.Number != 2 || m.Voters[a] != 0 || f.processes[a].acceptor.Active() != 1 {
+	if m := newestMembership(f.processes); m.Number != 2 || m.Voters[a] != 0 || f.processes[a].acceptor.ActiveMembership() != 1 {
 		t.Fatalf("%s is not replaced, or knows it: %v", a, m)
 	}
-	asked := func(address string) map[paxos.Verdict]int {
-		before := maps.Clone(f.counts.ended)
-		f.ask(address, false, 1_000_000)
-		f.ask(address, true, 1_000_000)
+	outcomesOf := func(address string) map[paxos.Verdict]int {
+		before := maps.Clone(f.counts.outcomes)
+		f.propose(address, false, 1_000_000)
+		f.propose(address, true, 1_000_000)
 		f.flow(1_500_000)
 		ended := map[paxos.Verdict]int{}
-		for v, n := range f.counts.ended {
+		for v, n := range f.counts.outcomes {
 			if n > before[v] {
 				ended[v] = n - before[v]
 			}
 		}
 		return ended
 	}
-	if ended := asked(a); ended[paxos.Agreed]+ended[paxos.Lost] > 0 {
+	if ended := outcomesOf(a); ended[paxos.Committed]+ended[paxos.Conflict] > 0 {
 		t.Errorf("alone, the removed voter had something agreed: %v", ended)
 	}
 	// One that stopped voting under the first membership joins it.
-	clear(f.cuts)
-	f.apart(a, b)
-	f.processes[a].beforeTake = func(_ *process, e *schema.Envelope) *schema.Envelope {
+	clear(f.partitions)
+	f.separate(a, b)
+	f.processes[a].mutateReceived = func(_ *process, e *schema.Envelope) *schema.Envelope {
 		if e.GetMembershipNotice() != nil || e.GetStateRequest() != nil {
 			return nil // not told yet
 		}
 		return e
 	}
-	if ended := asked(a); ended[paxos.Agreed]+ended[paxos.Lost] > 0 {
+	if ended := outcomesOf(a); ended[paxos.Committed]+ended[paxos.Conflict] > 0 {
 		t.Errorf("with %s, the removed voter had something agreed: %v", b, ended)
 	}
-	f.processes[a].beforeTake = nil
-	clear(f.cuts)
-	f.apart(a, c)
+	f.processes[a].mutateReceived = nil
+	clear(f.partitions)
+	f.separate(a, c)
 	f.flow(1_000_000)
-	if p := f.processes[a].acceptor; p.Votes() || p.Membership().Number < 2 {
+	if p := f.processes[a].acceptor; p.IsVoter() || p.Membership().Number < 2 {
 		t.Errorf("the removed voter votes, or was not told: %d", p.Membership().Number)
 	}
 	f.finish()
-	if f.fail != "" {
-		t.Error(f.fail)
+	if f.failure != "" {
+		t.Error(f.failure)
 	}
 }
 
@@ -195,37 +195,37 @@
 // change agreed in between each time that nobody loses.
 func TestEveryFounderReplaced(t *testing.T) {
 	for _, size := range []int{3, 5} {
-		f := newFleet(uint64(size), size, soundFleet)
-		f.calm(2_000_000, f.whole)
-		again := 0
+		f := newFleet(uint64(size), size, noMutation)
+		f.runRepaired(2_000_000, f.allVote)
+		retries := 0
 		for n := range 4 * size {
-			m := newest(f.processes)
+			m := newestMembership(f.processes)
 			gone := m.Addresses()[n%size]
 			f.remove(gone)
 			if n%2 == 1 { // back at an address used before
-				again++
-				old := f.left[0]
-				f.machine(old)
+				retries++
+				old := f.removedAddresses[0]
+				f.addMachine(old)
 				f.start(old, nil)
 			} else {
 				f.newcomer()
 			}
-			f.calm(8_000_000, func() bool { return f.whole() && newest(f.processes).Voters[gone] == 0 })
-			if !f.whole() {
+			f.runRepaired(8_000_000, func() bool { return f.allVote() && newestMembership(f.processes).Voters[gone] == 0 })
+			if !f.allVote() {
 				t.Fatalf("%d voters, replacement %d: not all vote", size, n)
 			}
-			agreed := f.agreed
-			f.ask(f.any(), false, 10_000_000)
-			f.calm(10_000_000, func() bool { return f.agreed > agreed })
-			if f.agreed == agreed {
+			agreed := f.committed
+			f.propose(f.anyAddress(), false, 10_000_000)
+			f.runRepaired(10_000_000, func() bool { return f.committed > agreed })
+			if f.committed == agreed {
 				t.Fatalf("%d voters, replacement %d: nothing agreed", size, n)
 			}
 		}
 		f.finish()
-		if f.fail != "" || f.counts.turnovers == 0 {
-			t.Errorf("%d voters: %q; founders left: %d", size, f.fail, f.counts.turnovers)
+		if f.failure != "" || f.counts.turnovers == 0 {
+			t.Errorf("%d voters: %q; founders left: %d", size, f.failure, f.counts.turnovers)
 		}
-		t.Logf("%d voters: membership %d, %d agreed, %d machines at an address used before", size, f.counts.memberships, f.agreed, again)
+		t.Logf("%d voters: membership %d, %d agreed, %d machines at an address used before", size, f.counts.memberships, f.committed, retries)
 	}
 }
 
@@ -236,14 +236,14 @@
 	first, second := paxos.NewProposer("a", "1", nil), paxos.NewProposer("a", "2", nil)
 	attempt := func(p *paxos.Proposer) uint64 {
 		p.SetMembership(1, m)
-		return p.Ask(1, paxos.Change{Name: "r", Key: "x", Read: true, Deadline: 1_000_000}).Send[0].Env.GetPrepare().Attempt
+		return p.Propose(1, paxos.Change{ID: "r", Key: "x", ReadOnly: true, Deadline: 1_000_000}).Send[0].Envelope.GetPrepare().Attempt
 	}
 	late := attempt(first)
 	attempt(second)
-	for from, life := range m.Voters {
-		fx := second.Step(2, &schema.Envelope{From: from, Body: &schema.Envelope_Promise{Promise: &schema.Promise{
-			Key: "x", Attempt: late, Given: true, Membership: 1, Life: life, Promised: &schema.Ballot{}, Accepted: &schema.Ballot{}}}})
-		if len(fx.Outcomes) > 0 {
+	for from, diskID := range m.Voters {
+		effects := second.Step(2, &schema.Envelope{From: from, Body: &schema.Envelope_Promise{Promise: &schema.Promise{
+			Key: "x", Attempt: late, Granted: true, Membership: 1, DiskId: diskID, Promised: &schema.Ballot{}, Accepted: &schema.Ballot{}}}})
+		if len(effects.Outcomes) > 0 {
 			t.Fatal("replies to an earlier run ended a reading")
 		}
 	}
@@ -252,25 +252,25 @@
 // TestNoPlanWithoutMembership: a process that knows no membership plans none,
 // whoever asks it for a vote.
 func TestNoPlanWithoutMembership(t *testing.T) {
-	a := paxos.NewAcceptor("a", 1, paxos.Place{}, nil)
-	a.Step(1, &schema.Envelope{From: "b", Body: &schema.Envelope_JoinRequest{JoinRequest: &schema.JoinRequest{Life: 2, Counts: true}}})
-	s := paxos.Survey{Candidates: a.Candidates(1, 10), Target: 3}
+	a := paxos.NewAcceptor("a", 1, paxos.Location{}, nil)
+	a.Step(1, &schema.Envelope{From: "b", Body: &schema.Envelope_JoinRequest{JoinRequest: &schema.JoinRequest{DiskId: 2, Eligible: true}}})
+	s := paxos.PlanningInput{Candidates: a.Candidates(1, 10), TargetVoters: 3}
 	if c, ok := paxos.NewReconfigurer("a", "1").Step(1, a, s); ok {
 		t.Errorf("it plans %v", c)
 	}
 }
 
-// TestLeavingVoterTakesPart: a voter that leaves and is still named by the next
+// TestDrainingVoterParticipates: a voter that leaves and is still named by the next
 // membership votes under it, or nobody could agree on letting it go.
-func TestLeavingVoterTakesPart(t *testing.T) {
+func TestDrainingVoterParticipates(t *testing.T) {
 	first := paxos.Membership{Number: 1, Voters: map[string]uint64{"a": 1, "b": 2, "c": 3}}
-	a := paxos.NewAcceptor("a", 1, paxos.Place{}, nil)
-	a.Adopt(first)
-	a.Leave()
-	a.Adopt(first.Next(map[string]uint64{"a": 1, "b": 2, "d": 4}))
+	a := paxos.NewAcceptor("a", 1, paxos.Location{}, nil)
+	a.AdoptMembership(first)
+	a.Drain()
+	a.AdoptMembership(first.Next(map[string]uint64{"a": 1, "b": 2, "d": 4}))
 	asks := 0
 	for _, s := range a.Tick(1).Send {
-		if s.Env.GetStateRequest() != nil {
+		if s.Envelope.GetStateRequest() != nil {
 			asks++
 		}
 	}
@@ -283,23 +283,23 @@
 // replaced, and the other by the membership after that.
 func TestOneVoterReplacedAtATime(t *testing.T) {
 	current := paxos.Membership{Number: 1, Voters: map[string]uint64{"a": 1, "b": 2, "c": 3, "d": 4, "e": 5}}
-	survey := paxos.Survey{Lost: map[string]bool{"b": true, "e": true}, Target: 5,
-		Candidates: []paxos.Candidate{{Address: "a", Life: 9, Counts: true}, {Address: "f", Life: 6, Counts: true}, {Address: "g", Life: 7, Counts: true}}}
+	survey := paxos.PlanningInput{Unavailable: map[string]bool{"b": true, "e": true}, TargetVoters: 5,
+		Candidates: []paxos.Candidate{{Address: "a", DiskID: 9, Eligible: true}, {Address: "f", DiskID: 6, Eligible: true}, {Address: "g", DiskID: 7, Eligible: true}}}
 	for n := range 3 {
-		next, due := paxos.Plan(current, survey)
+		next, due := paxos.PlanMembership(current, survey)
 		if !due {
 			t.Fatalf("step %d: nothing due", n)
 		}
 		changed := 0
-		for address, life := range next.Voters {
-			if current.Voters[address] != life {
+		for address, diskID := range next.Voters {
+			if current.Voters[address] != diskID {
 				changed++
 			}
 		}
 		if changed != 1 || len(next.Voters) != 5 {
 			t.Errorf("step %d: %v after %v", n, next.Voters, current.Voters)
 		}
-		survey.Candidates = slices.DeleteFunc(survey.Candidates, func(c paxos.Candidate) bool { return next.Has(c.Address, c.Life) })
+		survey.Candidates = slices.DeleteFunc(survey.Candidates, func(c paxos.Candidate) bool { return next.HasVoter(c.Address, c.DiskID) })
 		current = next
 	}
 	if !maps.Equal(current.Voters, map[string]uint64{"a": 9, "c": 3, "d": 4, "f": 6, "g": 7}) {
@@ -311,7 +311,7 @@
 // processes that ask to vote are added, one membership after the other.
 func TestFewFoundersGrow(t *testing.T) {
 	for founders := 1; founders < 5; founders++ {
-		f := newFleet(uint64(founders), founders, soundFleet)
+		f := newFleet(uint64(founders), founders, noMutation)
 		f.size = 5
 		for range 5 {
 			f.newcomer()
@@ -319,30 +319,30 @@
 		for _, p := range f.processes {
 			p.target = f.size
 		}
-		f.calm(10_000_000, f.whole)
-		if f.finish(); f.fail != "" || len(newest(f.processes).Voters) != 5 {
-			t.Errorf("%d founders: %q; %d vote", founders, f.fail, len(newest(f.processes).Voters))
+		f.runRepaired(10_000_000, f.allVote)
+		if f.finish(); f.failure != "" || len(newestMembership(f.processes).Voters) != 5 {
+			t.Errorf("%d founders: %q; %d vote", founders, f.failure, len(newestMembership(f.processes).Voters))
 		}
 	}
 }
 
-// TestSealedVoterVotesAgain: a voter that accepted a successor which nobody else
+// TestSealedVoterResumesVoting: a voter that accepted a successor which nobody else
 // accepted, from a proposer that died, votes again by itself.
-func TestSealedVoterVotesAgain(t *testing.T) {
-	f := newFleet(1, 3, soundFleet)
-	f.calm(2_000_000, f.whole)
+func TestSealedVoterResumesVoting(t *testing.T) {
+	f := newFleet(1, 3, noMutation)
+	f.runRepaired(2_000_000, f.allVote)
 	p := f.processes[f.founders[2]] // the others' promises come before its own
 	m := p.acceptor.Membership()
 	next := m.Next(map[string]uint64{f.founders[2]: m.Voters[f.founders[2]], f.founders[1]: m.Voters[f.founders[1]], "gone": 1})
-	f.ask(f.founders[1], false, 1_000_000)
-	f.calm(1_000_000, func() bool { return false })
-	f.arrive(flight{p.address, &schema.Envelope{From: "gone", Body: &schema.Envelope_Accept{Accept: &schema.Accept{Key: paxos.MembershipKey, Membership: 1,
-		Ballot: &schema.Ballot{Membership: 1, Round: 9, Proposer: "gone"}, Value: &schema.Value{Revision: 2, Data: next.Encode()}}}}})
-	if !p.acceptor.Sealed() || p.acceptor.Votes() {
+	f.propose(f.founders[1], false, 1_000_000)
+	f.runRepaired(1_000_000, func() bool { return false })
+	f.deliverTo(delivery{p.address, &schema.Envelope{From: "gone", Body: &schema.Envelope_Accept{Accept: &schema.Accept{Key: paxos.MembershipKey, Membership: 1,
+		Ballot: &schema.Ballot{Membership: 1, Number: 9, Proposer: "gone"}, Value: &schema.Value{Revision: 2, Data: next.Encode()}}}}})
+	if !p.acceptor.Sealed() || p.acceptor.IsVoter() {
 		t.Fatal("it is not sealed")
 	}
-	f.calm(5_000_000, f.whole)
-	if !f.whole() {
+	f.runRepaired(5_000_000, f.allVote)
+	if !f.allVote() {
 		t.Error("it stays sealed")
 	}
 }
--- a/paxos/plan_test.go
+++ b/paxos/plan_test.go
@@ -14,7 +14,7 @@
 func TestPlan(t *testing.T) {
 	for _, x := range []struct {
 		what, voters, lost, candidates string
-		target, mostInZone             int
+		target, maxPerZone             int
 		want                           string
 	}{
 		{"nobody lost", "a.1 b.2 c.3", "", "d.1", 3, 0, ""},
@@ -37,20 +37,20 @@
 			name, zone, _ := strings.Cut(v, ".")
 			voters[name], zones[name] = 1, zone
 		}
-		s := paxos.Survey{Lost: map[string]bool{}, Zones: zones, Regions: map[string]string{}, Target: x.target, MostInZone: x.mostInZone}
+		s := paxos.PlanningInput{Unavailable: map[string]bool{}, Zones: zones, Regions: map[string]string{}, TargetVoters: x.target, MaxPerZone: x.maxPerZone}
 		for _, l := range x.lost {
-			s.Lost[string(l)] = true
+			s.Unavailable[string(l)] = true
 		}
 		for _, c := range strings.Fields(x.candidates) {
 			name, zone, _ := strings.Cut(c, ".")
-			candidate := paxos.Candidate{Address: name[:1], Life: 1, Zone: zone, Counts: true}
+			candidate := paxos.Candidate{Address: name[:1], DiskID: 1, Zone: zone, Eligible: true}
 			if strings.HasSuffix(name, "2") {
-				candidate.Life = 2
+				candidate.DiskID = 2
 			}
 			s.Candidates = append(s.Candidates, candidate)
 		}
 		current := paxos.Membership{Number: 7, Voters: voters}
-		next, due := paxos.Plan(current, s)
+		next, due := paxos.PlanMembership(current, s)
 		got := ""
 		for _, name := range next.Addresses() {
 			got += name
--- a/paxos/reconfigurer.go
+++ b/paxos/reconfigurer.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// sealedWait is how long an acceptor that accepted a successor waits to hear
+	// sealedResolveDelay is how long an acceptor that accepted a successor waits to hear
 	// that it was chosen before it settles which membership is the newest: either the
 	// successor is chosen, or a later ballot takes it back and the voter votes again.
-	sealedWait = 150_000
-	// turnWait is how long each voter leaves a change of the membership to those
+	sealedResolveDelay = 150_000
+	// turnInterval is how long each voter leaves a change of the membership to those
 	// that rank before it.
-	turnWait = 300_000
-	// changeDeadline is how long a change of the membership is tried.
-	changeDeadline = 2_000_000
+	turnInterval = 300_000
+	// changeTimeout is how long a change of the membership is tried.
+	changeTimeout = 2_000_000
 )
 
 // Reconfigurer decides when this voter puts a change of the membership to the
 // vote: at most one at a time, and the voters take turns so that they seldom
 // compete. Which membership follows is Plan's.
 type Reconfigurer struct {
-	self    string
-	name    string // unique to this run of the process
-	count   uint64
-	pending bool
-	since   int64 // since when a change is due here
-	sealed  int64 // since when the acceptor is sealed
+	self           string
+	name           string // unique to this run of the process
+	changeCount    uint64
+	pending        bool
+	changeDueSince int64 // since when a change is due here
+	sealedSince    int64 // since when the acceptor is sealed
 }
 
 // NewReconfigurer makes a reconfigurer; run must be a name that no earlier run of
@@ -43,57 +43,57 @@
 
 // Step is the change to put to the vote now, if any. Silent names the voters that
 // were not heard lately, which are not waited for.
-func (r *Reconfigurer) Step(now int64, a *Acceptor, s Survey) (Change, bool) {
+func (r *Reconfigurer) Step(now int64, a *Acceptor, s PlanningInput) (Change, bool) {
 	if r.pending {
 		return Change{}, false
 	}
 	if a.Sealed() {
-		if r.sealed == 0 {
-			r.sealed = now
+		if r.sealedSince == 0 {
+			r.sealedSince = now
 		}
-		if now-r.sealed < sealedWait+r.turn(a, s)/2 {
+		if now-r.sealedSince < sealedResolveDelay+r.turnDelay(a, s)/2 {
 			return Change{}, false
 		}
-		r.sealed = now
-		return r.change(now, Change{Read: true, Settle: true}), true
+		r.sealedSince = now
+		return r.newChange(now, Change{ReadOnly: true, Recommit: true}), true
 	}
-	r.sealed = 0
-	if !a.Votes() {
-		r.since = 0
+	r.sealedSince = 0
+	if !a.IsVoter() {
+		r.changeDueSince = 0
 		return Change{}, false
 	}
-	next, due := Plan(a.Membership(), s)
+	next, due := PlanMembership(a.Membership(), s)
 	if !due {
-		r.since = 0
+		r.changeDueSince = 0
 		return Change{}, false
 	}
-	if r.since == 0 {
-		r.since = now
+	if r.changeDueSince == 0 {
+		r.changeDueSince = now
 	}
-	if now-r.since < r.turn(a, s) {
+	if now-r.changeDueSince < r.turnDelay(a, s) {
 		return Change{}, false
 	}
-	r.since = 0
-	return r.change(now, Change{Base: a.Membership().Number, Data: next.Encode()}), true
+	r.changeDueSince = 0
+	return r.newChange(now, Change{BaseRevision: a.Membership().Number, Data: next.Encode()}), true
 }
 
-// turn is how long this voter leaves a change to others.
-func (r *Reconfigurer) turn(a *Acceptor, s Survey) int64 {
+// turnDelay is how long this voter leaves a change to others.
+func (r *Reconfigurer) turnDelay(a *Acceptor, s PlanningInput) int64 {
 	rank := step.Rank("membership", a.Membership().Addresses())
-	rank = slices.DeleteFunc(rank, func(o string) bool { return s.Lost[o] && o != r.self })
-	return int64(slices.Index(rank, r.self)) * turnWait
+	rank = slices.DeleteFunc(rank, func(o string) bool { return s.Unavailable[o] && o != r.self })
+	return int64(slices.Index(rank, r.self)) * turnInterval
 }
 
-func (r *Reconfigurer) change(now int64, c Change) Change {
-	r.count++
+func (r *Reconfigurer) newChange(now int64, c Change) Change {
+	r.changeCount++
 	r.pending = true
-	c.Key, c.Name, c.Deadline = MembershipKey, fmt.Sprintf("%s#membership#%d", r.name, r.count), now+changeDeadline
+	c.Key, c.ID, c.Deadline = MembershipKey, fmt.Sprintf("%s#membership#%d", r.name, r.changeCount), now+changeTimeout
 	return c
 }
 
 // ChosenMembership is the membership that an outcome shows to be chosen.
 func ChosenMembership(o Outcome) (Membership, bool) {
-	if o.Change.Key != MembershipKey || o.Verdict != Agreed && o.Verdict != Lost || o.Value == nil {
+	if o.Change.Key != MembershipKey || o.Verdict != Committed && o.Verdict != Conflict || o.Value == nil {
 		return Membership{}, false
 	}
 	m, err := DecodeMembership(o.Value.GetData())
@@ -103,7 +103,7 @@
 // IsForAcceptor reports whether an envelope is for a process's acceptor.
 func IsForAcceptor(e *schema.Envelope) bool {
 	switch e.Body.(type) {
-	case *schema.Envelope_Prepare, *schema.Envelope_Accept, *schema.Envelope_Found, *schema.Envelope_JoinRequest,
+	case *schema.Envelope_Prepare, *schema.Envelope_Accept, *schema.Envelope_FounderReport, *schema.Envelope_JoinRequest,
 		*schema.Envelope_StateRequest, *schema.Envelope_StateResponse, *schema.Envelope_MembershipNotice:
 		return true
 	}
--- a/paxos/runs_test.go
+++ b/paxos/runs_test.go
@@ -10,40 +10,40 @@
 
 // run is a proposer of one run of a's process, and what it asks the voters.
 type run struct {
-	p     *Proposer
-	ended []Outcome
-	asks  []*schema.Envelope // one for each time that all were asked
+	proposer *Proposer
+	outcomes []Outcome
+	requests []*schema.Envelope // one for each time that all were asked
 }
 
 func newRun(name string) *run {
-	r := &run{p: NewProposer("a", name, nil)}
-	r.p.SetMembership(1, runsVoters)
+	r := &run{proposer: NewProposer("a", name, nil)}
+	r.proposer.SetMembership(1, runsVoters)
 	return r
 }
 
-func (r *run) took(fx ProposerEffects) {
-	r.ended = append(r.ended, fx.Outcomes...)
-	for _, s := range fx.Send {
+func (r *run) applyEffects(effects ProposerEffects) {
+	r.outcomes = append(r.outcomes, effects.Outcomes...)
+	for _, s := range effects.Send {
 		if s.To == "a" {
-			r.asks = append(r.asks, s.Env)
+			r.requests = append(r.requests, s.Envelope)
 		}
 	}
 }
 
-func (r *run) ask(c Change) {
+func (r *run) propose(c Change) {
 	c.Key, c.Deadline = "k", 1_000_000
-	r.took(r.p.Ask(1, c))
+	r.applyEffects(r.proposer.Propose(1, c))
 }
 
 // replies hands a reply of a voter to the newest question of another run.
 func (r *run) promises(of *run, from string) {
-	m := of.asks[len(of.asks)-1].GetPrepare()
-	r.took(r.p.Step(2, &schema.Envelope{From: from, Body: &schema.Envelope_Promise{Promise: &schema.Promise{Key: "k", Attempt: m.Attempt, Given: true, Promised: m.Ballot, Membership: 1, Life: runsVoters.Voters[from]}}}))
+	m := of.requests[len(of.requests)-1].GetPrepare()
+	r.applyEffects(r.proposer.Step(2, &schema.Envelope{From: from, Body: &schema.Envelope_Promise{Promise: &schema.Promise{Key: "k", Attempt: m.Attempt, Granted: true, Promised: m.Ballot, Membership: 1, DiskId: runsVoters.Voters[from]}}}))
 }
 
 func (r *run) accepts(of *run, from string) {
-	m := of.asks[len(of.asks)-1].GetAccept()
-	r.took(r.p.Step(3, &schema.Envelope{From: from, Body: &schema.Envelope_Accepted{Accepted: &schema.Accepted{Key: "k", Attempt: m.Attempt, Given: true, Promised: m.Ballot, Membership: 1, Life: runsVoters.Voters[from]}}}))
+	m := of.requests[len(of.requests)-1].GetAccept()
+	r.applyEffects(r.proposer.Step(3, &schema.Envelope{From: from, Body: &schema.Envelope_Accepted{Accepted: &schema.Accepted{Key: "k", Attempt: m.Attempt, Granted: true, Promised: m.Ballot, Membership: 1, DiskId: runsVoters.Voters[from]}}}))
 }
 
 // TestRepliesToAnEarlierRunDoNotCount: a process that starts again begins with a
@@ -53,36 +53,36 @@
 func TestRepliesToAnEarlierRunDoNotCount(t *testing.T) {
 	earlier, later := newRun("1"), newRun("2")
 	for _, r := range []*run{earlier, later} {
-		r.ask(Change{Name: "reading", Read: true})
+		r.propose(Change{ID: "reading", ReadOnly: true})
 	}
 	later.promises(later, "a")
 	later.promises(earlier, "b")
 	later.promises(earlier, "c")
-	if len(later.ended) > 0 {
-		t.Fatalf("a reading ends with what was said to an earlier run: %+v", later.ended)
+	if len(later.outcomes) > 0 {
+		t.Fatalf("a reading ends with what was said to an earlier run: %+v", later.outcomes)
 	}
 	later.promises(later, "b")
-	if len(later.ended) != 1 || later.ended[0].Verdict != Agreed {
-		t.Fatalf("the reading ends with %+v", later.ended)
+	if len(later.outcomes) != 1 || later.outcomes[0].Verdict != Committed {
+		t.Fatalf("the reading ends with %+v", later.outcomes)
 	}
 
 	earlier, later = newRun("1"), newRun("2")
 	for _, r := range []*run{earlier, later} {
-		r.ask(Change{Name: "change"})
+		r.propose(Change{ID: "change"})
 		r.promises(r, "a")
 		r.promises(r, "b")
-		if r.asks[len(r.asks)-1].GetAccept() == nil {
+		if r.requests[len(r.requests)-1].GetAccept() == nil {
 			t.Fatal("nothing was put to the vote")
 		}
 	}
 	later.accepts(later, "a")
 	later.accepts(earlier, "b")
 	later.accepts(earlier, "c")
-	if len(later.ended) > 0 {
-		t.Fatalf("a change is agreed on what an earlier run was told: %+v", later.ended)
+	if len(later.outcomes) > 0 {
+		t.Fatalf("a change is agreed on what an earlier run was told: %+v", later.outcomes)
 	}
 	later.accepts(later, "c")
-	if len(later.ended) != 1 || later.ended[0].Verdict != Agreed {
-		t.Fatalf("the change ends with %+v", later.ended)
+	if len(later.outcomes) != 1 || later.outcomes[0].Verdict != Committed {
+		t.Fatalf("the change ends with %+v", later.outcomes)
 	}
 }
--- a/paxos/transfer.go
+++ b/paxos/transfer.go
@@ -16,7 +16,7 @@
 // acceptor's, and of those that vote under it already. One that holds nothing of the
 // membership before asks one process at a time: what it is sent may be large, and a
 // single voter of the present membership is enough.
-func (a *Acceptor) requestState(fx *Effects) {
+func (a *Acceptor) requestState(effects *Effects) {
 	sources := step.Rank(a.self, a.membership.Addresses())
 	for _, address := range slices.Sorted(maps.Keys(a.membership.Previous)) {
 		if !slices.Contains(sources, address) {
@@ -24,142 +24,142 @@
 		}
 	}
 	sources = slices.DeleteFunc(sources, func(address string) bool { return address == a.self })
-	if !a.held(a.self, a.life) && len(sources) > 0 {
-		at := a.asked / requestsPerSource % len(sources)
-		a.asked++
-		sources = sources[at : at+1]
+	if !a.votedPreviously(a.self, a.diskID) && len(sources) > 0 {
+		next := a.stateRequestCount / requestsPerSource % len(sources)
+		a.stateRequestCount++
+		sources = sources[next : next+1]
 	}
 	for _, address := range sources {
-		a.send(fx, address, &schema.Envelope{Body: &schema.Envelope_StateRequest{
-			StateRequest: &schema.StateRequest{Membership: a.membership.Message(), Life: a.life}}})
+		a.send(effects, address, &schema.Envelope{Body: &schema.Envelope_StateRequest{
+			StateRequest: &schema.StateRequest{Membership: a.membership.Proto(), DiskId: a.diskID}}})
 	}
-	a.activate(fx)
+	a.activate(effects)
 }
 
-// Newcomer reports whether this acceptor did not vote under the membership before
+// IsNewcomer reports whether this acceptor did not vote under the membership before
 // the newest.
-func (a *Acceptor) Newcomer() bool { return !a.held(a.self, a.life) }
+func (a *Acceptor) IsNewcomer() bool { return !a.votedPreviously(a.self, a.diskID) }
 
-// held reports whether a disk voted under the membership before the newest.
-func (a *Acceptor) held(address string, life uint64) bool {
-	return holds(a.membership.Previous, address, life)
+// votedPreviously reports whether a disk voted under the membership before the newest.
+func (a *Acceptor) votedPreviously(address string, diskID uint64) bool {
+	return hasVoter(a.membership.Previous, address, diskID)
 }
 
-// requestVote asks the voters to be made one of them.
-func (a *Acceptor) requestVote(fx *Effects) {
+// requestJoin asks the voters to be made one of them.
+func (a *Acceptor) requestJoin(effects *Effects) {
 	for _, address := range a.membership.Addresses() {
 		if address != a.self {
-			a.send(fx, address, &schema.Envelope{Body: &schema.Envelope_JoinRequest{JoinRequest: &schema.JoinRequest{
-				Life: a.life, Zone: a.place.Zone, Region: a.place.Region, Counts: a.place.Counts, Membership: a.membership.Number}}})
+			a.send(effects, address, &schema.Envelope{Body: &schema.Envelope_JoinRequest{JoinRequest: &schema.JoinRequest{
+				DiskId: a.diskID, Zone: a.location.Zone, Region: a.location.Region, Eligible: a.location.Eligible, Membership: a.membership.Number}}})
 		}
 	}
 }
 
-func (a *Acceptor) joinRequested(fx *Effects, now int64, from string, m *schema.JoinRequest) {
-	if a.membership.Has(from, m.Life) {
-		a.notify(fx, from) // it votes and does not know it yet
+func (a *Acceptor) handleJoinRequest(effects *Effects, now int64, from string, m *schema.JoinRequest) {
+	if a.membership.HasVoter(from, m.DiskId) {
+		a.sendMembershipNotice(effects, from) // it votes and does not know it yet
 		return
 	}
-	a.candidates[from] = Candidate{Address: from, Life: m.Life, Zone: m.Zone, Region: m.Region, Counts: m.Counts, At: now}
+	a.candidates[from] = Candidate{Address: from, DiskID: m.DiskId, Zone: m.Zone, Region: m.Region, Eligible: m.Eligible, RequestedAt: now}
 	if m.Membership < a.membership.Number {
-		a.notify(fx, from)
+		a.sendMembershipNotice(effects, from)
 	}
 }
 
-// stateRequested hands out what this acceptor holds. The membership named is
+// handleStateRequest hands out what this acceptor holds. The membership named is
 // chosen, so from here on it votes under no earlier one.
-func (a *Acceptor) stateRequested(fx *Effects, from string, m *schema.StateRequest) {
-	wanted := ReadMembership(m.Membership)
+func (a *Acceptor) handleStateRequest(effects *Effects, from string, m *schema.StateRequest) {
+	wanted := MembershipFromProto(m.Membership)
 	if wanted.Number < a.membership.Number {
-		a.notify(fx, from)
+		a.sendMembershipNotice(effects, from)
 		return
 	}
 	if !a.trusts(from, wanted, nil) {
 		return
 	}
-	a.adopt(fx, wanted)
-	if a.active+1 < wanted.Number || a.active == 0 {
+	a.adoptMembership(effects, wanted)
+	if a.activeMembership+1 < wanted.Number || a.activeMembership == 0 {
 		return // it never held what was chosen under the membership before
 	}
-	if a.active < wanted.Number && a.membership.Has(a.self, a.life) && !a.held(from, m.Life) {
+	if a.activeMembership < wanted.Number && a.membership.HasVoter(a.self, a.diskID) && !a.votedPreviously(from, m.DiskId) {
 		return // a newcomer is better served once this acceptor votes
 	}
-	a.send(fx, from, &schema.Envelope{Body: &schema.Envelope_StateResponse{StateResponse: &schema.StateResponse{
-		Membership: wanted.Number, Active: a.active, Life: a.life, Cells: a.cells()}}})
+	a.send(effects, from, &schema.Envelope{Body: &schema.Envelope_StateResponse{StateResponse: &schema.StateResponse{
+		Membership: wanted.Number, ActiveMembership: a.activeMembership, DiskId: a.diskID, Registers: a.registerStates()}}})
 }
 
-func (a *Acceptor) stateReceived(fx *Effects, from string, m *schema.StateResponse) {
-	if m.Membership != a.membership.Number || a.active == a.membership.Number {
+func (a *Acceptor) handleStateResponse(effects *Effects, from string, m *schema.StateResponse) {
+	if m.Membership != a.membership.Number || a.activeMembership == a.membership.Number {
 		return
 	}
-	current := m.Active == a.membership.Number && a.membership.Has(from, m.Life)
-	previous := m.Active+1 == a.membership.Number && a.held(from, m.Life)
+	current := m.ActiveMembership == a.membership.Number && a.membership.HasVoter(from, m.DiskId)
+	previous := m.ActiveMembership+1 == a.membership.Number && a.votedPreviously(from, m.DiskId)
 	if !current && !previous {
 		return
 	}
-	a.states[from] = m
-	a.activate(fx)
+	a.stateResponses[from] = m
+	a.activate(effects)
 }
 
-func holds(voters map[string]uint64, address string, life uint64) bool {
+func hasVoter(voters map[string]uint64, address string, diskID uint64) bool {
 	l, ok := voters[address]
-	return ok && l == life
+	return ok && l == diskID
 }
 
 // activate has this acceptor vote under the newest membership once it holds all
 // that may have been chosen before: what a voter under that membership holds, or
 // what a majority of the voters under the one before held when they stopped
 // (design 3.4).
-func (a *Acceptor) activate(fx *Effects) {
-	if a.active == a.membership.Number || !a.membership.Has(a.self, a.life) {
+func (a *Acceptor) activate(effects *Effects) {
+	if a.activeMembership == a.membership.Number || !a.membership.HasVoter(a.self, a.diskID) {
 		return
 	}
-	sources, enough := a.sources()
+	sources, enough := a.stateSources()
 	if a.membership.Number == firstMembership {
-		a.recordMembership() // nothing was chosen before
+		a.recordFirstMembership() // nothing was chosen before
 	} else if !enough {
 		return
 	}
 	for _, s := range sources {
-		for _, c := range s.Cells {
-			a.merge(fx, c)
+		for _, c := range s.Registers {
+			a.mergeRegister(effects, c)
 		}
 	}
-	if a.at(MembershipKey).value.GetRevision() < a.membership.Number {
+	if a.ensureRegister(MembershipKey).value.GetRevision() < a.membership.Number {
 		return // nobody who held the choice is among them, against design 3.4
 	}
-	a.active = a.membership.Number
-	a.states = map[string]*schema.StateResponse{}
+	a.activeMembership = a.membership.Number
+	a.stateResponses = map[string]*schema.StateResponse{}
 	for _, r := range a.registers {
-		r.promised = copyBallot(r.accepted) // promises of earlier memberships bind nobody now
+		r.promised = cloneBallot(r.accepted) // promises of earlier memberships bind nobody now
 	}
-	fx.Log = append(fx.Log, a.Snapshot())
+	effects.Log = append(effects.Log, a.Snapshot())
 }
 
-// sources are the states to begin with, and whether they are enough. What a voter
+// stateSources are the states to begin with, and whether they are enough. What a voter
 // under the present membership accepted under it is accepted here as if its
 // proposer had sent it here: this acceptor has promised nothing under it.
-func (a *Acceptor) sources() ([]*schema.StateResponse, bool) {
+func (a *Acceptor) stateSources() ([]*schema.StateResponse, bool) {
 	var previous []*schema.StateResponse
-	for _, from := range slices.Sorted(maps.Keys(a.states)) {
-		s := a.states[from]
-		if s.Active == a.membership.Number {
+	for _, from := range slices.Sorted(maps.Keys(a.stateResponses)) {
+		s := a.stateResponses[from]
+		if s.ActiveMembership == a.membership.Number {
 			return []*schema.StateResponse{s}, true
 		}
 		previous = append(previous, s)
 	}
-	held := len(previous)
-	if a.active > 0 && a.active+1 == a.membership.Number && a.held(a.self, a.life) {
-		held++ // what it holds itself
+	stateCount := len(previous)
+	if a.activeMembership > 0 && a.activeMembership+1 == a.membership.Number && a.votedPreviously(a.self, a.diskID) {
+		stateCount++ // what it holds itself
 	}
-	return previous, held > len(a.membership.Previous)/2
+	return previous, stateCount > len(a.membership.Previous)/2
 }
 
-// merge takes a register that another acceptor holds where it is newer.
-func (a *Acceptor) merge(fx *Effects, c *schema.Cell) {
-	r := a.at(c.Key)
-	if c.Value != nil && (r.value == nil || Less(r.accepted, c.Accepted)) {
-		r.accepted, r.value = copyBallot(c.Accepted), c.Value
-		fx.Accepted = append(fx.Accepted, c.Key)
+// mergeRegister takes a register that another acceptor holds where it is newer.
+func (a *Acceptor) mergeRegister(effects *Effects, c *schema.RegisterState) {
+	r := a.ensureRegister(c.Key)
+	if c.Value != nil && (r.value == nil || BallotLess(r.accepted, c.Accepted)) {
+		r.accepted, r.value = cloneBallot(c.Accepted), c.Value
+		effects.AcceptedKeys = append(effects.AcceptedKeys, c.Key)
 	}
 }
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -15,188 +15,190 @@
 )
 
 const (
-	// LengthUs is how long a permit lasts from the start of the ask that it
+	// LeaseDurationUs is how long a permit lasts from the start of the ask that it
 	// returns.
-	LengthUs = 5_000_000
-	// goneUs is when a holder takes a permit to have surely run out: a tenth
+	LeaseDurationUs = 5_000_000
+	// leaseEndWithMarginUs is when a holder takes a permit to have surely run out: a tenth
 	// longer, for clocks that run at different rates.
-	goneUs = LengthUs * 11 / 10
-	// AskEvery is the time between two asks.
-	AskEvery = 400_000
+	leaseEndWithMarginUs = LeaseDurationUs * 11 / 10
+	// RequestInterval is the time between two asks.
+	RequestInterval = 400_000
 )
 
-type grant struct {
-	number uint64 // of the newest ask that was served
-	n      map[string]int32
-	until  int64
-	heard  int64
-	handed map[string]int32 // by the holder before, for that ask
+type lease struct {
+	requestNumber uint64 // of the newest ask that was served
+	connections   map[string]int32
+	expiresAt     int64
+	lastRequestAt int64
+	inherited     map[string]int32 // by the holder before, for that ask
 }
 
-type who struct {
+type lesseeKey struct {
 	node string
 	run  uint64
 }
 
-// Holder divides one group's limits. It is used by the holder of the group's
+// Lessor divides one group's limits. It is used by the holder of the group's
 // duty, while that holder is the only one.
-type Holder struct {
-	nodes map[who]*grant
-	began int64
-	free  bool
+type Lessor struct {
+	leases    map[lesseeKey]*lease
+	startedAt int64
+	complete  bool
 }
 
-// NewHolder begins to divide; first says that no holder came before.
-func NewHolder(now int64, first bool) *Holder {
-	return &Holder{nodes: map[who]*grant{}, began: now, free: first}
+// NewLessor begins to divide; first says that no holder came before.
+func NewLessor(now int64, complete bool) *Lessor {
+	return &Lessor{leases: map[lesseeKey]*lease{}, startedAt: now, complete: complete}
 }
 
-// Handed begins to divide where another holder stopped and said all that it had
+// NewLessorFromLeases begins to divide where another holder stopped and said all that it had
 // given: nothing outstanding is unknown, so growth need not wait.
-func Handed(now int64, gs *schema.Grants) *Holder {
-	h := NewHolder(now, true)
-	for _, g := range gs.Grants {
-		h.nodes[who{g.Node, g.Run}] = &grant{number: g.Number, n: maps.Clone(g.Connections), handed: g.Connections, until: now + goneUs, heard: now}
+func NewLessorFromLeases(now int64, leases *schema.ConnectionLeases) *Lessor {
+	h := NewLessor(now, true)
+	for _, g := range leases.Leases {
+		h.leases[lesseeKey{g.Node, g.Run}] = &lease{requestNumber: g.RequestNumber, connections: maps.Clone(g.Connections), inherited: g.Connections, expiresAt: now + leaseEndWithMarginUs, lastRequestAt: now}
 	}
 	return h
 }
 
-// Grants is all that was given and may still be in use; the holder that says so
+// Leases is all that was given and may still be in use; the holder that says so
 // gives nothing any more.
-func (h *Holder) Grants(now int64) *schema.Grants {
-	gs := &schema.Grants{}
-	for k, g := range h.nodes {
-		if now < g.until {
-			gs.Grants = append(gs.Grants, &schema.Grant{Node: k.node, Run: k.run, Number: g.number, Connections: g.n})
+func (h *Lessor) Leases(now int64) *schema.ConnectionLeases {
+	leases := &schema.ConnectionLeases{}
+	for k, g := range h.leases {
+		if now < g.expiresAt {
+			leases.Leases = append(leases.Leases, &schema.ConnectionLease{Node: k.node, Run: k.run, RequestNumber: g.requestNumber, Connections: g.connections})
 		}
 	}
-	slices.SortFunc(gs.Grants, func(a, b *schema.Grant) int { return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Run, b.Run)) })
-	return gs
+	slices.SortFunc(leases.Leases, func(a, b *schema.ConnectionLease) int {
+		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Run, b.Run))
+	})
+	return leases
 }
 
-// Ask serves a node. wants says whether the node should have any share.
-func (h *Holder) Ask(now int64, from string, a *schema.PermitAsk, limits map[string]int32, wants bool) *schema.PermitGive {
-	maps.DeleteFunc(h.nodes, func(_ who, g *grant) bool { return now >= g.until })
+// HandleRequest serves a node. wants says whether the node should have any share.
+func (h *Lessor) HandleRequest(now int64, from string, request *schema.ConnectionLeaseRequest, limits map[string]int32, eligible bool) *schema.ConnectionLeaseResponse {
+	maps.DeleteFunc(h.leases, func(_ lesseeKey, entry *lease) bool { return now >= entry.expiresAt })
 	// A holder that came after another cannot know which permits that one gave
 	// until all of them have run out: till then it gives no growth.
-	grow := h.Whole(now)
-	k := who{from, a.Run}
-	g := h.nodes[k]
-	if g == nil {
-		g = &grant{n: map[string]int32{}}
-		h.nodes[k] = g
+	grow := h.Complete(now)
+	key := lesseeKey{from, request.Run}
+	entry := h.leases[key]
+	if entry == nil {
+		entry = &lease{connections: map[string]int32{}}
+		h.leases[key] = entry
 	}
-	if a.Number > g.number {
+	if request.RequestNumber > entry.requestNumber {
 		// Whatever the holder before gave for an earlier ask shows in this one.
-		g.number, g.handed = a.Number, nil
+		entry.requestNumber, entry.inherited = request.RequestNumber, nil
 	}
-	n := int32(0)
-	for _, o := range h.nodes {
-		if o == g || now-o.heard < 3*AskEvery {
-			n++
+	holders := int32(0)
+	for _, other := range h.leases {
+		if other == entry || now-other.lastRequestAt < 3*RequestInterval {
+			holders++
 		}
 	}
-	out := &schema.PermitGive{Group: a.Group, Number: a.Number, Connections: map[string]int32{}, LengthUs: LengthUs}
-	for db, lim := range limits {
+	response := &schema.ConnectionLeaseResponse{Group: request.Group, RequestNumber: request.RequestNumber, Connections: map[string]int32{}, DurationUs: LeaseDurationUs}
+	for db, limit := range limits {
 		others := int32(0)
-		for _, o := range h.nodes {
-			if o != g {
-				others += o.n[db]
+		for _, other := range h.leases {
+			if other != entry {
+				others += other.connections[db]
 			}
 		}
-		has := a.Upholds[db]
-		give := min(lim/n, lim-others)
+		inUse := request.InUse[db]
+		leased := min(limit/holders, limit-others)
 		switch {
 		case grow:
-		case a.Permitted != nil:
+		case request.Leased != nil:
 			// What is open beyond its permit may long be another's share.
-			give = min(give, a.Permitted.Connections[db])
+			leased = min(leased, request.Leased.Connections[db])
 		default:
-			give = min(give, has)
+			leased = min(leased, inUse)
 		}
-		if !wants {
-			give = 0
+		if !eligible {
+			leased = 0
 		}
-		give = max(give, 0)
+		leased = max(leased, 0)
 		// What the node upholds is outstanding until it confirms less.
-		g.n[db] = max(has, give, g.handed[db])
-		out.Connections[db] = give
+		entry.connections[db] = max(inUse, leased, entry.inherited[db])
+		response.Connections[db] = leased
 	}
-	g.until, g.heard = now+goneUs, now
-	return out
+	entry.expiresAt, entry.lastRequestAt = now+leaseEndWithMarginUs, now
+	return response
 }
 
-// Whole says whether all that may be in use is known: not yet to a holder that
+// Complete says whether all that may be in use is known: not yet to a holder that
 // took over from one that did not tell.
-func (h *Holder) Whole(now int64) bool { return h.free || now >= h.began+goneUs }
+func (h *Lessor) Complete(now int64) bool { return h.complete || now >= h.startedAt+leaseEndWithMarginUs }
 
-// Sum is what may be in use of a database at the most.
-func (h *Holder) Sum(now int64, db string) int32 {
+// MaxInUse is what may be in use of a database at the most.
+func (h *Lessor) MaxInUse(now int64, db string) int32 {
 	var s int32
-	for _, g := range h.nodes {
-		if now < g.until {
-			s += g.n[db]
+	for _, g := range h.leases {
+		if now < g.expiresAt {
+			s += g.connections[db]
 		}
 	}
 	return s
 }
 
-// Asker is a node's side.
-type Asker struct {
-	group  string
-	run    uint64
-	number uint64
-	sent   int64
-	until  int64
-	caps   map[string]int32
-	next   int64
+// Lessee is a node's side.
+type Lessee struct {
+	group         string
+	run           uint64
+	requestNumber uint64
+	sentAt        int64
+	expiresAt     int64
+	leased        map[string]int32
+	nextRequestAt int64
 }
 
-// NewAsker makes a node's side for one group.
-func NewAsker(group string, run uint64) *Asker {
-	return &Asker{group: group, run: run, number: step.FirstNumber("permit", group, strconv.FormatUint(run, 10)), caps: map[string]int32{}}
+// NewLessee makes a node's side for one group.
+func NewLessee(group string, run uint64) *Lessee {
+	return &Lessee{group: group, run: run, requestNumber: step.FirstRequestNumber("permit", group, strconv.FormatUint(run, 10)), leased: map[string]int32{}}
 }
 
-// Tick returns an ask when one is due. inUse is how many connections are open
+// NextRequest returns an ask when one is due. inUse is how many connections are open
 // to each database.
-func (a *Asker) Tick(now int64, inUse map[string]int) *schema.PermitAsk {
-	if now < a.next {
+func (a *Lessee) NextRequest(now int64, inUse map[string]int) *schema.ConnectionLeaseRequest {
+	if now < a.nextRequestAt {
 		return nil
 	}
-	a.next, a.sent = now+AskEvery, now
-	a.number++
-	m := &schema.PermitAsk{Group: a.group, Number: a.number, Run: a.run, Upholds: map[string]int32{}}
-	if now >= a.until {
-		a.caps = map[string]int32{}
+	a.nextRequestAt, a.sentAt = now+RequestInterval, now
+	a.requestNumber++
+	m := &schema.ConnectionLeaseRequest{Group: a.group, RequestNumber: a.requestNumber, Run: a.run, InUse: map[string]int32{}}
+	if now >= a.expiresAt {
+		a.leased = map[string]int32{}
 	}
-	m.Permitted = &schema.Permitted{Connections: maps.Clone(a.caps)}
-	for db, n := range a.caps {
-		m.Upholds[db] = n
+	m.Leased = &schema.LeasedConnections{Connections: maps.Clone(a.leased)}
+	for db, n := range a.leased {
+		m.InUse[db] = n
 	}
 	for db, n := range inUse {
-		m.Upholds[db] = max(m.Upholds[db], int32(n))
+		m.InUse[db] = max(m.InUse[db], int32(n))
 	}
 	return m
 }
 
-// Give takes a return; one to an earlier ask is void. It says whether the
+// HandleResponse takes a return; one to an earlier ask is void. It says whether the
 // permit changed.
-func (a *Asker) Give(g *schema.PermitGive) bool {
-	if g.Number != a.number || g.Group != a.group {
+func (a *Lessee) HandleResponse(g *schema.ConnectionLeaseResponse) bool {
+	if g.RequestNumber != a.requestNumber || g.Group != a.group {
 		return false
 	}
-	old := a.caps
-	a.caps, a.until = maps.Clone(g.Connections), a.sent+g.LengthUs
-	return !maps.Equal(old, a.caps)
+	old := a.leased
+	a.leased, a.expiresAt = maps.Clone(g.Connections), a.sentAt+g.DurationUs
+	return !maps.Equal(old, a.leased)
 }
 
-// Cap is how many connections to a database this node may hold now.
-func (a *Asker) Cap(now int64, db string) int {
-	if now >= a.until {
+// Limit is how many connections to a database this node may hold now.
+func (a *Lessee) Limit(now int64, db string) int {
+	if now >= a.expiresAt {
 		return 0
 	}
-	return int(a.caps[db])
+	return int(a.leased[db])
 }
 
-// UntilUs is when the permit runs out.
-func (a *Asker) UntilUs() int64 { return a.until }
+// ExpiresAt is when the permit runs out.
+func (a *Lessee) ExpiresAt() int64 { return a.expiresAt }
--- a/pool/callers.go
+++ b/pool/callers.go
@@ -15,28 +15,28 @@
 	"stoneford/result"
 )
 
-const bodyMost = 1 << 20
+const maxBodyBytes = 1 << 20
 
 // reply is the shape of every return to a caller.
 type reply struct {
-	Code         result.Code       `json:"code"`
-	Text         string            `json:"text"`
-	Detail       string            `json:"detail,omitempty"`
-	Outcome      result.Outcome    `json:"outcome"`
-	Session      string            `json:"session,omitempty"`
-	Rows         [][][]string      `json:"rows,omitempty"`
-	RetryAfterUs int64             `json:"retry_after_us,omitempty"`
-	Token        *querytable.Token `json:"token,omitempty"`
-	Copy         string            `json:"copy,omitempty"`
-	Replica      bool              `json:"replica,omitempty"`
-	Position     int64             `json:"position,omitempty"`
-	Open         bool              `json:"open,omitempty"`
+	Code          result.Code       `json:"code"`
+	Text          string            `json:"text"`
+	Detail        string            `json:"detail,omitempty"`
+	Outcome       result.Outcome    `json:"outcome"`
+	Session       string            `json:"session,omitempty"`
+	Rows          [][][]string      `json:"rows,omitempty"`
+	RetryAfterUs  int64             `json:"retry_after_us,omitempty"`
+	Token         *querytable.Token `json:"token,omitempty"`
+	Database      string            `json:"copy,omitempty"`
+	Replica       bool              `json:"replica,omitempty"`
+	Position      int64             `json:"position,omitempty"`
+	InTransaction bool              `json:"open,omitempty"`
 }
 
 func (p *Process) handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("POST /v1/sessions", p.openSession)
-	m.HandleFunc("DELETE /v1/sessions/{id}", p.shutSession)
+	m.HandleFunc("DELETE /v1/sessions/{id}", p.closeSession)
 	m.HandleFunc("POST /v1/sessions/{id}/values", p.changeSession)
 	m.HandleFunc("POST /v1/sessions/{id}/queries", p.querySession)
 	m.HandleFunc("GET /v1/ready", p.ready)
@@ -45,9 +45,9 @@
 	return m
 }
 
-// give writes a return. Behind a stopping node's no further query is to come
+// writeReply writes a return. Behind a stopping node's no further query is to come
 // over the same TCP connection: it would find nobody.
-func (p *Process) give(w http.ResponseWriter, r reply) {
+func (p *Process) writeReply(w http.ResponseWriter, r reply) {
 	if p.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -61,14 +61,14 @@
 	json.NewEncoder(w).Encode(r)
 }
 
-func (p *Process) refuse(w http.ResponseWriter, c result.Code, detail string) {
-	p.give(w, reply{Code: c, Detail: detail, Outcome: result.NothingKept})
+func (p *Process) reject(w http.ResponseWriter, c result.Code, detail string) {
+	p.writeReply(w, reply{Code: c, Detail: detail, Outcome: result.NoEffect})
 }
 
-// body reads the one JSON value a path takes; a name it does not know is an
+// readBody reads the one JSON value a path takes; a name it does not know is an
 // error, since leaving it out would change what was asked.
-func (p *Process) body(w http.ResponseWriter, r *http.Request, v any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost))
+func (p *Process) readBody(w http.ResponseWriter, r *http.Request, v any) bool {
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	err := d.Decode(v)
 	if err == nil && d.More() {
@@ -77,9 +77,9 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		p.refuse(w, result.TooLarge, "")
+		p.reject(w, result.TooLarge, "")
 	case err != nil:
-		p.refuse(w, result.BadJSON, err.Error())
+		p.reject(w, result.BadJSON, err.Error())
 	}
 	return err == nil
 }
@@ -94,83 +94,83 @@
 
 func (p *Process) openSession(w http.ResponseWriter, r *http.Request) {
 	var b sessionBody
-	if !p.body(w, r, &b) {
+	if !p.readBody(w, r, &b) {
 		return
 	}
-	rs := *p.routes.Load()
-	rt, ok := rs[b.Route]
+	routes := *p.routes.Load()
+	rt, ok := routes[b.Route]
 	var g *runner
 	if ok {
-		g = (*p.groups.Load())[rt.Group]
+		g = (*p.sharedRunners.Load())[rt.Group]
 	}
 	switch {
 	case p.stopping.Load():
-		p.refuse(w, result.Stopping, "")
+		p.reject(w, result.Stopping, "")
 		return
-	case len(rs) == 0 || ok && g == nil:
-		p.give(w, reply{Code: result.NotConfigured, Outcome: result.NothingKept, RetryAfterUs: 300_000})
+	case len(routes) == 0 || ok && g == nil:
+		p.writeReply(w, reply{Code: result.NotConfigured, Outcome: result.NoEffect, RetryAfterUs: 300_000})
 		return
 	case !ok:
-		p.refuse(w, result.UnknownRoute, b.Route)
+		p.reject(w, result.UnknownRoute, b.Route)
 		return
 	case b.Token.Group != "" && b.Token.Group != rt.Group:
-		p.refuse(w, result.BadToken, "of "+b.Token.Group)
+		p.reject(w, result.BadToken, "of "+b.Token.Group)
 		return
 	}
 	id := b.Session
 	if id == "" {
 		id = rand.Text()
 	}
-	if _, taken := p.sessions.LoadOrStore(id, &routed{r: g, route: b.Route}); taken {
-		p.refuse(w, result.SessionExists, id)
+	if _, taken := p.sessions.LoadOrStore(id, &sessionRoute{runner: g, route: b.Route}); taken {
+		p.reject(w, result.SessionExists, id)
 		return
 	}
-	g.l.Post(querytable.Open{Session: id, Values: b.Values, Prepared: b.Prepared, Token: b.Token})
-	p.give(w, reply{Outcome: result.Done, Session: id, Token: lo.ToPtr(b.Token)})
+	g.loop.Post(querytable.OpenSession{Session: id, Values: b.Values, Prepared: b.Prepared, Token: b.Token})
+	p.writeReply(w, reply{Outcome: result.Done, Session: id, Token: lo.ToPtr(b.Token)})
 }
 
-// routed is a session's route and its group's runner.
-type routed struct {
-	r     *runner
-	route string
-	ended atomic.Bool // its name may be another session's from now on
+// sessionRoute is a session's route and its group's runner.
+type sessionRoute struct {
+	runner *runner
+	route  string
+	ended  atomic.Bool // its name may be another session's from now on
 }
 
-// forget ends a session and makes its name free, unless that was done before: a
+// endSession ends a session and makes its name free, unless that was done before: a
 // session that was opened under the name since is another one.
-func (p *Process) forget(id string, s *routed) bool {
+func (p *Process) endSession(id string, s *sessionRoute) bool {
 	if !s.ended.CompareAndSwap(false, true) {
 		return false
 	}
-	s.r.l.Post(querytable.Shut{Session: id}) // before the name is free
+	s.runner.loop.Post(querytable.CloseSession{Session: id}) // before the name is free
 	p.sessions.CompareAndDelete(id, s)
 	return true
 }
 
-func (p *Process) session(w http.ResponseWriter, r *http.Request) (string, *routed) {
+func (p *Process) lookupSession(w http.ResponseWriter, r *http.Request) (string, *sessionRoute) {
 	id := r.PathValue("id")
 	v, ok := p.sessions.Load(id)
 	if !ok {
-		p.refuse(w, lo.Ternary(p.stopping.Load(), result.Stopping, result.UnknownSession), id)
+		p.reject(w, lo.Ternary(p.stopping.Load(), result.Stopping, result.UnknownSession), id)
 		return id, nil
 	}
-	return id, v.(*routed)
+	return id, v.(*sessionRoute)
 }
 
-func (p *Process) shutSession(w http.ResponseWriter, r *http.Request) {
-	id, s := p.session(w, r)
+func (p *Process) closeSession(w http.ResponseWriter, r *http.Request) {
+	id, s := p.lookupSession(w, r)
 	if s == nil {
 		return
 	}
-	if !p.forget(id, s) {
-		p.refuse(w, result.UnknownSession, id)
+	if !p.endSession(id, s) {
+		p.reject(w, result.UnknownSession, id)
 		return
 	}
-	p.give(w, reply{Outcome: result.Done, Session: id})
+	p.writeReply(w, reply{Outcome: result.Done, Session: id})
 }
 
 func (p *Process) changeSession(w http.ResponseWriter, r *http.Request) {
-	id, s := p.session(w, r)
+	id, s := p.lookupSession(w, r)
 	if s == nil {
 		return
 	}
@@ -178,11 +178,11 @@
 		Values   map[string]string `json:"values"`
 		Prepared map[string]string `json:"prepared"`
 	}
-	if !p.body(w, r, &b) {
+	if !p.readBody(w, r, &b) {
 		return
 	}
 	n := p.queryID.Add(1)
-	p.returned(w, id, s, s.r.ask(n, querytable.Change{ID: n, Session: id, Values: b.Values, Prepared: b.Prepared}))
+	p.writeResult(w, id, s, s.runner.call(n, querytable.ChangeSession{ID: n, Session: id, Values: b.Values, Prepared: b.Prepared}))
 }
 
 type queryBody struct {
@@ -197,41 +197,41 @@
 }
 
 func (p *Process) querySession(w http.ResponseWriter, r *http.Request) {
-	id, s := p.session(w, r)
+	id, s := p.lookupSession(w, r)
 	if s == nil {
 		return
 	}
 	var b queryBody
-	if !p.body(w, r, &b) {
+	if !p.readBody(w, r, &b) {
 		return
 	}
 	if rt, ok := (*p.routes.Load())[s.route]; !ok {
-		p.refuse(w, result.UnknownRoute, s.route)
+		p.reject(w, result.UnknownRoute, s.route)
 		return
 	} else if !slices.Contains(rt.Classes, b.Class) {
-		p.refuse(w, result.ClassNotOnRoute, b.Class)
+		p.reject(w, result.ClassNotOnRoute, b.Class)
 		return
 	}
 	n := p.queryID.Add(1)
-	p.returned(w, id, s, s.r.ask(n, querytable.Query{ID: n, Session: id, Name: b.Query, Class: b.Class, ReadOnly: b.ReadOnly, Begin: b.Begin,
+	p.writeResult(w, id, s, s.runner.call(n, querytable.Query{ID: n, Session: id, Name: b.Query, Class: b.Class, ReadOnly: b.ReadOnly, Begin: b.Begin,
 		Commit: b.Commit, Rollback: b.Rollback, Statements: b.Statements, DeadlineUs: b.DeadlineUs}))
 }
 
-func (p *Process) returned(w http.ResponseWriter, session string, s *routed, v querytable.Return) {
+func (p *Process) writeResult(w http.ResponseWriter, session string, s *sessionRoute, v querytable.Reply) {
 	if v.Code == result.UnknownSession {
-		p.forget(session, s) // the table let it go after long idling
+		p.endSession(session, s) // the table let it go after long idling
 	}
-	p.give(w, reply{Code: v.Code, Detail: v.Text, Outcome: v.Outcome, Session: session, Rows: v.Rows, RetryAfterUs: v.RetryAfterUs,
-		Token: lo.ToPtr(v.Token), Copy: v.Copy, Replica: v.Replica, Position: v.Position, Open: v.Open})
+	p.writeReply(w, reply{Code: v.Code, Detail: v.Text, Outcome: v.Outcome, Session: session, Rows: v.Rows, RetryAfterUs: v.RetryAfterUs,
+		Token: lo.ToPtr(v.Token), Database: v.Database, Replica: v.FromReplica, Position: v.Position, InTransaction: v.InTransaction})
 }
 
 // ready says whether the platform may hand this node connections.
 func (p *Process) ready(w http.ResponseWriter, _ *http.Request) {
-	gs := *p.groups.Load()
+	gs := *p.sharedRunners.Load()
 	ok := len(gs) > 0 && !p.stopping.Load()
 	waiting := []string{}
 	for k, g := range gs {
-		if v := g.counts.Load(); v == nil || !v.Ready {
+		if v := g.view.Load(); v == nil || !v.Ready {
 			ok = false
 			waiting = append(waiting, k)
 		}
@@ -246,11 +246,11 @@
 
 func (p *Process) counts(w http.ResponseWriter, _ *http.Request) {
 	gs := map[string]*tableView{}
-	for k, g := range *p.groups.Load() {
-		gs[k] = g.counts.Load()
+	for k, g := range *p.sharedRunners.Load() {
+		gs[k] = g.view.Load()
 	}
 	sent, dropped, received := p.links.Counts()
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(map[string]any{"groups": gs, "node": p.nodes.Load(),
+	json.NewEncoder(w).Encode(map[string]any{"groups": gs, "node": p.nodeView.Load(),
 		"links": map[string]uint64{"sent": sent, "dropped": dropped, "received": received}})
 }
--- a/pool/callers_test.go
+++ b/pool/callers_test.go
@@ -18,19 +18,19 @@
 
 // sessionEvents notes what the table of sessions is told, in order.
 type sessionEvents struct {
-	mu  sync.Mutex
-	evs []string
+	mu    sync.Mutex
+	names []string
 }
 
-func (e *sessionEvents) step(_ int64, evs []any) {
+func (e *sessionEvents) step(_ int64, events []any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, ev := range evs {
+	for _, ev := range events {
 		switch ev := ev.(type) {
-		case querytable.Open:
-			e.evs = append(e.evs, "open "+ev.Session)
-		case querytable.Shut:
-			e.evs = append(e.evs, "shut "+ev.Session)
+		case querytable.OpenSession:
+			e.names = append(e.names, "open "+ev.Session)
+		case querytable.CloseSession:
+			e.names = append(e.names, "shut "+ev.Session)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	got := ""
 	for until := time.Now().Add(5 * time.Second); got != want && time.Now().Before(until); time.Sleep(time.Millisecond) {
 		e.mu.Lock()
-		got = strings.Join(e.evs, ", ")
+		got = strings.Join(e.names, ", ")
 		e.mu.Unlock()
 	}
 	if got != want {
@@ -48,46 +48,46 @@
 	}
 }
 
-// TestASessionsNameTakenAgain: what is late of an ended session does not end the
+// TestReusedSessionNameIsNotEnded: what is late of an ended session does not end the
 // one that another caller has opened under its name.
-func TestASessionsNameTakenAgain(t *testing.T) {
+func TestReusedSessionNameIsNotEnded(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	p := &Process{clock: clock}
-	r := &runner{p: p, group: "g", l: loop.New(clock, clock.Now(), 64)}
+	r := &runner{process: p, group: "g", loop: loop.New(clock, clock.Now(), 64)}
 	p.routes.Store(&map[string]Route{"r": {Group: "g"}})
-	p.groups.Store(&map[string]*runner{"g": r})
+	p.sharedRunners.Store(&map[string]*runner{"g": r})
 	seen := &sessionEvents{}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { r.l.Run(ctx, time.Millisecond, seen.step); close(ended) }()
+	go func() { r.loop.Run(ctx, time.Millisecond, seen.step); close(ended) }()
 	defer func() { stop(); <-ended }()
 	call := func(method, path, body string) int {
 		w := httptest.NewRecorder()
 		p.handler().ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 		return w.Code
 	}
-	open := func() *routed {
+	open := func() *sessionRoute {
 		t.Helper()
 		if s := call("POST", "/v1/sessions", `{"session":"x","route":"r"}`); s != http.StatusOK {
 			t.Fatal(s)
 		}
 		v, _ := p.sessions.Load("x")
-		return v.(*routed)
+		return v.(*sessionRoute)
 	}
 	old := open()
 	if s := call("DELETE", "/v1/sessions/x", ""); s != http.StatusOK {
 		t.Error(s)
 	}
 	now := open()
-	p.returned(httptest.NewRecorder(), "x", old, querytable.Return{Code: result.UnknownSession})
-	if p.forget("x", old) {
+	p.writeResult(httptest.NewRecorder(), "x", old, querytable.Reply{Code: result.UnknownSession})
+	if p.endSession("x", old) {
 		t.Error("it was ended twice")
 	}
 	if v, ok := p.sessions.Load("x"); !ok || v != now {
 		t.Error("the newer session lost its name")
 	}
 	seen.expect(t, "open x, shut x, open x")
-	if !p.forget("x", now) {
+	if !p.endSession("x", now) {
 		t.Error("the newer session cannot be ended")
 	}
 	seen.expect(t, "open x, shut x, open x, shut x")
--- a/pool/core.go
+++ b/pool/core.go
@@ -30,15 +30,15 @@
 
 // Events.
 type (
-	// TableSaid brings what a group's table knows.
-	TableSaid struct {
+	// TableReport brings what a group's table knows.
+	TableReport struct {
 		Group string
-		Views []querytable.View
+		Views []querytable.DatabaseView
 		InUse map[string]int
 	}
-	// Decided ends a Why.
-	Decided struct {
-		Why       Why
+	// Decisions ends a Why.
+	Decisions struct {
+		Request   DecisionsRequest
 		Group     string
 		AtUs      int64
 		Decisions []querytable.Decision
@@ -49,23 +49,23 @@
 
 // Effects.
 type (
-	// Want hands a group's table its new wanted state.
-	Want struct {
-		Group  string
-		Wanted querytable.Wanted
+	// SetDesired hands a group's table its new wanted state.
+	SetDesired struct {
+		Group   string
+		Desired querytable.Desired
 	}
-	// Routes hands out the routes in force: route to group, and who may use
+	// SetRoutes hands out the routes in force: route to group, and who may use
 	// which class is in the group's Wanted.
-	Routes struct{ Routes map[string]Route }
-	// Why asks a group's table what it decided lately.
-	Why struct {
+	SetRoutes struct{ Routes map[string]Route }
+	// DecisionsRequest asks a group's table what it decided lately.
+	DecisionsRequest struct {
 		From   string
 		Number uint64
 		Group  string
 		Query  string
 	}
-	// Say is for the log.
-	Say struct {
+	// LogEntry is for the log.
+	LogEntry struct {
 		Code result.Code
 		Text string
 	}
@@ -84,350 +84,350 @@
 }
 
 const (
-	announceEvery = 1_000_000
-	rosterEvery   = 200_000
-	compareEvery  = 1_000_000
-	reportEvery   = 500_000
-	groupEvery    = 10_000
-	drainEvery    = 100_000
-	readDeadline  = 2_000_000
+	announceInterval    = 1_000_000
+	membershipInterval  = 200_000
+	compareInterval     = 1_000_000
+	reportInterval      = 500_000
+	groupInterval       = 10_000
+	drainReportInterval = 100_000
+	readTimeout         = 2_000_000
 )
 
 type group struct {
-	partner string
-	name    string
-	asker   *permits.Asker
-	views   []querytable.View
-	inUse   map[string]int
-	wanted  querytable.Wanted
-	state   *schema.GroupState
-	reached map[string]bool
-	nextRep int64
+	partner        string
+	name           string
+	leaseRequester *permits.Lessee
+	views          []querytable.DatabaseView
+	inUse          map[string]int
+	desired        querytable.Desired
+	state          *schema.GroupState
+	reachable      map[string]bool
+	nextReportAt   int64
 }
 
 // Core is one pool node.
 type Core struct {
-	boot     *schema.Boot
-	self     string
-	run      uint64
-	stamp    uint64
-	relay    *relaytree.Relay
-	recs     *records.Store
-	watch    *neighbours.Watch
-	proposer *paxos.Proposer
-	nodes    []roster.Node
-	configs  map[string]*schema.Configuration
-	cal      *schema.Calendar
-	inForce  map[string]uint64 // revision of each configuration in force
-	reading  map[string]bool
-	checked  map[string]uint64 // configurations read through a majority: least revision to apply
-	groups   map[string]*group
-	names    uint64
-	turn     int
-	leaving  bool
-	nextAnn  int64
-	nextRos  int64
-	nextCmp  int64
-	nextGrp  int64 // set to 0 where a group's wanted state may have changed
-	fx       Effects
+	config           *schema.Boot
+	self             string
+	run              uint64
+	stamp            uint64
+	relay            *relaytree.Relay
+	records          *records.Store
+	detector         *neighbours.Detector
+	proposer         *paxos.Proposer
+	nodes            []roster.Node
+	configurations   map[string]*schema.Configuration
+	calendar         *schema.MaintenanceCalendar
+	appliedRevisions map[string]uint64 // revision of each configuration in force
+	readsPending     map[string]bool
+	minRevisions     map[string]uint64 // configurations read through a majority: least revision to apply
+	groups           map[string]*group
+	lastName         uint64
+	seedTurn         int
+	draining         bool
+	nextAnnounceAt   int64
+	nextMembershipAt int64
+	nextCompareAt    int64
+	nextGroupsAt     int64 // set to 0 where a group's wanted state may have changed
+	effects          Effects
 }
 
 // NewCore makes a node; run must be greater than any earlier run's.
 func NewCore(b *schema.Boot, run uint64) *Core {
-	return &Core{boot: b, self: b.Listen, run: run, stamp: run, relay: relaytree.New(b.Listen, b.Seeds), recs: records.New(b.Listen),
-		watch: neighbours.New(b.Listen), proposer: paxos.NewProposer(b.Listen, fmt.Sprint(run), b.Seeds),
-		configs: map[string]*schema.Configuration{}, inForce: map[string]uint64{}, cal: &schema.Calendar{}, reading: map[string]bool{}, checked: map[string]uint64{}, groups: map[string]*group{},
-		turn: int(step.Hash(b.Listen) % 3)}
+	return &Core{config: b, self: b.Listen, run: run, stamp: run, relay: relaytree.New(b.Listen, b.Seeds), records: records.New(b.Listen),
+		detector: neighbours.New(b.Listen), proposer: paxos.NewProposer(b.Listen, fmt.Sprint(run), b.Seeds),
+		configurations: map[string]*schema.Configuration{}, appliedRevisions: map[string]uint64{}, calendar: &schema.MaintenanceCalendar{}, readsPending: map[string]bool{}, minRevisions: map[string]uint64{}, groups: map[string]*group{},
+		seedTurn: int(step.Hash(b.Listen) % 3)}
 }
 
 // Step takes events, then does what is due.
-func (c *Core) Step(now int64, evs ...any) Effects {
-	c.fx = Effects{}
-	for _, e := range evs {
+func (c *Core) Step(now int64, events ...any) Effects {
+	c.effects = Effects{}
+	for _, e := range events {
 		switch e := e.(type) {
 		case *schema.Envelope:
-			c.envelope(now, e)
-		case TableSaid:
+			c.handleEnvelope(now, e)
+		case TableReport:
 			if g := c.groups[e.Group]; g != nil {
 				g.views, g.inUse = e.Views, e.InUse
-				c.nextGrp = 0
+				c.nextGroupsAt = 0
 			}
-		case Decided:
-			c.decided(e)
+		case Decisions:
+			c.handleDecisions(e)
 		case Stop:
-			c.leaving, c.nextAnn = true, 0
+			c.draining, c.nextAnnounceAt = true, 0
 		}
 	}
 	c.tick(now)
-	return c.fx
+	return c.effects
 }
 
-func (c *Core) say(code result.Code, f string, a ...any) {
-	c.fx.Do = append(c.fx.Do, Say{Code: code, Text: fmt.Sprintf(f, a...)})
+func (c *Core) logf(code result.Code, f string, a ...any) {
+	c.effects.Do = append(c.effects.Do, LogEntry{Code: code, Text: fmt.Sprintf(f, a...)})
 }
 
-func (c *Core) envelope(now int64, e *schema.Envelope) {
+func (c *Core) handleEnvelope(now int64, e *schema.Envelope) {
 	switch b := e.Body.(type) {
-	case *schema.Envelope_News, *schema.Envelope_Digest:
-		c.learned(now, c.relay.Step(now, e))
+	case *schema.Envelope_RegisterUpdate, *schema.Envelope_Digest:
+		c.applyRelayEffects(now, c.relay.Step(now, e))
 	case *schema.Envelope_Records, *schema.Envelope_RangeDigests:
-		c.fx.Send = append(c.fx.Send, c.recs.Step(now, e).Send...)
+		c.effects.Send = append(c.effects.Send, c.records.Step(now, e).Send...)
 	case *schema.Envelope_Ping, *schema.Envelope_Pong:
-		c.watched(now, c.watch.Step(now, e))
+		c.applyDetectorEffects(now, c.detector.Step(now, e))
 	case *schema.Envelope_Promise, *schema.Envelope_Accepted, *schema.Envelope_MembershipNotice:
-		c.proposed(now, c.proposer.Step(now, e))
-	case *schema.Envelope_WhyAsk:
+		c.applyProposerEffects(now, c.proposer.Step(now, e))
+	case *schema.Envelope_ReadDecisionRequest:
 		// Only of groups of the partner that asks.
 		for _, k := range slices.Sorted(maps.Keys(c.groups)) {
-			if g := c.groups[k]; g.partner == b.WhyAsk.Partner && (b.WhyAsk.Group == "" || b.WhyAsk.Group == k) {
-				c.fx.Do = append(c.fx.Do, Why{From: e.From, Number: b.WhyAsk.Number, Group: k, Query: b.WhyAsk.Query})
+			if g := c.groups[k]; g.partner == b.ReadDecisionRequest.Partner && (b.ReadDecisionRequest.Group == "" || b.ReadDecisionRequest.Group == k) {
+				c.effects.Do = append(c.effects.Do, DecisionsRequest{From: e.From, Number: b.ReadDecisionRequest.RequestNumber, Group: k, Query: b.ReadDecisionRequest.Query})
 			}
 		}
-	case *schema.Envelope_PermitGive:
-		if g := c.groups[b.PermitGive.Group]; g != nil {
-			g.asker.Give(b.PermitGive)
-			c.nextGrp = 0
+	case *schema.Envelope_ConnectionLeaseResponse:
+		if g := c.groups[b.ConnectionLeaseResponse.Group]; g != nil {
+			g.leaseRequester.HandleResponse(b.ConnectionLeaseResponse)
+			c.nextGroupsAt = 0
 		}
 	}
 }
 
-// decided sends what a table decided to the control process that asked.
-func (c *Core) decided(e Decided) {
-	r := &schema.WhyReturn{Number: e.Why.Number}
+// handleDecisions sends what a table decided to the control process that asked.
+func (c *Core) handleDecisions(e Decisions) {
+	r := &schema.ReadDecisionResponse{RequestNumber: e.Request.Number}
 	for _, d := range e.Decisions {
-		s := &schema.Decision{Node: c.boot.Name, Group: e.Group, Query: d.Name, Class: d.Class, AgoUs: e.AtUs - d.AtUs, Copy: d.Copy, Reason: d.Reason, Floor: d.Floor}
-		for _, o := range d.Copies {
-			s.Candidates = append(s.Candidates, &schema.Candidate{Copy: o.Name, Level: o.Level, Need: o.Need, BurdenUs: o.BurdenUs, RunUs: o.RunUs, WaitUs: o.WaitUs, Fit: o.Fits})
+		s := &schema.ReadDecision{Node: c.config.Name, Group: e.Group, Query: d.Name, Class: d.Class, AgoUs: e.AtUs - d.AtUs, Replica: d.Database, Reason: d.Reason, MinPosition: d.Floor}
+		for _, o := range d.Candidates {
+			s.Candidates = append(s.Candidates, &schema.ReplicaCandidate{Replica: o.Name, AppliedPosition: o.AppliedPosition, RequiredPosition: o.RequiredPosition, LoadUs: o.LoadUs, RunUs: o.AverageRunUs, WaitUs: o.WaitUs, Eligible: o.Eligible})
 		}
 		r.Decisions = append(r.Decisions, s)
 	}
-	c.fx.Send = append(c.fx.Send, step.Send{To: e.Why.From, Env: &schema.Envelope{From: c.self, Body: &schema.Envelope_WhyReturn{WhyReturn: r}}})
+	c.effects.Send = append(c.effects.Send, step.Send{To: e.Request.From, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ReadDecisionResponse{ReadDecisionResponse: r}}})
 }
 
-func (c *Core) learned(now int64, fx relaytree.Effects) {
-	c.fx.Send = append(c.fx.Send, fx.Send...)
-	for _, g := range fx.New {
-		c.nextGrp = 0
+func (c *Core) applyRelayEffects(now int64, effects relaytree.Effects) {
+	c.effects.Send = append(c.effects.Send, effects.Send...)
+	for _, g := range effects.Updated {
+		c.nextGroupsAt = 0
 		switch {
-		case g.Key == control.BookingsKey:
-			c.cal = bookings.Read(g.Value.Data)
-		case strings.HasPrefix(g.Key, control.ConfigPrefix):
-			c.configure(now, g.Key, g.Value)
-		case strings.HasPrefix(g.Key, control.GroupPrefix):
-			if o := c.groups[strings.TrimPrefix(g.Key, control.GroupPrefix)]; o != nil {
+		case g.Key == control.MaintenanceKey:
+			c.calendar = bookings.Read(g.Value.Data)
+		case strings.HasPrefix(g.Key, control.ConfigurationKeyPrefix):
+			c.applyConfiguration(now, g.Key, g.Value)
+		case strings.HasPrefix(g.Key, control.GroupKeyPrefix):
+			if o := c.groups[strings.TrimPrefix(g.Key, control.GroupKeyPrefix)]; o != nil {
 				o.state = control.GroupState(g.Value)
 			}
-			c.applied(now, g.Key)
+			c.reportApplied(now, g.Key)
 		}
 	}
 }
 
-// configure puts a configuration in force. The first one after a start is read
+// applyConfiguration puts a configuration in force. The first one after a start is read
 // through a majority, so that this node never works by an older one than it
 // did before it was restarted (design 5.4).
-func (c *Core) configure(now int64, key string, v *schema.Value) {
-	least, ok := c.checked[key]
+func (c *Core) applyConfiguration(now int64, key string, v *schema.Value) {
+	least, ok := c.minRevisions[key]
 	if !ok {
-		if !c.reading[key] {
-			c.reading[key] = true
-			c.names++
-			c.proposed(now, c.proposer.Ask(now, paxos.Change{Name: fmt.Sprintf("%s#%d#%d", c.self, c.run, c.names), Key: key, Read: true, Deadline: now + readDeadline}))
+		if !c.readsPending[key] {
+			c.readsPending[key] = true
+			c.lastName++
+			c.applyProposerEffects(now, c.proposer.Propose(now, paxos.Change{ID: fmt.Sprintf("%s#%d#%d", c.self, c.run, c.lastName), Key: key, ReadOnly: true, Deadline: now + readTimeout}))
 		}
 		return
 	}
 	if v.Revision < least {
 		return
 	}
-	cf, ps := settings.ReadConfiguration(v.Data)
+	configuration, ps := settings.ReadConfiguration(v.Data)
 	if len(ps) > 0 {
-		c.say(result.InvalidConfiguration, "%s revision %d: %s", key, v.Revision, ps[0])
+		c.logf(result.InvalidConfiguration, "%s revision %d: %s", key, v.Revision, ps[0])
 		return
 	}
-	c.configs[strings.TrimPrefix(key, control.ConfigPrefix)] = cf
-	c.inForce[key] = v.Revision
-	c.say(result.RevisionApplied, "%s revision %d", key, v.Revision)
-	c.plan()
-	c.applied(now, key)
+	c.configurations[strings.TrimPrefix(key, control.ConfigurationKeyPrefix)] = configuration
+	c.appliedRevisions[key] = v.Revision
+	c.logf(result.RevisionApplied, "%s revision %d", key, v.Revision)
+	c.updateGroups()
+	c.reportApplied(now, key)
 }
 
-func (c *Core) proposed(now int64, fx paxos.ProposerEffects) {
-	c.fx.Send = append(c.fx.Send, fx.Send...)
-	for _, o := range fx.Outcomes {
+func (c *Core) applyProposerEffects(now int64, effects paxos.ProposerEffects) {
+	c.effects.Send = append(c.effects.Send, effects.Send...)
+	for _, o := range effects.Outcomes {
 		k := o.Change.Key
-		delete(c.reading, k)
-		if o.Verdict == paxos.Agreed {
-			c.checked[k] = o.Value.GetRevision()
-			c.learned(now, c.relay.Learn(now, []*schema.Register{{Key: k, Value: o.Value}}, 0, ""))
+		delete(c.readsPending, k)
+		if o.Verdict == paxos.Committed {
+			c.minRevisions[k] = o.Value.GetRevision()
+			c.applyRelayEffects(now, c.relay.Learn(now, []*schema.Register{{Key: k, Value: o.Value}}, 0, ""))
 		}
-		if v := c.relay.Held(k); v != nil {
-			c.configure(now, k, v)
+		if v := c.relay.Value(k); v != nil {
+			c.applyConfiguration(now, k, v)
 		}
 	}
 }
 
-// plan works out routes and groups from the configurations in force.
-func (c *Core) plan() {
-	rs := map[string]Route{}
+// updateGroups works out routes and groups from the configurations in force.
+func (c *Core) updateGroups() {
+	routes := map[string]Route{}
 	gs := map[string]bool{}
-	for _, p := range slices.Sorted(maps.Keys(c.configs)) {
-		cf := c.configs[p]
-		for n, r := range cf.Routes {
-			rs[p+"/"+n] = Route{Group: p + "/" + r.Group, Classes: slices.Clone(r.Classes)}
+	for _, p := range slices.Sorted(maps.Keys(c.configurations)) {
+		configuration := c.configurations[p]
+		for n, r := range configuration.Routes {
+			routes[p+"/"+n] = Route{Group: p + "/" + r.Group, Classes: slices.Clone(r.Classes)}
 		}
-		for n := range cf.Groups {
+		for n := range configuration.Groups {
 			k := p + "/" + n
 			gs[k] = true
 			if c.groups[k] == nil {
-				c.groups[k] = &group{partner: p, name: n, asker: permits.NewAsker(k, c.run), state: control.GroupState(c.relay.Held(control.GroupPrefix + k)), reached: map[string]bool{}}
+				c.groups[k] = &group{partner: p, name: n, leaseRequester: permits.NewLessee(k, c.run), state: control.GroupState(c.relay.Value(control.GroupKeyPrefix + k)), reachable: map[string]bool{}}
 			}
 		}
 	}
 	maps.DeleteFunc(c.groups, func(k string, _ *group) bool { return !gs[k] })
-	c.fx.Do = append(c.fx.Do, Routes{Routes: rs})
+	c.effects.Do = append(c.effects.Do, SetRoutes{Routes: routes})
 }
 
-func (c *Core) watched(now int64, fx neighbours.Effects) {
-	c.fx.Send = append(c.fx.Send, fx.Send...)
-	for _, n := range slices.Sorted(maps.Keys(fx.Changed)) {
-		if fx.Changed[n] {
-			c.say(result.NeighbourSuspected, "%s", n)
+func (c *Core) applyDetectorEffects(now int64, effects neighbours.Effects) {
+	c.effects.Send = append(c.effects.Send, effects.Send...)
+	for _, n := range slices.Sorted(maps.Keys(effects.Changed)) {
+		if effects.Changed[n] {
+			c.logf(result.PeerSuspected, "%s", n)
 		}
-		c.tell(c.write(now, roster.SuspectKey(n, c.self), roster.Suspicion(c.nodes, n, fx.Changed[n])), c.boot.Seeds...)
+		c.sendRecord(c.putRecord(now, roster.SuspectKey(n, c.self), roster.NewSuspicion(c.nodes, n, effects.Changed[n])), c.config.Seeds...)
 	}
 }
 
-// write puts a record of this node's own.
-func (c *Core) write(now int64, key string, m proto.Message) *schema.Record {
+// putRecord puts a record of this node's own.
+func (c *Core) putRecord(now int64, key string, m proto.Message) *schema.Record {
 	b, err := proto.Marshal(m)
 	if err != nil {
 		panic(err)
 	}
 	c.stamp++
-	r := &schema.Record{Key: key, Stamp: c.stamp, Data: b}
-	c.recs.Put(now, r)
+	r := &schema.Record{Key: key, Timestamp: c.stamp, Data: b}
+	c.records.Merge(now, r)
 	return r
 }
 
-func (c *Core) tell(r *schema.Record, to ...string) {
+func (c *Core) sendRecord(r *schema.Record, to ...string) {
 	for _, o := range to {
-		c.fx.Send = append(c.fx.Send, step.Send{To: o, Env: &schema.Envelope{From: c.self, Body: &schema.Envelope_Records{Records: &schema.Records{Records: []*schema.Record{r}}}}})
+		c.effects.Send = append(c.effects.Send, step.Send{To: o, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_Records{Records: &schema.Records{Records: []*schema.Record{r}}}}})
 	}
 }
 
-// root is one control process, another each time.
-func (c *Core) root() string { c.turn++; return c.boot.Seeds[c.turn%len(c.boot.Seeds)] }
+// nextSeed is one control process, another each time.
+func (c *Core) nextSeed() string { c.seedTurn++; return c.config.Seeds[c.seedTurn%len(c.config.Seeds)] }
 
-func (c *Core) applied(now int64, key string) {
-	k := roster.AppliedPrefix + key + "/" + c.boot.Name
-	r := c.write(now, k, &schema.AppliedRecord{Revision: c.relay.Held(key).GetRevision()})
-	c.recs.Forget(k) // control processes keep these
-	c.tell(r, c.boot.Seeds...)
+func (c *Core) reportApplied(now int64, key string) {
+	k := roster.AppliedPrefix + key + "/" + c.config.Name
+	r := c.putRecord(now, k, &schema.AppliedRecord{Revision: c.relay.Value(key).GetRevision()})
+	c.records.Forget(k) // control processes keep these
+	c.sendRecord(r, c.config.Seeds...)
 }
 
 func (c *Core) tick(now int64) {
-	c.learned(now, c.relay.Tick(now))
-	c.proposed(now, c.proposer.Tick(now))
-	if now >= c.nextRos {
-		c.nextRos = now + rosterEvery
-		c.nodes = roster.Read(now, c.recs)
-		c.watch.Nodes(now, roster.Addresses(c.nodes))
-		c.relay.Live(roster.Live(c.nodes))
+	c.applyRelayEffects(now, c.relay.Tick(now))
+	c.applyProposerEffects(now, c.proposer.Tick(now))
+	if now >= c.nextMembershipAt {
+		c.nextMembershipAt = now + membershipInterval
+		c.nodes = roster.ReadNodes(now, c.records)
+		c.detector.SetNodes(now, roster.Addresses(c.nodes))
+		c.relay.SetLiveNodes(roster.LiveAddresses(c.nodes))
 	}
-	c.watched(now, c.watch.Tick(now))
-	if now >= c.nextAnn {
-		first := c.nextAnn == 0
-		c.nextAnn = now + announceEvery
-		r := c.write(now, roster.NodePrefix+c.self, &schema.NodeRecord{Name: c.boot.Name, Zone: c.boot.Zone, Partner: c.boot.Partner,
-			Http: c.boot.Http, Kind: "pool", Leaving: c.leaving, Run: c.run})
+	c.applyDetectorEffects(now, c.detector.Tick(now))
+	if now >= c.nextAnnounceAt {
+		first := c.nextAnnounceAt == 0
+		c.nextAnnounceAt = now + announceInterval
+		r := c.putRecord(now, roster.NodePrefix+c.self, &schema.NodeRecord{Name: c.config.Name, Zone: c.config.Zone, Partner: c.config.Partner,
+			HttpAddress: c.config.Http, Kind: "pool", Draining: c.draining, Run: c.run})
 		if first {
-			c.tell(r, c.boot.Seeds...)
+			c.sendRecord(r, c.config.Seeds...)
 		} else {
-			c.tell(r, c.root())
+			c.sendRecord(r, c.nextSeed())
 		}
 	}
-	if now >= c.nextCmp {
-		c.nextCmp = now + compareEvery
+	if now >= c.nextCompareAt {
+		c.nextCompareAt = now + compareInterval
 		to := c.relay.Parent()
 		if to == "" {
-			to = c.root()
+			to = c.nextSeed()
 		}
-		for _, r := range roster.Ranges() {
-			c.fx.Send = append(c.fx.Send, c.recs.Compare(to, r[0], r[1]))
+		for _, r := range roster.ReplicatedRanges() {
+			c.effects.Send = append(c.effects.Send, c.records.CompareRange(to, r[0], r[1]))
 		}
 	}
-	if now >= c.nextGrp {
-		c.nextGrp = now + groupEvery
+	if now >= c.nextGroupsAt {
+		c.nextGroupsAt = now + groupInterval
 		for _, k := range slices.Sorted(maps.Keys(c.groups)) {
-			c.groupTick(now, k, c.groups[k])
+			c.tickGroup(now, k, c.groups[k])
 		}
 	}
 }
 
-func (c *Core) groupTick(now int64, k string, g *group) {
-	if a := g.asker.Tick(now, g.inUse); a != nil {
-		for _, o := range c.boot.Seeds {
-			c.fx.Send = append(c.fx.Send, step.Send{To: o, Env: &schema.Envelope{From: c.self, Body: &schema.Envelope_PermitAsk{PermitAsk: a}}})
+func (c *Core) tickGroup(now int64, k string, g *group) {
+	if a := g.leaseRequester.NextRequest(now, g.inUse); a != nil {
+		for _, o := range c.config.Seeds {
+			c.effects.Send = append(c.effects.Send, step.Send{To: o, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ConnectionLeaseRequest{ConnectionLeaseRequest: a}}})
 		}
 	}
-	c.report(now, k, g)
-	if w := c.wanted(now, k, g); !reflect.DeepEqual(w, g.wanted) {
-		g.wanted = w
-		c.fx.Do = append(c.fx.Do, Want{Group: k, Wanted: w})
+	c.reportDatabases(now, k, g)
+	if w := c.desiredState(now, k, g); !reflect.DeepEqual(w, g.desired) {
+		g.desired = w
+		c.effects.Do = append(c.effects.Do, SetDesired{Group: k, Desired: w})
 	}
 }
 
-func (c *Core) wanted(now int64, k string, g *group) querytable.Wanted {
-	cf := c.configs[g.partner]
-	w := querytable.Wanted{Group: k, Epoch: g.state.Epoch, Primary: g.state.Primary, Classes: map[string]querytable.Class{}}
+func (c *Core) desiredState(now int64, k string, g *group) querytable.Desired {
+	configuration := c.configurations[g.partner]
+	desired := querytable.Desired{Group: k, Epoch: g.state.Epoch, Primary: g.state.Primary, Classes: map[string]querytable.Class{}}
 	ids := map[string]string{}
 	for _, m := range g.state.Members {
 		ids[m.Database] = m.Identity
 	}
-	for _, m := range cf.Groups[g.name].Members {
-		w.Members = append(w.Members, querytable.Member{Name: m, Identity: ids[m], Address: cf.Databases[m].Address, Leased: g.asker.Cap(now, m), UntilUs: g.asker.UntilUs(),
-			Drained: bookings.Drained(c.cal, g.partner+"/"+m), Closed: bookings.Closed(c.cal, g.partner+"/"+m)})
+	for _, m := range configuration.Groups[g.name].Members {
+		desired.Members = append(desired.Members, querytable.Member{Name: m, Identity: ids[m], Address: configuration.Databases[m].Address, Leased: g.leaseRequester.Limit(now, m), LeaseUntilUs: g.leaseRequester.ExpiresAt(),
+			Draining: bookings.IsDraining(c.calendar, g.partner+"/"+m), Closed: bookings.IsClosed(c.calendar, g.partner+"/"+m)})
 	}
-	for n, s := range cf.Classes {
-		w.Classes[n] = querytable.Class{Name: n, Kind: s.Kind, StaleUs: s.StaleUs, MarginUs: s.MarginUs, WaitUs: s.WaitUs, DeadlineUs: s.ExpiryUs}
+	for n, s := range configuration.Classes {
+		desired.Classes[n] = querytable.Class{Name: n, Kind: s.Kind, MaxStalenessUs: s.StaleUs, MarginUs: s.MarginUs, MaxWaitUs: s.WaitUs, DeadlineUs: s.ExpiryUs}
 	}
-	for _, r := range cf.Routes {
+	for _, r := range configuration.Routes {
 		if r.Group == g.name {
-			w.Line = max(w.Line, int(r.Line))
+			desired.QueueLimit = max(desired.QueueLimit, int(r.Line))
 		}
 	}
-	return w
+	return desired
 }
 
-// report tells the control processes what this node sees of the databases:
+// reportDatabases tells the control processes what this node sees of the databases:
 // each a change at once, one of them the rest now and then.
-func (c *Core) report(now int64, k string, g *group) {
-	due := now >= g.nextRep
+func (c *Core) reportDatabases(now int64, k string, g *group) {
+	due := now >= g.nextReportAt
 	if due {
-		g.nextRep = now + reportEvery
-		if slices.ContainsFunc(g.wanted.Members, func(m querytable.Member) bool { return m.Drained }) {
-			g.nextRep = now + drainEvery // somebody waits for connections to fall idle
+		g.nextReportAt = now + reportInterval
+		if slices.ContainsFunc(g.desired.Members, func(m querytable.Member) bool { return m.Draining }) {
+			g.nextReportAt = now + drainReportInterval // somebody waits for connections to fall idle
 		}
 	}
 	for _, v := range g.views {
-		ok := v.SilentUs == 0
-		if was, told := g.reached[v.Name]; ok && !v.Known && !told || !due && ok == was {
+		reachable := v.UnresponsiveUs == 0
+		if wasReachable, reported := g.reachable[v.Name]; reachable && !v.Known && !reported || !due && reachable == wasReachable {
 			continue
 		}
-		key := roster.ReportPrefix + k + "/" + v.Name + "/" + c.boot.Name
-		r := c.write(now, key, &schema.DatabaseReport{Reachable: ok, SilentUs: v.SilentUs, Epoch: v.Status.Epoch,
-			Received: v.Status.Received, Applied: v.Status.Applied, Leaving: v.Leaving, Role: v.Status.Role, Busy: int32(v.Busy), Open: int32(v.Open)})
-		c.recs.Forget(key) // control processes keep these
-		if ok != g.reached[v.Name] {
-			c.tell(r, c.boot.Seeds...)
+		key := roster.ReportPrefix + k + "/" + v.Name + "/" + c.config.Name
+		r := c.putRecord(now, key, &schema.DatabaseReport{Reachable: reachable, UnresponsiveUs: v.UnresponsiveUs, Epoch: v.Status.Epoch,
+			Received: v.Status.Received, Applied: v.Status.Applied, Draining: v.Draining, Role: v.Status.Role, BusyConnections: int32(v.BusyConnections), OpenTransactions: int32(v.OpenTransactions)})
+		c.records.Forget(key) // control processes keep these
+		if reachable != g.reachable[v.Name] {
+			c.sendRecord(r, c.config.Seeds...)
 		} else {
-			c.tell(r, c.root())
+			c.sendRecord(r, c.nextSeed())
 		}
-		g.reached[v.Name] = ok
+		g.reachable[v.Name] = reachable
 	}
 }
 
-// InForce is the revision of each configuration this node works by.
-func (c *Core) InForce() map[string]uint64 { return c.inForce }
+// AppliedRevisions is the revision of each configuration this node works by.
+func (c *Core) AppliedRevisions() map[string]uint64 { return c.appliedRevisions }
 
 // Nodes is who is in the fleet, as this node knows it.
 func (c *Core) Nodes() []roster.Node { return c.nodes }
--- a/pool/metrics_test.go
+++ b/pool/metrics_test.go
@@ -13,18 +13,18 @@
 		desc         *prometheus.Desc
 		name, labels string
 	}{
-		{dQueries, "stoneford_pool_queries_total", "{group,end}"},
-		{dReads, "stoneford_pool_runs_by_copy_total", "{group,copy}"},
-		{dPolls, "stoneford_pool_status_polls_total", "{group}"},
-		{dOpens, "stoneford_pool_connections_opened_total", "{group}"},
-		{dReplaced, "stoneford_pool_reads_placed_again_total", "{group}"},
-		{dSessions, "stoneford_pool_sessions", "{group}"},
-		{dUnder, "stoneford_pool_queries_under_way", "{group}"},
-		{dConns, "stoneford_pool_connections", "{group,database}"},
-		{dSilent, "stoneford_pool_database_silent_us", "{group,database}"},
-		{dApplied, "stoneford_pool_database_applied_position", "{group,database}"},
-		{dEnv, "stoneford_pool_envelopes_total", "{way}"},
-		{dNodes, "stoneford_pool_nodes", "{standing}"},
+		{queriesMetric, "stoneford_pool_queries_total", "{group,end}"},
+		{runsMetric, "stoneford_pool_runs_by_copy_total", "{group,copy}"},
+		{pollsMetric, "stoneford_pool_status_polls_total", "{group}"},
+		{opensMetric, "stoneford_pool_connections_opened_total", "{group}"},
+		{retriesMetric, "stoneford_pool_reads_placed_again_total", "{group}"},
+		{sessionsMetric, "stoneford_pool_sessions", "{group}"},
+		{inFlightMetric, "stoneford_pool_queries_under_way", "{group}"},
+		{connectionsMetric, "stoneford_pool_connections", "{group,database}"},
+		{unresponsiveMetric, "stoneford_pool_database_silent_us", "{group,database}"},
+		{appliedMetric, "stoneford_pool_database_applied_position", "{group,database}"},
+		{envelopesMetric, "stoneford_pool_envelopes_total", "{way}"},
+		{nodesMetric, "stoneford_pool_nodes", "{standing}"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s := x.desc.String()
--- a/pool/names_test.go
+++ b/pool/names_test.go
@@ -15,7 +15,7 @@
 		json  string
 	}{
 		{"node", nodeView{}, `{"Parent":"","Nodes":0,"Alive":0}`},
-		{"table", tableView{Views: []querytable.View{{}}}, `{"Counts":{"Queries":0,"Done":0,"Bounced":0,"Uncertain":0,"Failed":0,"OnReplica":0,"OnPrimary":0,"Polls":0,"Runs":0,"Opens":0,"Replaced":0},"Sessions":0,"Queries":0,"Conns":null,"Views":[{"Name":"","Known":false,"SilentUs":0,"Status":{"Identity":"","Role":"","Epoch":0,"LogEpoch":0,"Received":0,"Applied":0,"Leaving":false},"Leaving":false,"Busy":0,"Open":0}],"Ready":false}`},
+		{"table", tableView{Databases: []querytable.DatabaseView{{}}}, `{"Counts":{"Queries":0,"Done":0,"Bounced":0,"Uncertain":0,"Failed":0,"OnReplica":0,"OnPrimary":0,"Polls":0,"Runs":0,"Opens":0,"Replaced":0},"Sessions":0,"Queries":0,"Conns":null,"Views":[{"Name":"","Known":false,"SilentUs":0,"Status":{"Identity":"","Role":"","Epoch":0,"LogEpoch":0,"Received":0,"Applied":0,"Leaving":false},"Leaving":false,"Busy":0,"Open":0}],"Ready":false}`},
 	} {
 		t.Run(x.shape, func(t *testing.T) {
 			if b, err := json.Marshal(x.value); err != nil || string(b) != x.json {
--- a/pool/process.go
+++ b/pool/process.go
@@ -24,38 +24,38 @@
 )
 
 const (
-	nodeTick    = 20 * time.Millisecond
-	tableTick   = 10 * time.Millisecond
-	viewEvery   = 100_000
-	lineLength  = 8192
-	graceUs     = 3_000_000
-	pollExtra   = 500 * time.Millisecond
-	connectTime = time.Second
-	shutTime    = 300 * time.Millisecond
-	// tellTime is how long a stopping node stays to tell idle sessions that it
+	nodeTickInterval    = 20 * time.Millisecond
+	tableTickInterval   = 10 * time.Millisecond
+	viewInterval        = 100_000
+	eventQueueLength    = 8192
+	shutdownGraceUs     = 3_000_000
+	pollSlack           = 500 * time.Millisecond
+	connectTimeout      = time.Second
+	httpShutdownTimeout = 300 * time.Millisecond
+	// sessionNoticePeriod is how long a stopping node stays to tell idle sessions that it
 	// stops: they hear of it with their next query.
-	tellTime = 1500 * time.Millisecond
+	sessionNoticePeriod = 1500 * time.Millisecond
 )
 
 // Process is one pool node: the core, a runner for each group, links and HTTP.
 type Process struct {
-	boot   *schema.Boot
-	run    uint64
-	clock  clockwork.Clock
-	began  time.Time
-	core   *Core
-	node   *loop.Loop
-	links  *links.Links
-	dbs    *databaseclient.Client
-	tables map[string]*runner
+	boot      *schema.Boot
+	run       uint64
+	clock     clockwork.Clock
+	startedAt time.Time
+	core      *Core
+	loop      *loop.Loop
+	links     *links.Transport
+	databases *databaseclient.Client
+	runners   map[string]*runner
 	// routes and tables are read on a query's path and replaced whole.
-	routes   atomic.Pointer[map[string]Route]
-	groups   atomic.Pointer[map[string]*runner]
-	sessions sync.Map // session id to *runner
-	queryID  atomic.Uint64
-	stopping atomic.Bool
-	nodes    atomic.Pointer[nodeView]
-	ctx      context.Context
+	routes        atomic.Pointer[map[string]Route]
+	sharedRunners atomic.Pointer[map[string]*runner]
+	sessions      sync.Map // session id to *runner
+	queryID       atomic.Uint64
+	stopping      atomic.Bool
+	nodeView      atomic.Pointer[nodeView]
+	ctx           context.Context
 }
 
 type nodeView struct {
@@ -68,40 +68,40 @@
 func NewProcess(b *schema.Boot, clock clockwork.Clock) *Process {
 	began := clock.Now()
 	run := uint64(began.UnixMicro())
-	p := &Process{boot: b, run: run, clock: clock, began: began, core: NewCore(b, run), node: loop.New(clock, began, lineLength),
-		dbs: databaseclient.New(links.Local(b.Bind, b.Listen)), tables: map[string]*runner{}}
+	p := &Process{boot: b, run: run, clock: clock, startedAt: began, core: NewCore(b, run), loop: loop.New(clock, began, eventQueueLength),
+		databases: databaseclient.New(links.LocalAddress(b.Bind, b.Listen)), runners: map[string]*runner{}}
 	p.routes.Store(&map[string]Route{})
-	p.groups.Store(&map[string]*runner{})
-	p.nodes.Store(&nodeView{})
+	p.sharedRunners.Store(&map[string]*runner{})
+	p.nodeView.Store(&nodeView{})
 	return p
 }
 
 // Run serves until the context ends, then drains and returns.
 func (p *Process) Run(ctx context.Context) (err error) {
-	var cl cleanup.Stack
-	defer func() { err = errors.Join(err, cl.Run()) }()
+	var cleanups cleanup.Stack
+	defer func() { err = errors.Join(err, cleanups.Run()) }()
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	cl.Push(func() error { stop(); return nil })
+	cleanups.Push(func() error { stop(); return nil })
 	p.ctx = work
-	p.links = links.New(work, p.boot.Listen, links.Local(p.boot.Bind, p.boot.Listen), func(e *schema.Envelope) { p.node.Offer(e) })
-	ln, hl, err := bootfile.Listen(p.boot)
+	p.links = links.New(work, p.boot.Listen, links.LocalAddress(p.boot.Bind, p.boot.Listen), func(e *schema.Envelope) { p.loop.TryPost(e) })
+	nodeListener, httpListener, err := bootfile.Listen(p.boot)
 	if err != nil {
 		return err
 	}
-	hs := &http.Server{Handler: p.handler(), ReadHeaderTimeout: 10 * time.Second}
-	cl.Push(func() error {
+	httpServer := &http.Server{Handler: p.handler(), ReadHeaderTimeout: 10 * time.Second}
+	cleanups.Push(func() error {
 		// Returns under way are still written.
-		ctx, stop := context.WithTimeout(context.Background(), shutTime)
+		ctx, stop := context.WithTimeout(context.Background(), httpShutdownTimeout)
 		defer stop()
-		if err := hs.Shutdown(ctx); err != nil {
-			return hs.Close()
+		if err := httpServer.Shutdown(ctx); err != nil {
+			return httpServer.Close()
 		}
 		return nil
 	})
 	failed := make(chan error, 2)
-	go func() { failed <- p.links.Serve(ln) }()
-	go func() { failed <- hs.Serve(hl) }()
-	go p.node.Run(work, nodeTick, p.step)
+	go func() { failed <- p.links.Serve(nodeListener) }()
+	go func() { failed <- httpServer.Serve(httpListener) }()
+	go p.loop.Run(work, nodeTickInterval, p.step)
 	log.WithFields(log.Fields{"name": p.boot.Name, "listen": p.boot.Listen, "http": p.boot.Http}).Info("stoneford-pool is up")
 	select {
 	case err := <-failed:
@@ -116,20 +116,20 @@
 // once nothing is under way.
 func (p *Process) drain() {
 	p.stopping.Store(true)
-	p.node.Post(Stop{})
-	for _, r := range *p.groups.Load() {
-		r.l.Post(querytable.Stop{GraceUs: graceUs})
+	p.loop.Post(Stop{})
+	for _, r := range *p.sharedRunners.Load() {
+		r.loop.Post(querytable.Stop{GraceUs: shutdownGraceUs})
 	}
-	end := p.clock.After((graceUs + 200_000) * time.Microsecond)
-	told := p.clock.Now().Add(tellTime)
+	end := p.clock.After((shutdownGraceUs + 200_000) * time.Microsecond)
+	noticedAt := p.clock.Now().Add(sessionNoticePeriod)
 	t := p.clock.NewTicker(20 * time.Millisecond)
 	defer t.Stop()
 	for {
 		busy := int64(0)
-		for _, r := range *p.groups.Load() {
+		for _, r := range *p.sharedRunners.Load() {
 			busy += r.busy.Load()
 		}
-		if busy == 0 && p.clock.Now().After(told) {
+		if busy == 0 && p.clock.Now().After(noticedAt) {
 			return
 		}
 		select {
@@ -140,25 +140,25 @@
 	}
 }
 
-func (p *Process) step(now int64, evs []any) {
-	fx := p.core.Step(now, evs...)
-	for _, s := range fx.Send {
-		p.links.Send(s.To, s.Env)
+func (p *Process) step(now int64, events []any) {
+	effects := p.core.Step(now, events...)
+	for _, s := range effects.Send {
+		p.links.Send(s.To, s.Envelope)
 	}
-	for _, d := range fx.Do {
+	for _, d := range effects.Do {
 		switch d := d.(type) {
-		case Want:
-			p.want(d)
-		case Routes:
+		case SetDesired:
+			p.setDesired(d)
+		case SetRoutes:
 			p.routes.Store(&d.Routes)
-		case Why:
-			if r := p.tables[d.Group]; r != nil {
+		case DecisionsRequest:
+			if r := p.runners[d.Group]; r != nil {
 				id := p.queryID.Add(1)
-				r.whys.Store(id, d)
-				r.l.Post(querytable.Why{ID: id, Name: d.Query})
+				r.explainRequests.Store(id, d)
+				r.loop.Post(querytable.DecisionsRequest{ID: id, Name: d.Query})
 			}
-		case Say:
-			say(d.Code, d.Text)
+		case LogEntry:
+			logEntry(d.Code, d.Text)
 		}
 	}
 	ns := p.core.Nodes()
@@ -168,34 +168,34 @@
 			v.Alive++
 		}
 	}
-	if v != *p.nodes.Load() {
-		p.nodes.Store(&v)
+	if v != *p.nodeView.Load() {
+		p.nodeView.Store(&v)
 	}
 }
 
-func say(c result.Code, text string) {
+func logEntry(c result.Code, text string) {
 	log.WithFields(log.Fields{"code": int(c), "what": text}).Info(c.String())
 }
 
-func (p *Process) want(w Want) {
-	r := p.tables[w.Group]
+func (p *Process) setDesired(w SetDesired) {
+	r := p.runners[w.Group]
 	if r == nil {
-		r = &runner{p: p, group: w.Group, l: loop.New(p.clock, p.began, lineLength), t: querytable.New(seed())}
-		p.tables[w.Group] = r
-		m := make(map[string]*runner, len(p.tables))
-		for k, v := range p.tables {
+		r = &runner{process: p, group: w.Group, loop: loop.New(p.clock, p.startedAt, eventQueueLength), table: querytable.New(randomSeed())}
+		p.runners[w.Group] = r
+		m := make(map[string]*runner, len(p.runners))
+		for k, v := range p.runners {
 			m[k] = v
 		}
-		p.groups.Store(&m)
-		go r.l.Run(p.ctx, tableTick, r.step)
+		p.sharedRunners.Store(&m)
+		go r.loop.Run(p.ctx, tableTickInterval, r.step)
 		if p.stopping.Load() {
-			r.l.Post(querytable.Stop{GraceUs: graceUs})
+			r.loop.Post(querytable.Stop{GraceUs: shutdownGraceUs})
 		}
 	}
-	r.l.Post(querytable.Boot{Wanted: w.Wanted})
+	r.loop.Post(querytable.SetDesired{Desired: w.Desired})
 }
 
-func seed() uint64 {
+func randomSeed() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err)
@@ -205,33 +205,33 @@
 
 // runner is one group's table on its own thread.
 type runner struct {
-	p       *Process
-	group   string
-	l       *loop.Loop
-	t       *querytable.Table
-	waiters sync.Map // query id to chan querytable.Return
-	whys    sync.Map // id to Why
-	busy    atomic.Int64
-	counts  atomic.Pointer[tableView]
-	nextUs  int64
-	ready   bool
+	process         *Process
+	group           string
+	loop            *loop.Loop
+	table           *querytable.Table
+	waiters         sync.Map // query id to chan querytable.Reply
+	explainRequests sync.Map // id to Why
+	busy            atomic.Int64
+	view            atomic.Pointer[tableView]
+	nextViewAt      int64
+	ready           bool
 }
 
 type tableView struct {
-	Counts   querytable.Counts `json:"Counts"`
-	Sessions int               `json:"Sessions"`
-	Queries  int               `json:"Queries"`
-	Conns    map[string]int    `json:"Conns"`
-	Views    []querytable.View `json:"Views"`
-	Ready    bool              `json:"Ready"` // a query could have been served once: a takeover since is no reason to send callers away
+	Counts      querytable.Counts         `json:"Counts"`
+	Sessions    int                       `json:"Sessions"`
+	Queries     int                       `json:"Queries"`
+	Connections map[string]int            `json:"Conns"`
+	Databases   []querytable.DatabaseView `json:"Views"`
+	Ready       bool                      `json:"Ready"` // a query could have been served once: a takeover since is no reason to send callers away
 }
 
-func (r *runner) step(now int64, evs []any) {
-	for _, f := range r.t.Step(now, evs...) {
+func (r *runner) step(now int64, events []any) {
+	for _, f := range r.table.Step(now, events...) {
 		switch f := f.(type) {
-		case querytable.Return:
+		case querytable.Reply:
 			if ch, ok := r.waiters.LoadAndDelete(f.ID); ok {
-				ch.(chan querytable.Return) <- f
+				ch.(chan querytable.Reply) <- f
 			}
 		case querytable.OpenConnection:
 			go r.open(f)
@@ -241,36 +241,36 @@
 			go r.run(f, now)
 		case querytable.Poll:
 			go r.poll(f)
-		case querytable.Decided:
-			if w, ok := r.whys.LoadAndDelete(f.ID); ok {
-				r.p.node.Offer(Decided{Why: w.(Why), Group: r.group, AtUs: now, Decisions: f.Decisions})
+		case querytable.Decisions:
+			if w, ok := r.explainRequests.LoadAndDelete(f.ID); ok {
+				r.process.loop.TryPost(Decisions{Request: w.(DecisionsRequest), Group: r.group, AtUs: now, Decisions: f.Decisions})
 			}
-		case querytable.Say:
-			say(f.Code, f.Text)
+		case querytable.LogEntry:
+			logEntry(f.Code, f.Text)
 		}
 	}
-	s, q, conns := r.t.Gauges()
-	r.busy.Store(int64(q + r.t.OpenTransactions()))
-	if now >= r.nextUs {
-		r.nextUs = now + viewEvery
-		vs := r.t.Views(now)
-		r.ready = r.ready || r.t.Ready(now)
-		r.counts.Store(&tableView{Counts: r.t.Counts(), Sessions: s, Queries: q, Conns: conns, Views: vs, Ready: r.ready})
-		r.p.node.Offer(TableSaid{Group: r.group, Views: vs, InUse: conns})
+	s, q, conns := r.table.Gauges()
+	r.busy.Store(int64(q + r.table.OpenTransactions()))
+	if now >= r.nextViewAt {
+		r.nextViewAt = now + viewInterval
+		vs := r.table.Views(now)
+		r.ready = r.ready || r.table.Ready(now)
+		r.view.Store(&tableView{Counts: r.table.Counts(), Sessions: s, Queries: q, Connections: conns, Databases: vs, Ready: r.ready})
+		r.process.loop.TryPost(TableReport{Group: r.group, Views: vs, InUse: conns})
 	}
 }
 
 func (r *runner) open(f querytable.OpenConnection) {
-	ctx, stop := context.WithTimeout(r.p.ctx, connectTime)
+	ctx, stop := context.WithTimeout(r.process.ctx, connectTimeout)
 	defer stop()
-	id, err := r.p.dbs.Open(ctx, f.Address, r.p.boot.Name, r.p.run)
-	r.l.Post(querytable.Opened{Conn: f.Conn, Address: f.Address, ID: id, Err: errText(err)})
+	id, err := r.process.databases.Open(ctx, f.Address, r.process.boot.Name, r.process.run)
+	r.loop.Post(querytable.ConnectionOpened{Connection: f.Connection, Address: f.Address, ID: id, Err: errText(err)})
 }
 
 func (r *runner) close(f querytable.CloseConnection) {
-	ctx, stop := context.WithTimeout(r.p.ctx, connectTime)
+	ctx, stop := context.WithTimeout(r.process.ctx, connectTimeout)
 	defer stop()
-	if err := r.p.dbs.Close(ctx, f.Address, f.ID); err != nil {
+	if err := r.process.databases.Close(ctx, f.Address, f.ID); err != nil {
 		log.WithFields(log.Fields{"address": f.Address}).WithError(err).Debug("closing a connection")
 	}
 }
@@ -283,39 +283,39 @@
 }
 
 func (r *runner) run(f querytable.Run, now int64) {
-	ctx, stop := context.WithTimeout(r.p.ctx, time.Duration(f.UntilUs-now)*time.Microsecond)
+	ctx, stop := context.WithTimeout(r.process.ctx, time.Duration(f.UntilUs-now)*time.Microsecond)
 	defer stop()
 	ops := make([]databaseclient.Op, len(f.Ops))
 	for i, o := range f.Ops {
 		ops[i] = databaseclient.Op(o)
 	}
-	out, err := r.p.dbs.Run(ctx, f.Address, f.ID, f.Epoch, f.ReadOnly, ops)
-	e := querytable.Ran{Run: f.Run, Err: errText(err), Left: err != nil && !errors.Is(err, databaseclient.ErrNeverLeft),
-		Refused: out.Bounced, Epoch: out.Epoch, Applied: out.Applied}
+	out, err := r.process.databases.Run(ctx, f.Address, f.ID, f.Epoch, f.ReadOnly, ops)
+	e := querytable.RunEnded{Run: f.Run, Err: errText(err), MaybeSent: err != nil && !errors.Is(err, databaseclient.ErrNotSent),
+		Rejected: out.Rejected, Epoch: out.Epoch, Applied: out.Applied}
 	for _, s := range out.Results {
 		e.Results = append(e.Results, querytable.Result(s))
 	}
-	r.l.Post(e)
+	r.loop.Post(e)
 }
 
 func (r *runner) poll(f querytable.Poll) {
-	ctx, stop := context.WithTimeout(r.p.ctx, time.Duration(f.WaitUs)*time.Microsecond+pollExtra)
+	ctx, stop := context.WithTimeout(r.process.ctx, time.Duration(f.WaitUs)*time.Microsecond+pollSlack)
 	defer stop()
-	s, err := r.p.dbs.Poll(ctx, f.Address, f.Received, f.Applied, f.WaitUs)
-	r.l.Post(querytable.Polled{Poll: f.Poll, Err: errText(err), Status: querytable.Status{Identity: s.Identity, Role: s.Role,
-		Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Leaving: s.Leaving}})
+	s, err := r.process.databases.Poll(ctx, f.Address, f.Received, f.Applied, f.WaitUs)
+	r.loop.Post(querytable.PollEnded{Poll: f.Poll, Err: errText(err), Status: querytable.Status{Identity: s.Identity, Role: s.Role,
+		Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Draining: s.Draining}})
 }
 
-// ask puts an event with the query's id in line and waits for its return. The
+// call puts an event with the query's id in line and waits for its return. The
 // table ends every query by its expiry, so this ends too.
-func (r *runner) ask(id uint64, e any) querytable.Return {
-	ch := make(chan querytable.Return, 1)
+func (r *runner) call(id uint64, e any) querytable.Reply {
+	ch := make(chan querytable.Reply, 1)
 	r.waiters.Store(id, ch)
-	r.l.Post(e)
+	r.loop.Post(e)
 	select {
 	case v := <-ch:
 		return v
-	case <-r.p.ctx.Done():
-		return querytable.Return{ID: id, Code: result.ReturnLost, Outcome: result.Uncertain, Text: "the node stopped"}
+	case <-r.process.ctx.Done():
+		return querytable.Reply{ID: id, Code: result.ResponseLost, Outcome: result.Uncertain, Text: "the node stopped"}
 	}
 }
--- a/ports/control.go
+++ b/ports/control.go
@@ -16,13 +16,13 @@
 
 // TableChange is an operator's change of the routing table.
 type TableChange struct {
-	Base     uint64 // the revision it builds on
-	Revision uint64 // the revision it makes
-	Whole    bool   // the lists are the whole table, rather than items to put and remove
-	Name     string // the same for the same change sent again
-	Routes   []Route
-	Groups   []Group
-	Limits   *Limits // nil: none named
+	BaseRevision uint64 // the revision it builds on
+	Revision     uint64 // the revision it makes
+	Complete     bool   // the lists are the whole table, rather than items to put and remove
+	Digest       string // the same for the same change sent again
+	Routes       []Route
+	Groups       []Group
+	Limits       *Limits // nil: none named
 
 	RemoveRoutes []string
 	RemoveGroups []string
@@ -36,7 +36,7 @@
 
 const (
 	Unavailable Outcome = iota // unclear, or nobody can agree to it now
-	Agreed
+	Committed
 	Stale   // another revision than its base is in force
 	Invalid // Problems say why
 )
@@ -64,10 +64,10 @@
 // ControlProcess is one control process, behind its edges.
 type ControlProcess interface {
 	Control
-	SetBoot(Boot)
+	UpdateConfig(ProcessConfig)
 	// Run serves until the context ends, then leaves in order.
 	Run(ctx context.Context) error
 }
 
 // NewControl makes a control process.
-type NewControl func(b Boot, dbs Databases, p Provider) (ControlProcess, error)
+type NewControl func(b ProcessConfig, dbs Databases, p Provider) (ControlProcess, error)
--- a/ports/ports.go
+++ b/ports/ports.go
@@ -9,26 +9,26 @@
 	"slices"
 )
 
-// Kind is what a statement does.
-type Kind uint8
+// StatementKind is what a statement does.
+type StatementKind uint8
 
 const (
-	Bad       Kind = iota // not understood; Text says why
-	Read                  // reads one thing
-	Write                 // writes one thing
-	Begin                 // opens a transaction that may write
-	BeginRead             // opens a transaction that only reads
+	BadStatement StatementKind = iota // not understood; Text says why
+	Read                              // reads one thing
+	Write                             // writes one thing
+	Begin                             // opens a transaction that may write
+	BeginRead                         // opens a transaction that only reads
 	Commit
 	Rollback
-	SetValue // Name, Text
-	Prepare  // Name, Text is the shape, Writes whether it writes
-	Run      // runs the prepared Name
-	Drop     // forgets the prepared Name
+	SetValue   // Name, Text
+	Prepare    // Name, Text is the shape, Writes whether it writes
+	Execute    // runs the prepared Name
+	Deallocate // forgets the prepared Name
 	// Only a node's own:
-	Status // a database's Status
-	Reset  // drops values and prepared names
-	Hold   // Term: a follower receives nothing until Resume
-	Resume
+	Status            // a database's Status
+	Reset             // drops values and prepared names
+	FreezeReplication // Term: a follower receives nothing until Resume
+	ResumeReplication
 	StepDown // Term: a primary of a lower term follows
 )
 
@@ -36,7 +36,7 @@
 // end; it is passed on byte for byte but for a prepared name.
 type Statement struct {
 	ID     string
-	Kind   Kind
+	Kind   StatementKind
 	Name   string
 	Text   string
 	Writes bool
@@ -67,11 +67,11 @@
 // caller's id: SetValue, Prepare, Drop, Reset, Status, Hold, Resume, StepDown
 // and a node's own Rollback.
 type Op struct {
-	Own   bool
-	St    Statement
-	After Position
-	Name  string
-	Term  uint64 // of Hold and StepDown
+	Internal  bool
+	Statement Statement
+	After     Position
+	Name      string
+	Term      uint64 // of Hold and StepDown
 }
 
 // Code is how a statement ended.
@@ -84,48 +84,48 @@
 	Lagging
 	ReadOnly
 	WrongInstance
-	TooMany // connections
+	TooManyConnections // connections
 	Failed
-	NoStatement // no such prepared name
+	UnknownPreparedStatement // no such prepared name
 	Timeout
 	InDoubt
 	Malformed
-	NoDatabase
+	DatabaseUnavailable
 	TooLarge
 	Denied
-	Unknown // a code this revision does not know
+	UnknownCode // a code this revision does not know
 )
 
-// State is a session's or a connection's after a statement.
-type State uint8
+// TransactionState is a session's or a connection's after a statement.
+type TransactionState uint8
 
 const (
-	Idle   State = iota
-	Open         // inside a transaction
-	Broken       // the transaction failed; its end rolls back
+	Idle              TransactionState = iota
+	InTransaction                      // inside a transaction
+	TransactionFailed                  // the transaction failed; its end rolls back
 )
 
-// Answer is what a database said to one op. Body is the raw answer without its
+// Response is what a database said to one op. Body is the raw answer without its
 // closing state, so that it can be passed to the caller as it came.
-type Answer struct {
+type Response struct {
 	Code     Code
 	Text     string   // of an error
 	Rows     []string // of the node's own ops only
 	Stamped  bool     // carries the database's stamp
 	Body     []byte
-	State    State
+	State    TransactionState
 	Position Position // zero where the database named none
 }
 
 // DatabaseStatus is a database's own word on itself.
 type DatabaseStatus struct {
-	Primary  bool
-	Term     uint64
-	Received Position
-	Held     uint64 // term it is held at, 0 if it is not
-	LagUs    int64
-	Busy     int
-	Open     int
+	Primary          bool
+	Term             uint64
+	Received         Position
+	FrozenTerm       uint64 // term it is held at, 0 if it is not
+	LagUs            int64
+	BusyConnections  int
+	OpenTransactions int
 }
 
 // Reply ends a caller's statement: Body as a database gave it, or Code and Text
@@ -134,14 +134,14 @@
 	Code  Code
 	Text  string
 	Body  []byte
-	State State
+	State TransactionState
 }
 
-// Promise says whether a code promises that nothing of the try is kept. One
+// NoEffect says whether a code promises that nothing of the try is kept. One
 // table for the whole product; docs/caller-interface.md has it as text.
-func (c Code) Promise() bool {
+func (c Code) NoEffect() bool {
 	switch c {
-	case Busy, RolledBack, Lagging, ReadOnly, WrongInstance, TooMany:
+	case Busy, RolledBack, Lagging, ReadOnly, WrongInstance, TooManyConnections:
 		return true
 	}
 	return false
@@ -150,49 +150,49 @@
 // NotRun says that the database did not run the statement.
 func (c Code) NotRun() bool {
 	switch c {
-	case Busy, Lagging, ReadOnly, WrongInstance, TooMany, NoStatement:
+	case Busy, Lagging, ReadOnly, WrongInstance, TooManyConnections, UnknownPreparedStatement:
 		return true
 	}
 	return false
 }
 
-// ClassKind is what a route promises its reads.
-type ClassKind uint8
+// ReadClass is what a route promises its reads.
+type ReadClass uint8
 
 const (
-	Current ClassKind = iota // the newest acknowledged commit
-	Bounded                  // at most StaleUs old
-	Pinned                   // as Bounded, and the session's own commits
+	CurrentRead      ReadClass = iota // the newest acknowledged commit
+	BoundedStaleness                  // at most MaxStalenessUs old
+	ReadYourWrites                    // as Bounded, and the session's own commits
 )
 
 // Route is one route in force.
 type Route struct {
-	Name     string
-	Host     string // the database's name, by which callers ask
-	Prefix   string
-	Kind     ClassKind
-	Group    string
-	ExpiryUs int64 // bounds a statement
-	AimUs    int64 // for the whole operation
-	StaleUs  int64
-	Rank     int // 0 is highest
-	Tries    int
-	Source   []byte // the item as the operator sent it
+	Name            string
+	Host            string // the database's name, by which callers ask
+	Prefix          string
+	Class           ReadClass
+	Group           string
+	TimeoutUs       int64 // bounds a statement
+	LatencyTargetUs int64 // for the whole operation
+	MaxStalenessUs  int64
+	Rank            int // 0 is highest
+	MaxAttempts     int
+	Source          []byte // the item as the operator sent it
 }
 
 // Group is one service of databases.
 type Group struct {
-	Name      string
-	ConnLimit int
-	Sync      int // followers that must have received a commit before it is answered
-	Source    []byte
+	Name                string
+	ConnectionLimit     int
+	RequiredReplicaAcks int // followers that must have received a commit before it is answered
+	Source              []byte
 }
 
 // Limits bound sessions.
 type Limits struct {
-	IdleUs   int64 // 0: not bounded
-	TxIdleUs int64 // a transaction that rests so long may be ended
-	Source   []byte
+	IdleTimeoutUs            int64 // 0: not bounded
+	TransactionIdleTimeoutUs int64 // a transaction that rests so long may be ended
+	Source                   []byte
 }
 
 // RoutingTable is one revision of what operators want.
@@ -203,25 +203,25 @@
 	Limits   Limits
 	// Placements are in order of their groups; they change by moves only.
 	Placements []Placement
-	// Taken are the newest operators' orders that were taken, oldest first.
-	Taken []TakenOrder
-	// Forgotten is the newest revision whose order is not among them any more.
-	Forgotten uint64
+	// RecentOrders are the newest operators' orders that were taken, oldest first.
+	RecentOrders []AppliedOrder
+	// ForgottenRevision is the newest revision whose order is not among them any more.
+	ForgottenRevision uint64
 }
 
-// TakenOrder is an operator's order that was taken.
-type TakenOrder struct {
+// AppliedOrder is an operator's order that was taken.
+type AppliedOrder struct {
 	Revision uint64
 	Digest   string // of its exact content
 }
 
 // Placement says at which site a group's primary is to serve.
 type Placement struct {
-	Group string
-	Site  string // a zone or a region
-	Table uint64 // register revision of the table that made it
-	From  string // the site before
-	Back  bool   // undoes one that did not come about: nothing moves for it
+	Group         string
+	Site          string // a zone or a region
+	TableRevision uint64 // register revision of the table that made it
+	PreviousSite  string // the site before
+	Reverted      bool   // undoes one that did not come about: nothing moves for it
 }
 
 // Placement is where a group is to be served, if the table says so.
@@ -249,40 +249,40 @@
 
 func (p MovePhase) String() string { return movePhases[min(int(p), len(movePhases)-1)] }
 
-// UnderWay says that a move has not ended.
-func (p MovePhase) UnderWay() bool { return p == MoveStaged || p == MoveAgreed }
+// InProgress says that a move has not ended.
+func (p MovePhase) InProgress() bool { return p == MoveStaged || p == MoveAgreed }
 
 // Instance is one database as it announces itself, one life of it.
 type Instance struct {
-	ID       string
-	Group    string
-	Address  string
-	Zone     string
-	Capacity int
-	Leaving  bool
-	Primary  bool // as it sees itself
-	WarmUs   int64
-	Call     uint64 // rises with each call of it
-	Gone     bool
+	ID                 string
+	Group              string
+	Address            string
+	Zone               string
+	Capacity           int
+	Draining           bool
+	Primary            bool // as it sees itself
+	WarmupUs           int64
+	AnnouncementNumber uint64 // rises with each call of it
+	Gone               bool
 }
 
 // Phase of a group's leadership.
 type Phase uint8
 
 const (
-	PhaseOpen      Phase = iota // the primary serves
-	PhaseClosing                // a planned switch: nothing new for the primary
-	PhaseSealing                // followers are held; nothing for any primary
+	PhaseServing   Phase = iota // the primary serves
+	PhaseDraining               // a planned switch: nothing new for the primary
+	PhaseFreezing               // followers are held; nothing for any primary
 	PhasePromoting              // the target is agreed
 )
 
 // Leadership is what is agreed of a group: who leads it, in which term.
 type Leadership struct {
-	Revision uint64
-	Term     uint64
-	Primary  string // an Instance's ID
-	Address  string
-	Phase    Phase
-	ExpectUs int64  // how long a change of primary took lately, 0 if unknown
-	Table    uint64 // register revision of the routing table that work for the group needs
+	Revision       uint64
+	Term           uint64
+	Primary        string // an Instance's ID
+	Address        string
+	Phase          Phase
+	LastFailoverUs int64  // how long a change of primary took lately, 0 if unknown
+	TableRevision  uint64 // register revision of the routing table that work for the group needs
 }
