--- a/querytable/hygiene_test.go
+++ b/querytable/hygiene_test.go
@@ -23,46 +23,46 @@
 	values, prepared map[string]string
 	inTx             bool
 	busy             uint64 // query or change under way
-	change           *Change
+	change           *ChangeSession
 	ends             bool
 }
 
-// hygiene drives a table alone against a model of one database group.
-type hygiene struct {
-	t       *Table
-	r       *rand.Rand
-	now     int64
-	next    uint64
-	conns   map[int64]*databaseConn
-	callers map[string]*caller
-	byQuery map[uint64]*caller
-	sent    map[string]bool // statements sent, and whether one may write and so runs once
-	later   []any
-	bad     string
-	runs    int
-	lost    int
-	torn    bool // planted: a reset is said and not done
+// tableTest drives a table alone against a model of one database group.
+type tableTest struct {
+	table          *Table
+	random         *rand.Rand
+	now            int64
+	next           uint64
+	conns          map[int64]*databaseConn
+	callers        map[string]*caller
+	callersByQuery map[uint64]*caller
+	sent           map[string]bool // statements sent, and whether one may write and so runs once
+	later          []any
+	violation      string
+	runs           int
+	lostReplies    int
+	skipReset      bool // planted: a reset is said and not done
 }
 
-func (h *hygiene) wrong(f string, a ...any) {
-	if h.bad == "" {
-		h.bad = fmt.Sprintf("at %d: ", h.now) + fmt.Sprintf(f, a...)
+func (h *tableTest) wrong(f string, a ...any) {
+	if h.violation == "" {
+		h.violation = fmt.Sprintf("at %d: ", h.now) + fmt.Sprintf(f, a...)
 	}
 }
 
 // database runs the ops of a run and looks at what it runs them under.
-func (h *hygiene) database(e Run) Ran {
-	ret := Ran{Run: e.Run, Left: true, Epoch: e.Epoch, Applied: int64(h.runs)}
+func (h *tableTest) database(e Run) RunEnded {
+	ret := RunEnded{Run: e.Run, MaybeSent: true, Epoch: e.Epoch, Applied: int64(h.runs)}
 	c := h.conns[e.ID]
 	if c == nil {
-		ret.Refused = "connection"
+		ret.Rejected = "connection"
 		return ret
 	}
 	for _, o := range e.Ops {
 		var rs Result
 		switch o.Op {
 		case "reset":
-			if !h.torn {
+			if !h.skipReset {
 				*c = databaseConn{values: map[string]string{}, prepared: map[string]string{}}
 			}
 		case "set":
@@ -108,12 +108,12 @@
 	return ret
 }
 
-func (h *hygiene) step(evs ...any) {
-	for _, e := range h.t.Step(h.now, evs...) {
+func (h *tableTest) step(events ...any) {
+	for _, e := range h.table.Step(h.now, events...) {
 		switch e := e.(type) {
 		case OpenConnection:
-			o := Opened{Conn: e.Conn, Address: e.Address}
-			if h.r.IntN(12) == 0 {
+			o := ConnectionOpened{Connection: e.Connection, Address: e.Address}
+			if h.random.IntN(12) == 0 {
 				o.Err = "no connection"
 			} else {
 				h.next++
@@ -124,14 +124,14 @@
 		case CloseConnection:
 			delete(h.conns, e.ID)
 		case Run:
-			switch h.r.IntN(16) {
+			switch h.random.IntN(16) {
 			case 0: // reset on the way there
-				h.later = append(h.later, Ran{Run: e.Run, Err: "never left"})
+				h.later = append(h.later, RunEnded{Run: e.Run, Err: "never left"})
 			case 1: // run, and the return is lost
 				h.database(e)
-				h.lost++
-				if h.r.IntN(2) == 0 {
-					h.later = append(h.later, Ran{Run: e.Run, Err: "lost", Left: true})
+				h.lostReplies++
+				if h.random.IntN(2) == 0 {
+					h.later = append(h.later, RunEnded{Run: e.Run, Err: "lost", MaybeSent: true})
 				}
 			case 2: // reset, and gone with all that was open on it
 				delete(h.conns, e.ID)
@@ -145,46 +145,46 @@
 			if m == "a" {
 				s.Role = "primary"
 			}
-			h.later = append(h.later, Polled{Poll: e.Poll, Status: s})
-		case Return:
-			k := h.byQuery[e.ID]
-			delete(h.byQuery, e.ID)
+			h.later = append(h.later, PollEnded{Poll: e.Poll, Status: s})
+		case Reply:
+			k := h.callersByQuery[e.ID]
+			delete(h.callersByQuery, e.ID)
 			if k == nil {
 				continue
 			}
 			k.busy = 0
 			if k.change != nil {
 				if e.Outcome == result.Done {
-					k.values, k.prepared = merge(k.values, k.change.Values), merge(k.prepared, k.change.Prepared)
+					k.values, k.prepared = mergeValues(k.values, k.change.Values), mergeValues(k.prepared, k.change.Prepared)
 				}
 				k.change = nil
 				continue
 			}
-			k.inTx = e.Open
+			k.inTx = e.InTransaction
 		}
 	}
 }
 
-func (h *hygiene) act() {
+func (h *tableTest) act() {
 	ids := slices.Sorted(maps.Keys(h.callers))
 	if len(ids) < 12 {
 		h.next++
 		k := &caller{id: fmt.Sprintf("s%d", h.next), values: map[string]string{}, prepared: map[string]string{}}
-		if h.r.IntN(3) > 0 {
+		if h.random.IntN(3) > 0 {
 			k.values["mark"], k.prepared["mine"] = k.id, "text of "+k.id
 		}
 		h.callers[k.id] = k
-		h.step(Open{Session: k.id, Values: k.values, Prepared: k.prepared})
+		h.step(OpenSession{Session: k.id, Values: k.values, Prepared: k.prepared})
 		return
 	}
-	k := h.callers[ids[h.r.IntN(len(ids))]]
+	k := h.callers[ids[h.random.IntN(len(ids))]]
 	h.next++
 	id := h.next
-	switch p := h.r.IntN(40); {
+	switch p := h.random.IntN(40); {
 	case p == 0:
-		h.step(Shut{Session: k.id})
+		h.step(CloseSession{Session: k.id})
 		delete(h.callers, k.id)
-		delete(h.byQuery, k.busy)
+		delete(h.callersByQuery, k.busy)
 		for s := range h.sent {
 			if strings.HasPrefix(s, k.id+" ") {
 				delete(h.sent, s)
@@ -192,77 +192,77 @@
 		}
 	case k.busy != 0:
 	case p < 4:
-		c := Change{ID: id, Session: k.id, Values: map[string]string{"mark": fmt.Sprint(id)}, Prepared: map[string]string{"mine": []string{"", fmt.Sprint("text ", id)}[h.r.IntN(2)]}}
-		k.busy, k.change, h.byQuery[id] = id, &c, k
+		c := ChangeSession{ID: id, Session: k.id, Values: map[string]string{"mark": fmt.Sprint(id)}, Prepared: map[string]string{"mine": []string{"", fmt.Sprint("text ", id)}[h.random.IntN(2)]}}
+		k.busy, k.change, h.callersByQuery[id] = id, &c, k
 		h.step(c)
 	default:
-		q := Query{ID: id, Session: k.id, Class: []string{"current", "stale"}[h.r.IntN(2)]}
-		if k.inTx || h.r.IntN(3) == 0 {
+		q := Query{ID: id, Session: k.id, Class: []string{"current", "stale"}[h.random.IntN(2)]}
+		if k.inTx || h.random.IntN(3) == 0 {
 			q.Class, q.Begin = "current", !k.inTx
-			q.Commit, q.Rollback = k.inTx && h.r.IntN(4) == 0, false
+			q.Commit, q.Rollback = k.inTx && h.random.IntN(4) == 0, false
 			if !q.Commit && k.inTx {
-				q.Rollback = h.r.IntN(8) == 0
+				q.Rollback = h.random.IntN(8) == 0
 			}
 		}
 		n := 1
 		if q.Begin || k.inTx {
-			n += h.r.IntN(2)
+			n += h.random.IntN(2)
 		}
 		for i := range n {
 			text := fmt.Sprintf("%s %d/%d", k.id, id, i)
 			st := Statement{Text: text}
-			if k.prepared["mine"] != "" && h.r.IntN(2) == 0 {
+			if k.prepared["mine"] != "" && h.random.IntN(2) == 0 {
 				st = Statement{Prepared: "mine", Params: []string{text}}
 			}
 			q.Statements = append(q.Statements, st)
 			h.sent[text] = q.Class == "current"
 		}
-		k.busy, h.byQuery[id], k.ends = id, k, q.Commit || q.Rollback
+		k.busy, h.callersByQuery[id], k.ends = id, k, q.Commit || q.Rollback
 		h.step(q)
 	}
 }
 
-func hygienic(seed uint64, torn bool) *hygiene {
-	h := &hygiene{t: New(seed), r: rand.New(rand.NewPCG(seed, 7)), now: 1_000_000, conns: map[int64]*databaseConn{}, callers: map[string]*caller{}, byQuery: map[uint64]*caller{}, sent: map[string]bool{}, torn: torn}
-	w := Wanted{Group: "g", Epoch: 1, Primary: "a", Line: 100, Classes: map[string]Class{
-		"current": {Name: "current", Kind: "current", WaitUs: 250_000, DeadlineUs: 5_000_000},
-		"stale":   {Name: "stale", Kind: "stale", StaleUs: 1_500_000, MarginUs: 300_000, WaitUs: 250_000, DeadlineUs: 5_000_000}}}
+func runTableTest(seed uint64, torn bool) *tableTest {
+	h := &tableTest{table: New(seed), random: rand.New(rand.NewPCG(seed, 7)), now: 1_000_000, conns: map[int64]*databaseConn{}, callers: map[string]*caller{}, callersByQuery: map[uint64]*caller{}, sent: map[string]bool{}, skipReset: torn}
+	w := Desired{Group: "g", Epoch: 1, Primary: "a", QueueLimit: 100, Classes: map[string]Class{
+		"current": {Name: "current", Kind: "current", MaxWaitUs: 250_000, DeadlineUs: 5_000_000},
+		"stale":   {Name: "stale", Kind: "stale", MaxStalenessUs: 1_500_000, MarginUs: 300_000, MaxWaitUs: 250_000, DeadlineUs: 5_000_000}}}
 	for _, m := range []string{"a", "b", "c"} {
-		w.Members = append(w.Members, Member{Name: m, Identity: m, Address: m, Leased: 3, UntilUs: 1 << 60})
+		w.Members = append(w.Members, Member{Name: m, Identity: m, Address: m, Leased: 3, LeaseUntilUs: 1 << 60})
 	}
-	h.step(Boot{Wanted: w})
+	h.step(SetDesired{Desired: w})
 	for range 6000 {
-		h.now += 1 + h.r.Int64N(3_000)
-		if n := len(h.later); n > 0 && h.r.IntN(4) > 0 {
-			i := h.r.IntN(n)
+		h.now += 1 + h.random.Int64N(3_000)
+		if n := len(h.later); n > 0 && h.random.IntN(4) > 0 {
+			i := h.random.IntN(n)
 			e := h.later[i]
 			h.later = slices.Delete(h.later, i, i+1)
 			h.step(e)
 		} else {
 			h.act()
 		}
-		if h.r.IntN(8) == 0 {
+		if h.random.IntN(8) == 0 {
 			h.step(Tick{})
 		}
 	}
 	return h
 }
 
-// TestHygiene: whatever sessions open, change, begin, leave and lose, each
+// TestSessionsAreIsolated: whatever sessions open, change, begin, leave and lose, each
 // statement runs once, with its own text, under exactly its session's values and
 // prepared names, and inside its own transaction alone. The check sees a
 // connection that is not reset.
-func TestHygiene(t *testing.T) {
+func TestSessionsAreIsolated(t *testing.T) {
 	runs, lost, seen := 0, 0, 0
 	for seed := range uint64(60) {
-		h := hygienic(seed, false)
-		if h.bad != "" {
-			t.Errorf("seed %d: %s", seed, h.bad)
+		h := runTableTest(seed, false)
+		if h.violation != "" {
+			t.Errorf("seed %d: %s", seed, h.violation)
 		}
-		runs, lost = runs+h.runs, lost+h.lost
+		runs, lost = runs+h.runs, lost+h.lostReplies
 	}
 	for seed := range uint64(6) {
-		if hygienic(seed, true).bad != "" {
+		if runTableTest(seed, true).violation != "" {
 			seen++
 		}
 	}
@@ -276,15 +276,15 @@
 // on three copies, reads and writes in turn, each step over the whole table.
 func BenchmarkQuery(b *testing.B) {
 	t := New(1)
-	w := Wanted{Group: "g", Epoch: 1, Primary: "a", Line: 1000, Classes: map[string]Class{
-		"current": {Name: "current", Kind: "current", WaitUs: 250_000, DeadlineUs: 5_000_000},
-		"stale":   {Name: "stale", Kind: "stale", StaleUs: 1_500_000, MarginUs: 300_000, WaitUs: 250_000, DeadlineUs: 5_000_000}}}
+	w := Desired{Group: "g", Epoch: 1, Primary: "a", QueueLimit: 1000, Classes: map[string]Class{
+		"current": {Name: "current", Kind: "current", MaxWaitUs: 250_000, DeadlineUs: 5_000_000},
+		"stale":   {Name: "stale", Kind: "stale", MaxStalenessUs: 1_500_000, MarginUs: 300_000, MaxWaitUs: 250_000, DeadlineUs: 5_000_000}}}
 	for _, m := range []string{"a", "b", "c"} {
-		w.Members = append(w.Members, Member{Name: m, Identity: m, Address: m, Leased: 20, UntilUs: 1 << 60})
+		w.Members = append(w.Members, Member{Name: m, Identity: m, Address: m, Leased: 20, LeaseUntilUs: 1 << 60})
 	}
-	now, line := int64(1_000_000), []any{Boot{Wanted: w}}
+	now, line := int64(1_000_000), []any{SetDesired{Desired: w}}
 	for i := range 60 {
-		line = append(line, Open{Session: fmt.Sprint("s", i)})
+		line = append(line, OpenSession{Session: fmt.Sprint("s", i)})
 	}
 	done, conns, pos := 0, int64(0), int64(0)
 	next := func(i int) Query {
@@ -311,9 +311,9 @@
 			switch f := f.(type) {
 			case OpenConnection:
 				conns++
-				line = append(line, Opened{Conn: f.Conn, Address: f.Address, ID: conns})
+				line = append(line, ConnectionOpened{Connection: f.Connection, Address: f.Address, ID: conns})
 			case Run:
-				r := Ran{Run: f.Run, Left: true, Epoch: 1, Results: make([]Result, len(f.Ops))}
+				r := RunEnded{Run: f.Run, MaybeSent: true, Epoch: 1, Results: make([]Result, len(f.Ops))}
 				if !f.ReadOnly {
 					pos++
 					r.Results[0].Position = pos
@@ -325,8 +325,8 @@
 				if f.Address == "a" {
 					s.Role = "primary"
 				}
-				line = append(line, Polled{Poll: f.Poll, Status: s})
-			case Return:
+				line = append(line, PollEnded{Poll: f.Poll, Status: s})
+			case Reply:
 				done++
 				line = append(line, next(sent))
 				sent++
@@ -334,5 +334,5 @@
 		}
 	}
 	b.ReportMetric(float64(t.Counts().Polls)/float64(max(1, done)), "polls/query")
-	b.ReportMetric(float64(t.Counts().Refused)/float64(max(1, done)), "bounced/query")
+	b.ReportMetric(float64(t.Counts().Rejected)/float64(max(1, done)), "bounced/query")
 }
--- a/querytable/table.go
+++ b/querytable/table.go
@@ -16,18 +16,18 @@
 
 // Member is one database of the group as this node is told of it.
 type Member struct {
-	Name     string
-	Identity string // as agreed; a copy with another one does not count
-	Address  string
-	Leased   int   // connections this node may hold
-	UntilUs  int64 // and until when
-	Drained  bool  // an agreed move drains it: no new reads on a replica, no new transaction on a primary
-	Closed   bool  // and nothing new at all
+	Name         string
+	Identity     string // as agreed; a copy with another one does not count
+	Address      string
+	Leased       int   // connections this node may hold
+	LeaseUntilUs int64 // and until when
+	Draining     bool  // an agreed move drains it: no new reads on a replica, no new transaction on a primary
+	Closed       bool  // and nothing new at all
 }
 
-// leased is how many connections may be held now: a node that was frozen wakes up with none.
-func (m Member) leased(now int64) int {
-	if now >= m.UntilUs {
+// usableLeases is how many connections may be held now: a node that was frozen wakes up with none.
+func (m Member) usableLeases(now int64) int {
+	if now >= m.LeaseUntilUs {
 		return 0
 	}
 	return m.Leased
@@ -35,34 +35,34 @@
 
 // Class is a query class's promise.
 type Class struct {
-	Name       string
-	Kind       string // current, stale or pinned
-	StaleUs    int64
-	MarginUs   int64
-	WaitUs     int64
-	DeadlineUs int64
+	Name           string
+	Kind           string // current, stale or pinned
+	MaxStalenessUs int64
+	MarginUs       int64
+	MaxWaitUs      int64
+	DeadlineUs     int64
 }
 
 func (c Class) formula(margin int64) freshness.Formula {
 	if c.Kind == "current" {
 		return freshness.Formula{Measure: freshness.Order}
 	}
-	return freshness.Formula{Measure: freshness.Age, Threshold: max(c.StaleUs-margin, 0)}
+	return freshness.Formula{Measure: freshness.Age, Threshold: max(c.MaxStalenessUs-margin, 0)}
 }
 
-// Wanted is the state the node is told to work by; it is swapped whole.
-type Wanted struct {
-	Group    string
-	Epoch    uint64
-	Primary  string // "" while a takeover has not chosen one
-	Members  []Member
-	Classes  map[string]Class
-	Line     int
-	Choice   string // least-sum; random and least-burden only for comparison
-	Position bool   // own commits stay gaps, for comparison
+// Desired is the state the node is told to work by; it is swapped whole.
+type Desired struct {
+	Group        string
+	Epoch        uint64
+	Primary      string // "" while a takeover has not chosen one
+	Members      []Member
+	Classes      map[string]Class
+	QueueLimit   int
+	Selection    string // least-sum; random and least-burden only for comparison
+	PositionOnly bool   // own commits stay gaps, for comparison
 }
 
-func (w Wanted) member(n string) (Member, bool) {
+func (w Desired) member(n string) (Member, bool) {
 	for _, m := range w.Members {
 		if m.Name == n {
 			return m, true
@@ -87,17 +87,17 @@
 
 // Events.
 type (
-	// Open makes a session.
-	Open struct {
+	// OpenSession makes a session.
+	OpenSession struct {
 		Session  string
 		Values   map[string]string
 		Prepared map[string]string
 		Token    Token
 	}
-	// Shut ends a session; an open transaction is rolled back.
-	Shut struct{ Session string }
-	// Change sets session values and prepared names.
-	Change struct {
+	// CloseSession ends a session; an open transaction is rolled back.
+	CloseSession struct{ Session string }
+	// ChangeSession sets session values and prepared names.
+	ChangeSession struct {
 		ID       uint64
 		Session  string
 		Values   map[string]string
@@ -116,36 +116,36 @@
 		Statements []Statement
 		DeadlineUs int64 // from its arrival; 0 for the class's
 	}
-	// Opened ends an OpenConnection; ID is the database's.
-	Opened struct {
-		Conn    uint64
-		Address string
-		ID      int64
-		Err     string
+	// ConnectionOpened ends an OpenConnection; ID is the database's.
+	ConnectionOpened struct {
+		Connection uint64
+		Address    string
+		ID         int64
+		Err        string
 	}
-	// Ran ends a Run. Left says that bytes may have reached the database.
-	Ran struct {
-		Run     uint64
-		Left    bool
-		Err     string
-		Refused string
-		Results []Result
-		Epoch   uint64
-		Applied int64
+	// RunEnded ends a Run. Left says that bytes may have reached the database.
+	RunEnded struct {
+		Run       uint64
+		MaybeSent bool
+		Err       string
+		Rejected  string
+		Results   []Result
+		Epoch     uint64
+		Applied   int64
 	}
-	// Polled ends a Poll.
-	Polled struct {
+	// PollEnded ends a Poll.
+	PollEnded struct {
 		Poll   uint64
 		Err    string
 		Status Status
 	}
-	// Boot brings a new wanted state.
-	Boot struct{ Wanted Wanted }
+	// SetDesired brings a new wanted state.
+	SetDesired struct{ Desired Desired }
 	// Stop drains the node; transactions get until GraceUs.
 	Stop struct{ GraceUs int64 }
-	// Why asks what was decided lately: of one query by its caller's id, or the
+	// DecisionsRequest asks what was decided lately: of one query by its caller's id, or the
 	// newest of each class.
-	Why struct {
+	DecisionsRequest struct {
 		ID   uint64
 		Name string
 	}
@@ -161,7 +161,7 @@
 	LogEpoch uint64 `json:"LogEpoch"`
 	Received int64  `json:"Received"`
 	Applied  int64  `json:"Applied"`
-	Leaving  bool   `json:"Leaving"`
+	Draining bool   `json:"Leaving"`
 }
 
 // Result is one op's return from the database.
@@ -186,28 +186,28 @@
 type (
 	// OpenConnection asks for a connection to a database.
 	OpenConnection struct {
-		Conn    uint64
-		Address string
+		Connection uint64
+		Address    string
 	}
 	// CloseConnection gives one up; what runs on it is abandoned.
 	CloseConnection struct {
-		Conn    uint64
-		Address string
-		ID      int64
+		Connection uint64
+		Address    string
+		ID         int64
 	}
-	// Run sends ops over a connection; it must be given up at UntilUs.
+	// Run sends ops over a connection; it must be given up at LeaseUntilUs.
 	Run struct {
-		Run     uint64
-		Conn    uint64
-		Address string
-		ID      int64
-		Epoch   uint64
-		Ops     []Op
+		Run        uint64
+		Connection uint64
+		Address    string
+		ID         int64
+		Epoch      uint64
+		Ops        []Op
 		// ReadOnly has the database refuse a write.
 		ReadOnly bool
 		UntilUs  int64
 	}
-	// Poll asks a database for its status, waiting at most WaitUs for the
+	// Poll asks a database for its status, waiting at most MaxWaitUs for the
 	// positions named.
 	Poll struct {
 		Poll     uint64
@@ -216,27 +216,27 @@
 		Applied  int64
 		WaitUs   int64
 	}
-	// Return ends a query.
-	Return struct {
-		ID           uint64
-		Code         result.Code
-		Outcome      result.Outcome
-		Text         string
-		Rows         [][][]string
-		RetryAfterUs int64
-		Token        Token
-		Copy         string
-		Replica      bool  // a replica served it
-		Position     int64 // what a read showed
-		Open         bool  // a transaction is open behind it
+	// Reply ends a query.
+	Reply struct {
+		ID            uint64
+		Code          result.Code
+		Outcome       result.Outcome
+		Text          string
+		Rows          [][][]string
+		RetryAfterUs  int64
+		Token         Token
+		Database      string
+		FromReplica   bool  // a replica served it
+		Position      int64 // what a read showed
+		InTransaction bool  // a transaction is open behind it
 	}
-	// Decided ends a Why.
-	Decided struct {
+	// Decisions ends a Why.
+	Decisions struct {
 		ID        uint64
 		Decisions []Decision
 	}
-	// Say is for the log.
-	Say struct {
+	// LogEntry is for the log.
+	LogEntry struct {
 		Code result.Code
 		Text string
 	}
@@ -244,117 +244,117 @@
 
 // Decision is one choice of a copy, as it was made.
 type Decision struct {
-	Name   string // the caller's own id of the query
-	Class  string
-	AtUs   int64
-	Copy   string
-	Reason string
-	Floor  int64 // position of the session's newest write, for a pinned read
-	Copies []freshness.Copy
+	Name       string // the caller's own id of the query
+	Class      string
+	AtUs       int64
+	Database   string
+	Reason     string
+	Floor      int64 // position of the session's newest write, for a pinned read
+	Candidates []freshness.Replica
 }
 
 // Effect is one of the above.
 type Effect any
 
 type session struct {
-	id       string
-	values   map[string]string
-	prepared map[string]string
-	token    Token
-	busy     uint64 // query that is not ended
-	conn     uint64 // held by an open transaction
-	lost     bool   // a transaction was lost and the caller was not told yet
-	touched  int64
-	past     []Return // newest returns, to repeat for a query asked twice
-	names    []string
+	id              string
+	values          map[string]string
+	prepared        map[string]string
+	token           Token
+	activeQuery     uint64 // query that is not ended
+	connection      uint64 // held by an open transaction
+	transactionLost bool   // a transaction was lost and the caller was not told yet
+	lastUsedAt      int64
+	recentReplies   []Reply // newest returns, to repeat for a query asked twice
+	recentNames     []string
 }
 
 type state int
 
 const (
-	placing  state = iota // no copy chosen, or it waits for a round
-	level                 // waits until its copy has applied the level
-	lining                // waits for a connection
-	running               // at the database
-	settling              // waits until a majority holds what it did or read
+	placing            state = iota // no copy chosen, or it waits for a round
+	awaitingPosition                // waits until its copy has applied the level
+	awaitingConnection              // waits for a connection
+	running                         // at the database
+	awaitingMajority                // waits until a majority holds what it did or read
 )
 
 type query struct {
 	Query
-	class    Class
-	came     int64
-	deadline int64
-	write    bool // goes to the primary and may leave something there
-	ends     bool // a run of it may commit
-	state    state
-	db       string
-	need     int64
-	waited   int64 // when it began to wait for its level
-	primary  bool  // fallen back to the primary
-	conn     uint64
-	run      uint64
-	sent     int64
-	epoch    uint64
-	held     int64 // position a majority must hold
-	commit   commit
-	ret      Return
-	tries    int
-	avoid    []string
-	idle     int64 // time spent waiting before its runs
-	idleAt   int64 // since when it waits again
+	class            Class
+	arrivedAt        int64
+	deadline         int64
+	write            bool // goes to the primary and may leave something there
+	mayCommit        bool // a run of it may commit
+	state            state
+	database         string
+	requiredPosition int64
+	waitingSince     int64 // when it began to wait for its level
+	onPrimary        bool  // fallen back to the primary
+	connection       uint64
+	run              uint64
+	sentAt           int64
+	epoch            uint64
+	majorityPosition int64 // position a majority must hold
+	commit           commit
+	reply            Reply
+	attempts         int
+	excluded         []string
+	waitedUs         int64 // time spent waiting before its runs
+	waitStartedAt    int64 // since when it waits again
 }
 
 type commit struct {
-	pos, tuples int64
-	relations   []string
+	position, tuples int64
+	relations        []string
 }
 
-type conn struct {
-	id      uint64
-	db      string
-	address string
-	remote  int64
-	ready   bool
-	epoch   uint64
-	dirty   bool
-	query   uint64
-	session string // of an open transaction
-	since   int64
+type connection struct {
+	id          uint64
+	database    string
+	address     string
+	remoteID    int64
+	established bool
+	epoch       uint64
+	needsReset  bool
+	queryID     uint64
+	sessionID   string // of an open transaction
+	usedAt      int64
 }
 
 type poll struct {
-	member string
-	start  int64
-	long   bool
-	rec    int64
-	app    int64
+	member    string
+	startedAt int64
+	long      bool
+	received  int64
+	applied   int64
 }
 
 type member struct {
-	name      string
-	status    Status
-	start     int64 // of the newest good poll
-	okAt      int64 // when it returned
-	known     bool
-	failing   int64 // first failure since the last good poll
-	quick     uint64
-	long      uint64
-	next      int64 // when the next plain poll is due
-	leaving   int64 // when leaving was learned, 0 if it is not
-	other     bool  // another copy than the agreed one is there
-	stuck     int64 // since when applied stands still behind the master
-	rateUs    int64
-	rateAt    int64
-	rateFrom  int64
-	lagUs     int64
-	openAgain int64 // no new connection before
+	name                 string
+	status               Status
+	pollStartedAt        int64 // of the newest good poll
+	lastSuccessAt        int64 // when it returned
+	known                bool
+	failingSince         int64 // first failure since the last good poll
+	quickPoll            uint64
+	longPoll             uint64
+	nextPollAt           int64 // when the next plain poll is due
+	drainingSince        int64 // when leaving was learned, 0 if it is not
+	otherIdentity        bool  // another copy than the agreed one is there
+	stalledSince         int64 // since when applied stands still behind the master
+	applyIntervalUs      int64
+	rateMeasuredAt       int64
+	rateMeasuredPosition int64
+	lagUs                int64
+	reconnectAt          int64 // no new connection before
 }
 
 // Counts are a table's counters.
 type Counts struct {
 	Queries   uint64 `json:"Queries"`
 	Done      uint64 `json:"Done"`
-	Refused   uint64 `json:"Bounced"` // the public name
+	Rejected  uint64 `json:"Bounced"` // the public name
 	Uncertain uint64 `json:"Uncertain"`
 	Failed    uint64 `json:"Failed"`
 	OnReplica uint64 `json:"OnReplica"`
@@ -362,41 +362,41 @@
 	Polls     uint64 `json:"Polls"`
 	Runs      uint64 `json:"Runs"`
 	Opens     uint64 `json:"Opens"`
-	Replaced  uint64 `json:"Replaced"`
+	Retried   uint64 `json:"Replaced"`
 }
 
 // Table is one group's sessions, queries, connections and freshness queue.
 type Table struct {
-	w        Wanted
-	sessions map[string]*session
-	queries  map[uint64]*query
-	order    []uint64 // queries by arrival
-	conns    map[uint64]*conn
-	connIDs  []uint64 // in the order they were opened, some of them closed
-	idle     map[string][]uint64
-	polls    map[uint64]poll
-	runs     map[uint64]uint64 // run to query
-	members  map[string]*member
-	fresh    freshness.Queue
-	runUs    map[string]int64 // average run time by class and database
-	next     uint64
-	rnd      *rand.Rand
-	stopAt   int64
-	stopping bool
-	fx       []Effect
-	counts   Counts
-	decided  []Decision // newest choices, in a ring
-	decideAt int
-	nextIdle int64 // when sessions are looked over for long idle ones
-	outage   int64 // since when the primary takes nothing new, 0 while it does
-	usualUs  int64 // how long that usually lasts
+	desired         Desired
+	sessions        map[string]*session
+	queries         map[uint64]*query
+	queryOrder      []uint64 // queries by arrival
+	connections     map[uint64]*connection
+	connectionOrder []uint64 // in the order they were opened, some of them closed
+	idleConnections map[string][]uint64
+	polls           map[uint64]poll
+	runs            map[uint64]uint64 // run to query
+	members         map[string]*member
+	freshness       freshness.Queue
+	averageRunUs    map[string]int64 // average run time by class and database
+	lastID          uint64
+	random          *rand.Rand
+	shutdownAt      int64
+	stopping        bool
+	effects         []Effect
+	counts          Counts
+	decisions       []Decision // newest choices, in a ring
+	oldestDecision  int
+	nextIdleCheckAt int64 // when sessions are looked over for long idle ones
+	outageSince     int64 // since when the primary takes nothing new, 0 while it does
+	usualOutageUs   int64 // how long that usually lasts
 }
 
 // New makes an empty table; ties are broken from the seed.
 func New(seed uint64) *Table {
-	return &Table{sessions: map[string]*session{}, queries: map[uint64]*query{}, conns: map[uint64]*conn{},
-		idle: map[string][]uint64{}, polls: map[uint64]poll{}, runs: map[uint64]uint64{}, members: map[string]*member{},
-		runUs: map[string]int64{}, usualUs: usualOutage, rnd: rand.New(rand.NewPCG(seed, 0))}
+	return &Table{sessions: map[string]*session{}, queries: map[uint64]*query{}, connections: map[uint64]*connection{},
+		idleConnections: map[string][]uint64{}, polls: map[uint64]poll{}, runs: map[uint64]uint64{}, members: map[string]*member{},
+		averageRunUs: map[string]int64{}, usualOutageUs: initialOutageEstimate, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
 // Counts returns the counters.
@@ -405,173 +405,175 @@
 // Gauges returns open sessions, queries under way and connections by database.
 func (t *Table) Gauges() (sessions, queries int, conns map[string]int) {
 	conns = map[string]int{}
-	for _, c := range t.conns {
-		conns[c.db]++
+	for _, c := range t.connections {
+		conns[c.database]++
 	}
 	return len(t.sessions), len(t.queries), conns
 }
 
 // Times the table works by, in microseconds.
 const (
-	pollEvery    = 100_000   // plain poll of each member
-	pollWait     = 250_000   // longest a poll waits at the database
-	silentAfter  = 600_000   // a primary that failed polls this long gets no new queries
-	stallAfter   = 1_000_000 // a copy that stands still this long takes no part
-	leaveGrace   = 4_000_000 // transactions on a leaving database get this long
-	idleConn     = 10_000_000
-	idleTx       = 10_000_000
-	idleSession  = 3_600_000_000
-	idleEvery    = 1_000_000
-	openBackoff  = 50_000
-	settleWait   = 2_000_000
-	lineWait     = 1_000_000 // longest a query waits for a connection, beside what its class lets it wait for a copy
-	readMost     = 500_000   // a read that runs so long, and eight times its average, is placed elsewhere;
-	readSlow     = 1_000_000 // at the latest then, unless its average is half of that or more
-	writeMost    = 2_000_000 // a write that runs so long, and eight times its average, is given up
-	keptReturns  = 8
-	keptChoices  = 256
-	usualOutage  = 1_000_000 // until this node has seen one
-	retryShort   = 50_000
-	retryPrimary = 300_000
+	pollInterval           = 100_000   // plain poll of each member
+	longPollTimeout        = 250_000   // longest a poll waits at the database
+	unresponsiveTimeout    = 600_000   // a primary that failed polls this long gets no new queries
+	stallTimeout           = 1_000_000 // a copy that stands still this long takes no part
+	drainGrace             = 4_000_000 // transactions on a leaving database get this long
+	idleConnectionTimeout  = 10_000_000
+	idleTransactionTimeout = 10_000_000
+	idleSessionTimeout     = 3_600_000_000
+	idleCheckInterval      = 1_000_000
+	reconnectDelay         = 50_000
+	majorityTimeout        = 2_000_000
+	queueTimeout           = 1_000_000 // longest a query waits for a connection, beside what its class lets it wait for a copy
+	minReadTimeout         = 500_000   // a read that runs so long, and eight times its average, is placed elsewhere;
+	maxReadTimeout         = 1_000_000 // at the latest then, unless its average is half of that or more
+	minWriteTimeout        = 2_000_000 // a write that runs so long, and eight times its average, is given up
+	maxRecentReplies       = 8
+	maxDecisions           = 256
+	initialOutageEstimate  = 1_000_000 // until this node has seen one
+	shortRetryDelay        = 50_000
+	primaryRetryDelay      = 300_000
 )
 
 // Step takes events and runs the passes.
-func (t *Table) Step(now int64, evs ...any) []Effect {
-	t.fx = nil
-	for _, e := range evs {
-		t.event(now, e)
+func (t *Table) Step(now int64, events ...any) []Effect {
+	t.effects = nil
+	for _, e := range events {
+		t.handleEvent(now, e)
 	}
-	t.passes(now)
-	return t.fx
+	t.runPasses(now)
+	return t.effects
 }
 
-// passes run over the table in the order a query goes through it.
-func (t *Table) passes(now int64) {
-	t.passEpoch(now)
+// runPasses run over the table in the order a query goes through it.
+func (t *Table) runPasses(now int64) {
+	t.endInterruptedRuns(now)
 	t.endPastDeadline(now)
-	t.passPlace(now)
-	t.passConnect(now)
-	t.passSettle(now)
-	t.passClean(now)
-	t.passPoll(now)
+	t.placeQueries(now)
+	t.assignConnections(now)
+	t.releaseConfirmed(now)
+	t.closeUnusedConnections(now)
+	t.pollMembers(now)
 	t.watchOutage(now)
 	t.sweep()
-	t.check()
+	t.checkInvariants()
 }
 
-func (t *Table) event(now int64, e any) {
+func (t *Table) handleEvent(now int64, e any) {
 	switch e := e.(type) {
-	case Boot:
-		t.boot(now, e.Wanted)
-	case Open:
-		t.open(now, e)
-	case Shut:
-		t.shut(now, e.Session)
-	case Change:
-		t.change(now, e)
+	case SetDesired:
+		t.setDesired(now, e.Desired)
+	case OpenSession:
+		t.openSession(now, e)
+	case CloseSession:
+		t.closeSession(now, e.Session)
+	case ChangeSession:
+		t.changeSession(now, e)
 	case Query:
-		t.allow(now, e)
-	case Opened:
-		t.opened(now, e)
-	case Ran:
-		t.ran(now, e)
-	case Polled:
-		t.polled(now, e)
-	case Why:
-		t.fx = append(t.fx, Decided{ID: e.ID, Decisions: t.why(e.Name)})
+		t.admit(now, e)
+	case ConnectionOpened:
+		t.finishOpen(now, e)
+	case RunEnded:
+		t.finishRun(now, e)
+	case PollEnded:
+		t.finishPoll(now, e)
+	case DecisionsRequest:
+		t.effects = append(t.effects, Decisions{ID: e.ID, Decisions: t.recentDecisions(e.Name)})
 	case Stop:
-		t.stopping, t.stopAt = true, now+e.GraceUs
+		t.stopping, t.shutdownAt = true, now+e.GraceUs
 	}
 }
 
-// boot takes a new wanted state. A new epoch starts the freshness queue anew;
+// setDesired takes a new wanted state. A new epoch starts the freshness queue anew;
 // an older epoch than the one known is never taken back.
-func (t *Table) boot(now int64, w Wanted) {
-	if w.Epoch < t.w.Epoch {
+func (t *Table) setDesired(now int64, w Desired) {
+	if w.Epoch < t.desired.Epoch {
 		return
 	}
-	if w.Epoch > t.w.Epoch {
-		t.fresh.Reset()
+	if w.Epoch > t.desired.Epoch {
+		t.freshness.Reset()
 		for _, m := range t.members {
-			m.known, m.next = false, 0
+			m.known, m.nextPollAt = false, 0
 		}
-		t.say(result.EpochSeen, w.Group+" "+w.Primary)
+		t.log(result.EpochSeen, w.Group+" "+w.Primary)
 	}
-	old := t.w
-	t.w = w
+	old := t.desired
+	t.desired = w
 	for _, m := range w.Members {
 		p, had := old.member(m.Name)
 		if !had || t.members[m.Name] == nil {
 			t.members[m.Name] = &member{name: m.Name}
 		}
-		if (m.Drained || m.Closed) && t.members[m.Name].leaving == 0 {
-			t.members[m.Name].leaving = now
+		if (m.Draining || m.Closed) && t.members[m.Name].drainingSince == 0 {
+			t.members[m.Name].drainingSince = now
 		}
 		if had && (p.Address != m.Address || p.Identity != m.Identity) {
 			t.members[m.Name].known = false
-			t.fresh.Drop(m.Name)
+			t.freshness.RemoveReplica(m.Name)
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(t.members)) {
 		if _, ok := w.member(n); !ok {
 			delete(t.members, n)
-			t.fresh.Drop(n)
+			t.freshness.RemoveReplica(n)
 		}
 	}
 }
 
-func (t *Table) say(c result.Code, s string) { t.fx = append(t.fx, Say{Code: c, Text: s}) }
+func (t *Table) log(c result.Code, s string) {
+	t.effects = append(t.effects, LogEntry{Code: c, Text: s})
+}
 
-func (t *Table) id() uint64 { t.next++; return t.next }
+func (t *Table) newID() uint64 { t.lastID++; return t.lastID }
 
 // sweep takes ended queries out of the arrival order, and closed connections out
 // of theirs.
 func (t *Table) sweep() {
-	if len(t.order) > len(t.queries) {
-		t.order = slices.DeleteFunc(t.order, func(id uint64) bool { return t.queries[id] == nil })
+	if len(t.queryOrder) > len(t.queries) {
+		t.queryOrder = slices.DeleteFunc(t.queryOrder, func(id uint64) bool { return t.queries[id] == nil })
 	}
-	if len(t.connIDs) > len(t.conns) {
-		t.connIDs = slices.DeleteFunc(t.connIDs, func(id uint64) bool { return t.conns[id] == nil })
+	if len(t.connectionOrder) > len(t.connections) {
+		t.connectionOrder = slices.DeleteFunc(t.connectionOrder, func(id uint64) bool { return t.connections[id] == nil })
 	}
 }
 
-// eachConn goes over the connections as they were opened; f may close any.
-func (t *Table) eachConn(f func(*conn)) {
-	for _, id := range t.connIDs {
-		if c := t.conns[id]; c != nil {
+// eachConnection goes over the connections as they were opened; f may close any.
+func (t *Table) eachConnection(f func(*connection)) {
+	for _, id := range t.connectionOrder {
+		if c := t.connections[id]; c != nil {
 			f(c)
 		}
 	}
 }
 
-// check holds the table's invariants; breaking one is a defect, and going on
+// checkInvariants holds the table's invariants; breaking one is a defect, and going on
 // would be worse than stopping (design 7.6).
-func (t *Table) check() {
-	for id, c := range t.conns {
-		if c.query != 0 {
-			q := t.queries[c.query]
-			if q == nil || q.conn != id {
+func (t *Table) checkInvariants() {
+	for id, c := range t.connections {
+		if c.queryID != 0 {
+			q := t.queries[c.queryID]
+			if q == nil || q.connection != id {
 				panic("querytable: a connection is lent to a query that does not hold it")
 			}
-			if c.session != "" && q.Session != c.session {
+			if c.sessionID != "" && q.Session != c.sessionID {
 				panic("querytable: a query runs in another session's transaction")
 			}
 		}
-		if c.session != "" {
-			if s := t.sessions[c.session]; s == nil || s.conn != id {
+		if c.sessionID != "" {
+			if s := t.sessions[c.sessionID]; s == nil || s.connection != id {
 				panic("querytable: a transaction's connection is not its session's")
 			}
 		}
 	}
-	for d, ids := range t.idle {
+	for d, ids := range t.idleConnections {
 		for _, id := range ids {
-			if c := t.conns[id]; c == nil || c.db != d || c.query != 0 || c.session != "" {
+			if c := t.connections[id]; c == nil || c.database != d || c.queryID != 0 || c.sessionID != "" {
 				panic("querytable: a connection in use stands among the idle ones")
 			}
 		}
 	}
 	for id, q := range t.queries {
-		if s := t.sessions[q.Session]; s == nil || s.busy != id {
+		if s := t.sessions[q.Session]; s == nil || s.activeQuery != id {
 			panic("querytable: a query's session does not know it")
 		}
 	}
--- a/relaytree/relaytree_test.go
+++ b/relaytree/relaytree_test.go
@@ -9,10 +9,10 @@
 	"stoneford/schema"
 )
 
-// TestNewsReachesAll: nodes with differing views of who lives, relays that die
+// TestUpdatesReachAllNodes: nodes with differing views of who lives, relays that die
 // and envelopes that are lost; news still reaches every living node, and no
 // node ever holds less than it did.
-func TestNewsReachesAll(t *testing.T) {
+func TestUpdatesReachAllNodes(t *testing.T) {
 	roots := []string{"r1", "r2", "r3"}
 	var worst int64
 	for seed := range uint64(60) {
@@ -33,16 +33,16 @@
 			to string
 			e  *schema.Envelope
 		}
-		var line []msg
+		var queue []msg
 		now := int64(1)
-		put := func(fx Effects) {
-			for _, s := range fx.Send {
+		put := func(effects Effects) {
+			for _, s := range effects.Send {
 				if r.IntN(20) > 0 {
-					line = append(line, msg{now + 200 + r.Int64N(3000), s.To, s.Env})
+					queue = append(queue, msg{now + 200 + r.Int64N(3000), s.To, s.Envelope})
 				}
 			}
 		}
-		held := map[string]uint64{}
+		heldRevision := map[string]uint64{}
 		step := func() {
 			now += 20_000
 			for _, n := range append(slices.Clone(roots), all...) {
@@ -50,29 +50,29 @@
 					put(m[n].Tick(now))
 				}
 			}
-			for i := 0; i < len(line); i++ {
-				x := line[i]
+			for i := 0; i < len(queue); i++ {
+				x := queue[i]
 				if !dead[x.to] && m[x.to] != nil {
 					put(m[x.to].Step(now, x.e))
 				}
 			}
-			line = nil
+			queue = nil
 			for _, n := range all {
-				v := m[n].Held("config/x").GetRevision()
-				if v < held[n] {
-					t.Fatalf("seed %d: %s went back from %d to %d", seed, n, held[n], v)
+				v := m[n].Value("config/x").GetRevision()
+				if v < heldRevision[n] {
+					t.Fatalf("seed %d: %s went back from %d to %d", seed, n, heldRevision[n], v)
 				}
-				held[n] = v
+				heldRevision[n] = v
 			}
 		}
-		views := func() {
+		setViews := func() {
 			for _, n := range all {
 				// Each has forgotten some that live and believes in some dead.
 				v := slices.DeleteFunc(slices.Clone(all), func(string) bool { return r.IntN(12) == 0 })
-				m[n].Live(v)
+				m[n].SetLiveNodes(v)
 			}
 		}
-		views()
+		setViews()
 		for range 60 {
 			step()
 		}
@@ -80,14 +80,14 @@
 			for range 3 {
 				dead[all[r.IntN(len(all))]] = true
 			}
-			views()
+			setViews()
 			began := now
 			put(m[roots[r.IntN(3)]].Learn(now, []*schema.Register{{Key: "config/x", Value: &schema.Value{Revision: rev}}}, 0, ""))
 			for done := false; !done; {
 				step()
 				done = true
 				for _, n := range all {
-					done = done && (dead[n] || held[n] >= rev)
+					done = done && (dead[n] || heldRevision[n] >= rev)
 				}
 				if now-began > 20_000_000 {
 					t.Fatalf("seed %d: revision %d did not reach all", seed, rev)
@@ -99,8 +99,8 @@
 	t.Logf("longest time for a revision to reach all: %d us", worst)
 }
 
-// TestNoRing: whatever a node's view, its parent has a lesser rank in it.
-func TestNoRing(t *testing.T) {
+// TestNoCycle: whatever a node's view, its parent has a lesser rank in it.
+func TestNoCycle(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
 		var live []string
@@ -108,7 +108,7 @@
 			live = append(live, fmt.Sprint("n", i))
 		}
 		n := New(live[r.IntN(len(live))], []string{"r1", "r2", "r3"})
-		n.Live(live)
+		n.SetLiveNodes(live)
 		p := n.chooseParent()
 		if i, j := slices.Index(n.live, n.self), slices.Index(n.live, p); j >= i {
 			t.Fatalf("%s at rank %d follows %s at rank %d", n.self, i, p, j)
@@ -118,14 +118,14 @@
 
 func ExampleRelay() {
 	root, node := New("r1", []string{"r1"}), New("n1", []string{"r1"})
-	node.Live([]string{"n1"})
+	node.SetLiveNodes([]string{"n1"})
 	for _, s := range node.Tick(1).Send { // follows its parent
-		root.Step(2, s.Env)
+		root.Step(2, s.Envelope)
 	}
-	news := root.Learn(3, []*schema.Register{{Key: "config/pharmacies", Value: &schema.Value{Revision: 4}}}, 0, "")
-	for _, s := range news.Send {
-		node.Step(4, s.Env)
+	update := root.Learn(3, []*schema.Register{{Key: "config/pharmacies", Value: &schema.Value{Revision: 4}}}, 0, "")
+	for _, s := range update.Send {
+		node.Step(4, s.Envelope)
 	}
-	fmt.Println(node.Parent(), node.Held("config/pharmacies").Revision)
+	fmt.Println(node.Parent(), node.Value("config/pharmacies").Revision)
 	// Output: r1 4
 }
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -32,7 +32,7 @@
 	Status  int64
 }
 
-var path = regexp.MustCompile(`^/v1/sessions(/[^/]+(/(queries|values))?)?$`)
+var callerPath = regexp.MustCompile(`^/v1/sessions(/[^/]+(/(queries|values))?)?$`)
 
 // Read reads a file and checks every entry; each error names file and entry.
 // Nothing of a file with errors is sent.
@@ -41,29 +41,29 @@
 	if err != nil {
 		return nil, err
 	}
-	var h har.HAR
-	if err := json.Unmarshal(b, &h); err != nil {
+	var archive har.HAR
+	if err := json.Unmarshal(b, &archive); err != nil {
 		return nil, errs.New("%s: not a HAR file: %v", file, err)
 	}
-	if h.Log == nil || len(h.Log.Entries) == 0 {
+	if archive.Log == nil || len(archive.Log.Entries) == 0 {
 		return nil, errs.New("%s: not a HAR file: it has no log with entries", file)
 	}
-	var es []Entry
-	var g errs.Group
-	for i, e := range h.Log.Entries {
-		n, err := entry(e)
+	var entries []Entry
+	var problems errs.Group
+	for i, e := range archive.Log.Entries {
+		n, err := parseEntry(e)
 		if err != nil {
-			g.Add(errs.New("%s: entry %d: %v", file, i+1, err))
+			problems.Add(errs.New("%s: entry %d: %v", file, i+1, err))
 			continue
 		}
 		n.Index = i + 1
-		es = append(es, n)
+		entries = append(entries, n)
 	}
-	slices.SortStableFunc(es, func(a, b Entry) int { return a.At.Compare(b.At) })
-	return es, g.Err()
+	slices.SortStableFunc(entries, func(a, b Entry) int { return a.At.Compare(b.At) })
+	return entries, problems.Err()
 }
 
-func entry(e *har.Entry) (Entry, error) {
+func parseEntry(e *har.Entry) (Entry, error) {
 	var n Entry
 	if e == nil || e.Request == nil {
 		return n, errs.New("it has no request")
@@ -76,7 +76,7 @@
 	if err != nil {
 		return n, errs.New("url: %v", err)
 	}
-	if !path.MatchString(u.Path) || e.Request.Method != http.MethodPost && e.Request.Method != http.MethodDelete {
+	if !callerPath.MatchString(u.Path) || e.Request.Method != http.MethodPost && e.Request.Method != http.MethodDelete {
 		return n, errs.New("%s %s is no caller's path", e.Request.Method, u.Path)
 	}
 	n = Entry{At: at, Method: e.Request.Method, Path: u.Path}
@@ -100,60 +100,60 @@
 
 // Outcome is what became of one entry.
 type Outcome struct {
-	Entry   int            `json:"entry"`
-	Was     int64          `json:"recorded_status"`
-	Status  int            `json:"status"`
-	Code    result.Code    `json:"code"`
-	Outcome result.Outcome `json:"outcome"`
-	Error   string         `json:"error,omitempty"`
-	TookUs  int64          `json:"took_us"`
+	Entry          int            `json:"entry"`
+	RecordedStatus int64          `json:"recorded_status"`
+	Status         int            `json:"status"`
+	Code           result.Code    `json:"code"`
+	Outcome        result.Outcome `json:"outcome"`
+	Error          string         `json:"error,omitempty"`
+	TookUs         int64          `json:"took_us"`
 }
 
 // Send sends the entries to a node one after the other, at the recorded
 // distances divided by speed; 0 sends them without any. Sessions that the file
 // opened get the ids they have now.
-func Send(ctx context.Context, clock clockwork.Clock, node string, es []Entry, speed float64) []Outcome {
+func Send(ctx context.Context, clock clockwork.Clock, node string, entries []Entry, speed float64) []Outcome {
 	ids := map[string]string{}
 	c := &http.Client{Timeout: 70 * time.Second, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	var os []Outcome
+	var outcomes []Outcome
 	began := clock.Now()
-	for _, e := range es {
+	for _, e := range entries {
 		if speed > 0 {
-			due := time.Duration(float64(e.At.Sub(es[0].At)) / speed)
+			due := time.Duration(float64(e.At.Sub(entries[0].At)) / speed)
 			select {
 			case <-ctx.Done():
-				return os
+				return outcomes
 			case <-clock.After(due - clock.Since(began)):
 			}
 		}
-		t0 := clock.Now()
-		o := one(ctx, c, node, e, ids)
-		o.TookUs = clock.Since(t0).Microseconds()
-		os = append(os, o)
+		sentAt := clock.Now()
+		o := sendOne(ctx, c, node, e, ids)
+		o.TookUs = clock.Since(sentAt).Microseconds()
+		outcomes = append(outcomes, o)
 	}
-	return os
+	return outcomes
 }
 
-func one(ctx context.Context, c *http.Client, node string, e Entry, ids map[string]string) Outcome {
-	o := Outcome{Entry: e.Index, Was: e.Status}
+func sendOne(ctx context.Context, c *http.Client, node string, e Entry, ids map[string]string) Outcome {
+	o := Outcome{Entry: e.Index, RecordedStatus: e.Status}
 	fail := func(err error) Outcome { o.Error = err.Error(); return o }
-	ps := strings.Split(e.Path, "/")
-	if len(ps) > 3 {
-		if n, ok := ids[ps[3]]; ok {
-			ps[3] = n
+	segments := strings.Split(e.Path, "/")
+	if len(segments) > 3 {
+		if n, ok := ids[segments[3]]; ok {
+			segments[3] = n
 		}
 	}
-	rq, err := http.NewRequestWithContext(ctx, e.Method, "http://"+node+strings.Join(ps, "/"), bytes.NewReader([]byte(e.Body)))
+	request, err := http.NewRequestWithContext(ctx, e.Method, "http://"+node+strings.Join(segments, "/"), bytes.NewReader([]byte(e.Body)))
 	if err != nil {
 		return fail(err)
 	}
-	rs, err := c.Do(rq)
+	response, err := c.Do(request)
 	if err != nil {
 		return fail(err)
 	}
-	defer rs.Body.Close()
-	o.Status = rs.StatusCode
-	b, err := io.ReadAll(rs.Body)
+	defer response.Body.Close()
+	o.Status = response.StatusCode
+	b, err := io.ReadAll(response.Body)
 	if err != nil {
 		return fail(err)
 	}
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -13,7 +13,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-func file(t *testing.T, entries ...string) string {
+func writeHAR(t *testing.T, entries ...string) string {
 	t.Helper()
 	p := filepath.Join(t.TempDir(), "day.har")
 	if err := os.WriteFile(p, []byte(`{"log":{"version":"1.2","creator":{"name":"x","version":"1"},"entries":[`+strings.Join(entries, ",")+`]}}`), 0o644); err != nil {
@@ -22,7 +22,7 @@
 	return p
 }
 
-func rec(at, method, path, body, back string) string {
+func recordedEntry(at, method, path, body, back string) string {
 	return fmt.Sprintf(`{"startedDateTime":%q,"time":1,"request":{"method":%q,"url":"http://10.0.0.9:7201%s","httpVersion":"HTTP/1.1","cookies":[],"headers":[],"queryString":[],"postData":{"mimeType":"application/json","params":[],"text":%q},"headersSize":-1,"bodySize":-1},"response":{"status":200,"statusText":"OK","httpVersion":"HTTP/1.1","cookies":[],"headers":[],"content":{"size":1,"mimeType":"application/json","text":%q},"redirectURL":"","headersSize":-1,"bodySize":-1},"cache":{},"timings":{"send":0,"wait":1,"receive":0}}`,
 		at, method, path, body, back)
 }
@@ -36,10 +36,10 @@
 		fmt.Fprint(w, `{"code":0,"outcome":"done","session":"new"}`)
 	}))
 	defer s.Close()
-	es, err := Read(file(t,
-		rec("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions/old/queries", `{"class":"lookup"}`, `{}`),
-		rec("2026-11-30T08:00:00.000Z", "POST", "/v1/sessions", `{"route":"pharmacies/stock"}`, `{"session":"old"}`),
-		rec("2026-11-30T08:00:02.000Z", "DELETE", "/v1/sessions/old", ``, `{}`)))
+	es, err := Read(writeHAR(t,
+		recordedEntry("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions/old/queries", `{"class":"lookup"}`, `{}`),
+		recordedEntry("2026-11-30T08:00:00.000Z", "POST", "/v1/sessions", `{"route":"pharmacies/stock"}`, `{"session":"old"}`),
+		recordedEntry("2026-11-30T08:00:02.000Z", "DELETE", "/v1/sessions/old", ``, `{}`)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,14 +50,14 @@
 	}
 }
 
-// TestBadFilesAreNamed: each bad entry is named, and nothing is left to send.
-func TestBadFilesAreNamed(t *testing.T) {
-	_, err := Read(file(t,
-		rec("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions", `{}`, `{}`),
-		rec("yesterday", "POST", "/v1/sessions", `{}`, `{}`),
-		rec("2026-11-30T08:00:01.000Z", "GET", "/v1/sessions", `{}`, `{}`),
-		rec("2026-11-30T08:00:01.000Z", "POST", "/v1/configuration", `{}`, `{}`),
-		rec("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions/a/queries", `{`, `{}`)))
+// TestErrorsNameTheEntry: each bad entry is named, and nothing is left to send.
+func TestErrorsNameTheEntry(t *testing.T) {
+	_, err := Read(writeHAR(t,
+		recordedEntry("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions", `{}`, `{}`),
+		recordedEntry("yesterday", "POST", "/v1/sessions", `{}`, `{}`),
+		recordedEntry("2026-11-30T08:00:01.000Z", "GET", "/v1/sessions", `{}`, `{}`),
+		recordedEntry("2026-11-30T08:00:01.000Z", "POST", "/v1/configuration", `{}`, `{}`),
+		recordedEntry("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions/a/queries", `{`, `{}`)))
 	for _, w := range []string{"day.har: entry 2: startedDateTime", "day.har: entry 3: GET", "day.har: entry 4: POST /v1/configuration", "day.har: entry 5: its body"} {
 		if err == nil || !strings.Contains(fmt.Sprintf("%+v", err), w) {
 			t.Errorf("%q is not told in %+v", w, err)
@@ -76,7 +76,7 @@
 
 // FuzzRead: no file ends the process, and what is bounced names the file.
 func FuzzRead(f *testing.F) {
-	good := rec("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions", `{"route":"a/b"}`, `{"session":"x"}`)
+	good := recordedEntry("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions", `{"route":"a/b"}`, `{"session":"x"}`)
 	for _, s := range []string{`{"log":{"entries":[` + good + `]}}`, `{"log":{"entries":[null]}}`, `{"log":null}`, `[]`, ``, `{"log":{"entries":[{"request":{"url":"%zz"},"startedDateTime":"x"}]}}`} {
 		f.Add([]byte(s))
 	}
@@ -91,15 +91,15 @@
 	})
 }
 
-// TestARecordedCallIsSentOnce: a redirection is its answer.
-func TestARecordedCallIsSentOnce(t *testing.T) {
+// TestRecordedCallIsSentOnce: a redirection is its answer.
+func TestRecordedCallIsSentOnce(t *testing.T) {
 	calls := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls++
 		http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 	}))
 	defer s.Close()
-	es, err := Read(file(t, rec("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions/old/queries", `{"class":"lookup"}`, `{}`)))
+	es, err := Read(writeHAR(t, recordedEntry("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions/old/queries", `{"class":"lookup"}`, `{}`)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/result/result.go
+++ b/result/result.go
@@ -9,9 +9,9 @@
 type Outcome string
 
 const (
-	Done        Outcome = "done"
-	NothingKept Outcome = "nothing kept"
-	Uncertain   Outcome = "uncertain"
+	Done      Outcome = "done"
+	NoEffect  Outcome = "nothing kept"
+	Uncertain Outcome = "uncertain"
 )
 
 const (
@@ -32,67 +32,67 @@
 	BadQuery           Code = 113
 	SessionExists      Code = 114
 
-	LineFull      Code = 201
-	ExpiryTooNear Code = 202
-	Stopping      Code = 203
-	NoPrimary     Code = 204
-	NotFresh      Code = 205
-	NoConnections Code = 206
-	NotConfigured Code = 207
-	DatabaseAway  Code = 208
-	Leaving       Code = 209
+	QueueFull           Code = 201
+	DeadlineTooNear     Code = 202
+	Stopping            Code = 203
+	NoPrimary           Code = 204
+	NoFreshReplica      Code = 205
+	NoConnections       Code = 206
+	NotConfigured       Code = 207
+	DatabaseUnreachable Code = 208
+	DatabaseDraining    Code = 209
 
-	ReturnLost      Code = 301
+	ResponseLost    Code = 301
 	NoMajority      Code = 302
 	TransactionLost Code = 303
 
-	BadOperatorToken     Code = 401
-	NotOwner             Code = 402
-	InvalidConfiguration Code = 403
-	LosingRevision       Code = 404
-	ChangeUncertain      Code = 405
-	NoVoterMajority      Code = 406
-	UnknownPath          Code = 407
-	OperatorBadJSON      Code = 408
-	NoSuchThing          Code = 409
-	NotUnderstood        Code = 410
-	Ambiguous            Code = 411
-	Overlaps             Code = 412
-	TooMuchAtOnce        Code = 413
-	PastTime             Code = 414
-	WrongState           Code = 415
-	TakeoverOpened       Code = 501
-	TakeoverChosen       Code = 502
-	TakeoverSeen         Code = 503
-	TakeoverWaits        Code = 504
-	MemberAllowed        Code = 505
-	DutyTaken            Code = 506
-	NeighbourSuspected   Code = 507
-	RevisionApplied      Code = 508
-	VoterFormed          Code = 509
-	BootChanged          Code = 510
-	BootInvalid          Code = 511
-	EpochSeen            Code = 512
-	LogDamaged           Code = 513
-	BookingMoved         Code = 514
-	MemberAside          Code = 515
-	InstanceSaid         Code = 516
-	StatementsBounced    Code = 517
-	VoterSilent          Code = 518
-	VoterBack            Code = 519
-	MoveAdvanced         Code = 520
-	MembershipChosen     Code = 521
-	ContactLost          Code = 522
-	ContactBack          Code = 523
-	InvariantBroken      Code = 524
+	BadOperatorToken      Code = 401
+	NotOwner              Code = 402
+	InvalidConfiguration  Code = 403
+	LosingRevision        Code = 404
+	ChangeUncertain       Code = 405
+	NoVoterMajority       Code = 406
+	UnknownPath           Code = 407
+	OperatorBadJSON       Code = 408
+	NotFound              Code = 409
+	NotUnderstood         Code = 410
+	Ambiguous             Code = 411
+	MaintenanceOverlaps   Code = 412
+	TooMuchAtOnce         Code = 413
+	PastTime              Code = 414
+	WrongState            Code = 415
+	FailoverStarted       Code = 501
+	FailoverTargetChosen  Code = 502
+	FailoverCompleted     Code = 503
+	FailoverWaiting       Code = 504
+	MemberAdmitted        Code = 505
+	RoleTaken             Code = 506
+	PeerSuspected         Code = 507
+	RevisionApplied       Code = 508
+	VoterStarted          Code = 509
+	ConfigChanged         Code = 510
+	ConfigInvalid         Code = 511
+	EpochSeen             Code = 512
+	LogDamaged            Code = 513
+	MaintenanceAdvanced   Code = 514
+	MemberSetAside        Code = 515
+	DatabaseStateChanged  Code = 516
+	StatementsRejected    Code = 517
+	VoterDiskFailed       Code = 518
+	VoterDiskRecovered    Code = 519
+	MoveAdvanced          Code = 520
+	MembershipChosen      Code = 521
+	QuorumContactLost     Code = 522
+	QuorumContactRestored Code = 523
+	InvariantBroken       Code = 524
 )
 
 // Row is one code's line in the table.
 type Row struct {
-	Code Code
-	HTTP int // status of the HTTP return that carries it, 0 for codes of logs
-	Text string
-	Then string // what the reader should do
+	Code    Code
+	HTTP    int // status of the HTTP return that carries it, 0 for codes of logs
+	Meaning string
+	Action  string // what the reader should do
 }
 
 // Table has every code, in order.
@@ -112,16 +112,16 @@
 	{InTransaction, 409, "session values and prepared names cannot change while a transaction is open", "end the transaction first"},
 	{BadQuery, 400, "the query has no statement, or a read-only class with begin", "correct the query"},
 	{SessionExists, 409, "the session id is taken", "name another, or none"},
-	{LineFull, 503, "the line of this route is full on this node", "come back after retry_after_us"},
-	{ExpiryTooNear, 503, "the query cannot make its expiry", "come back after retry_after_us, or give it longer"},
+	{QueueFull, 503, "the line of this route is full on this node", "come back after retry_after_us"},
+	{DeadlineTooNear, 503, "the query cannot make its expiry", "come back after retry_after_us, or give it longer"},
 	{Stopping, 503, "this node is stopping", "open the session on another node with the token, at once"},
 	{NoPrimary, 503, "the group has no primary that replies; a takeover may be on its way", "come back after retry_after_us"},
-	{NotFresh, 503, "no copy is known to be fresh enough", "come back after retry_after_us"},
+	{NoFreshReplica, 503, "no copy is known to be fresh enough", "come back after retry_after_us"},
 	{NoConnections, 503, "this node holds no permit for a connection to the database", "come back after retry_after_us"},
 	{NotConfigured, 503, "the node has no configuration yet", "come back after retry_after_us"},
-	{DatabaseAway, 503, "the database could not be reached; the statement never left", "come back after retry_after_us"},
-	{Leaving, 503, "the database is leaving; the statement never left", "come back after retry_after_us"},
-	{ReturnLost, 504, "the statement left and its return was lost", "look whether it took effect before doing it again"},
+	{DatabaseUnreachable, 503, "the database could not be reached; the statement never left", "come back after retry_after_us"},
+	{DatabaseDraining, 503, "the database is leaving; the statement never left", "come back after retry_after_us"},
+	{ResponseLost, 504, "the statement left and its return was lost", "look whether it took effect before doing it again"},
 	{NoMajority, 504, "the commit is on the primary and no majority confirmed it in its epoch", "look whether it took effect before doing it again"},
 	{TransactionLost, 409, "the open transaction was lost before its commit left", "begin it again"},
 	{BadOperatorToken, 401, "the token is missing or no partner's", "send the partner's token"},
@@ -132,36 +132,36 @@
 	{NoVoterMajority, 503, "no majority of voters was reached; nothing was changed", "come back after retry_after_us"},
 	{UnknownPath, 404, "no such path", "see docs/operating.md"},
 	{OperatorBadJSON, 400, "the body is not the JSON this path takes", "correct the body"},
-	{NoSuchThing, 404, "nothing by that name", "see the names in the return"},
+	{NotFound, 404, "nothing by that name", "see the names in the return"},
 	{NotUnderstood, 400, "the sentence is not understood; the column is named", "see `stoneford say help`"},
 	{Ambiguous, 409, "the name fits several; they are named", "name one of them"},
-	{Overlaps, 409, "another booking of this group or machine lies in that time", "choose another time, or cancel that one"},
+	{MaintenanceOverlaps, 409, "another booking of this group or machine lies in that time", "choose another time, or cancel that one"},
 	{TooMuchAtOnce, 409, "the move would take too much away at once", "choose another time"},
 	{PastTime, 400, "the time is past", "name a time to come"},
 	{WrongState, 409, "the booking or move is past that", "ask what is booked, or how the moves stand"},
-	{TakeoverOpened, 0, "a takeover was agreed and its epoch opened", "watch for 503"},
-	{TakeoverChosen, 0, "the furthest sealed copy was agreed as the primary", "watch for 503"},
-	{TakeoverSeen, 0, "the new primary was seen in its epoch", "nothing"},
-	{TakeoverWaits, 0, "the takeover waits: fewer than a majority of copies could be sealed", "bring a copy of the group back"},
-	{MemberAllowed, 0, "a copy with a new disk has caught up and counts as a member", "nothing"},
-	{DutyTaken, 0, "a duty changed hands", "nothing"},
-	{NeighbourSuspected, 0, "a neighbour is silent", "look at the machine if it stays so"},
+	{FailoverStarted, 0, "a takeover was agreed and its epoch opened", "watch for 503"},
+	{FailoverTargetChosen, 0, "the furthest sealed copy was agreed as the primary", "watch for 503"},
+	{FailoverCompleted, 0, "the new primary was seen in its epoch", "nothing"},
+	{FailoverWaiting, 0, "the takeover waits: fewer than a majority of copies could be sealed", "bring a copy of the group back"},
+	{MemberAdmitted, 0, "a copy with a new disk has caught up and counts as a member", "nothing"},
+	{RoleTaken, 0, "a duty changed hands", "nothing"},
+	{PeerSuspected, 0, "a neighbour is silent", "look at the machine if it stays so"},
 	{RevisionApplied, 0, "a revision is in force on this process", "nothing"},
-	{VoterFormed, 0, "this voter votes from now on", "nothing"},
-	{BootChanged, 0, "the boot file changed and what takes effect at once did", "nothing"},
-	{BootInvalid, 0, "the boot file changed and has errors; the old boot stays", "correct the file"},
+	{VoterStarted, 0, "this voter votes from now on", "nothing"},
+	{ConfigChanged, 0, "the boot file changed and what takes effect at once did", "nothing"},
+	{ConfigInvalid, 0, "the boot file changed and has errors; the old boot stays", "correct the file"},
 	{EpochSeen, 0, "the node follows a new epoch of a group", "nothing"},
 	{LogDamaged, 0, "the voter's log is damaged; it was set aside and the voter joins anew", "look at the disk; remove the log that was set aside"},
-	{BookingMoved, 0, "a booking went on to its next state", "nothing"},
-	{MemberAside, 0, "a copy that is to be replaced was set aside; nothing acknowledged rests on it", "nothing"},
-	{InstanceSaid, 0, "a database said something new of itself, or is taken as gone", "nothing"},
-	{StatementsBounced, 0, "this node bounced statements that no database could take; said once a second at the most", "look for a change of primary, a cut or a crowd at that moment"},
-	{VoterSilent, 0, "the disk refused what this voter has to keep: it does not vote until the disk takes it", "look at the disk; the other voters go on"},
-	{VoterBack, 0, "the disk takes what this voter has to keep: it votes again", "nothing"},
+	{MaintenanceAdvanced, 0, "a booking went on to its next state", "nothing"},
+	{MemberSetAside, 0, "a copy that is to be replaced was set aside; nothing acknowledged rests on it", "nothing"},
+	{DatabaseStateChanged, 0, "a database said something new of itself, or is taken as gone", "nothing"},
+	{StatementsRejected, 0, "this node bounced statements that no database could take; said once a second at the most", "look for a change of primary, a cut or a crowd at that moment"},
+	{VoterDiskFailed, 0, "the disk refused what this voter has to keep: it does not vote until the disk takes it", "look at the disk; the other voters go on"},
+	{VoterDiskRecovered, 0, "the disk takes what this voter has to keep: it votes again", "nothing"},
 	{MoveAdvanced, 0, "a group's move between sites went on to its next phase", "nothing; docs/moves.md if it stays staged or failed"},
 	{MembershipChosen, 0, "another set of control processes votes from now on", "nothing; `stoneford fleet voters` shows them"},
-	{ContactLost, 0, "no majority of the voters vouches any more for what this process works by; each voter's state is listed", "nothing if it ends within seconds; else look at the voters that are named"},
-	{ContactBack, 0, "a majority of the voters vouches again for what this process works by", "nothing"},
+	{QuorumContactLost, 0, "no majority of the voters vouches any more for what this process works by; each voter's state is listed", "nothing if it ends within seconds; else look at the voters that are named"},
+	{QuorumContactRestored, 0, "a majority of the voters vouches again for what this process works by", "nothing"},
 	{InvariantBroken, 0, "something that has to hold at every moment does not; it is counted in the state, and said once a rule", "report it with the logs: it is a fault of the program"},
 }
 
@@ -176,8 +176,8 @@
 // Row is the code's line.
 func (c Code) Row() Row { return rows[c] }
 
-func (c Code) String() string { return rows[c].Text }
+func (c Code) String() string { return rows[c].Meaning }
 
-// Bounce says whether the code means that nothing was kept and the caller may
+// Retryable says whether the code means that nothing was kept and the caller may
 // come back.
-func (c Code) Bounce() bool { return c >= 200 && c < 300 }
+func (c Code) Retryable() bool { return c >= 200 && c < 300 }
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -10,7 +10,7 @@
 			t.Errorf("%d stands behind %d", r.Code, last)
 		}
 		last = r.Code
-		if r.Text == "" || r.Then == "" || r.Code < 500 && r.HTTP == 0 {
+		if r.Meaning == "" || r.Action == "" || r.Code < 500 && r.HTTP == 0 {
 			t.Errorf("%d: its row is not whole", r.Code)
 		}
 	}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -19,12 +19,12 @@
 	ReportPrefix  = "report/"
 	AppliedPrefix = "applied/"
 	// After is the first key behind all of a prefix's.
-	nodeUntil    = "node0"
-	suspectUntil = "suspect0"
+	nodePrefixEnd    = "node0"
+	suspectPrefixEnd = "suspect0"
 )
 
-// goneAfter is when a node whose record was not renewed drops out.
-const goneAfter = 8_000_000
+// recordRetention is when a node whose record was not renewed drops out.
+const recordRetention = 8_000_000
 
 // Node is one process of the fleet.
 type Node struct {
@@ -33,21 +33,21 @@
 	Alive bool
 }
 
-// Ranges are the ranges of keys every node keeps, as pairs.
-func Ranges() [][2]string {
-	return [][2]string{{NodePrefix, nodeUntil}, {SuspectPrefix, suspectUntil}}
+// ReplicatedRanges are the ranges of keys every node keeps, as pairs.
+func ReplicatedRanges() [][2]string {
+	return [][2]string{{NodePrefix, nodePrefixEnd}, {SuspectPrefix, suspectPrefixEnd}}
 }
 
 // SuspectKey is where a watcher writes what it holds of a node.
 func SuspectKey(node, watcher string) string { return SuspectPrefix + node + "/" + watcher }
 
-// Read returns all nodes, in order of their addresses.
-func Read(now int64, s *records.Store) []Node {
+// ReadNodes returns all nodes, in order of their addresses.
+func ReadNodes(now int64, s *records.Store) []Node {
 	var ns []Node
 	var all []string
-	s.Each(NodePrefix, func(r *schema.Record) {
+	s.ForEach(NodePrefix, func(r *schema.Record) {
 		d := &schema.NodeRecord{}
-		if proto.Unmarshal(r.Data, d) != nil || s.AgeUs(now, r.Key) > goneAfter {
+		if proto.Unmarshal(r.Data, d) != nil || s.AgeUs(now, r.Key) > recordRetention {
 			return
 		}
 		a := strings.TrimPrefix(r.Key, NodePrefix)
@@ -55,7 +55,7 @@
 		all = append(all, a)
 	})
 	for i, n := range ns {
-		ns[i].Alive = !n.Leaving && !neighbours.Confirmed(n.Address, all, func(w string) bool {
+		ns[i].Alive = !n.Draining && !neighbours.SuspicionConfirmed(n.Address, all, func(w string) bool {
 			r := s.Get(SuspectKey(n.Address, w))
 			d := &schema.SuspectRecord{}
 			return r != nil && proto.Unmarshal(r.Data, d) == nil && d.Suspected && d.Run == n.Run
@@ -73,8 +73,8 @@
 	return as
 }
 
-// Live returns the addresses of those that count as alive.
-func Live(ns []Node) []string {
+// LiveAddresses returns the addresses of those that count as alive.
+func LiveAddresses(ns []Node) []string {
 	var as []string
 	for _, n := range ns {
 		if n.Alive {
@@ -84,9 +84,9 @@
 	return as
 }
 
-// Suspicion is the record a watcher writes of a node: it holds for the node's
+// NewSuspicion is the record a watcher writes of a node: it holds for the node's
 // run of now only.
-func Suspicion(ns []Node, node string, suspected bool) *schema.SuspectRecord {
+func NewSuspicion(ns []Node, node string, suspected bool) *schema.SuspectRecord {
 	d := &schema.SuspectRecord{Suspected: suspected}
 	for _, n := range ns {
 		if n.Address == node {
--- a/routingtable/routingtable_test.go
+++ b/routingtable/routingtable_test.go
@@ -11,12 +11,12 @@
 )
 
 func route(n int) ports.Route {
-	return ports.Route{Name: fmt.Sprintf("r-%d", n), Host: fmt.Sprintf("host%d", n), Prefix: "/", Group: "g", ExpiryUs: 800_000, AimUs: 300_000,
+	return ports.Route{Name: fmt.Sprintf("r-%d", n), Host: fmt.Sprintf("host%d", n), Prefix: "/", Group: "g", TimeoutUs: 800_000, LatencyTargetUs: 300_000,
 		Source: []byte(fmt.Sprintf(`{"Name":"r-%d","Host":"host%d","Prefix":"/","Kind":"some kind","Time":800,"Aim":300,"Group":"g"}`, n, n))}
 }
 
 func table(rev uint64, n int) ports.RoutingTable {
-	t := ports.RoutingTable{Revision: rev, Groups: []ports.Group{{Name: "g", ConnLimit: 60, Sync: 1, Source: []byte(`{}`)}}, Limits: ports.Limits{TxIdleUs: 3, Source: []byte(`{"a":1}`)}}
+	t := ports.RoutingTable{Revision: rev, Groups: []ports.Group{{Name: "g", ConnectionLimit: 60, RequiredReplicaAcks: 1, Source: []byte(`{}`)}}, Limits: ports.Limits{TransactionIdleTimeoutUs: 3, Source: []byte(`{"a":1}`)}}
 	for i := range n {
 		t.Routes = append(t.Routes, route(i))
 	}
@@ -61,34 +61,34 @@
 // TestApply: what makes a change invalid, each named, and what valid ones lead to.
 func TestApply(t *testing.T) {
 	old := table(5, 3)
-	whole := func(f func(*ports.TableChange)) ports.TableChange {
-		c := ports.TableChange{Base: 5, Revision: 7, Whole: true, Routes: table(7, 2).Routes, Groups: old.Groups}
+	complete := func(f func(*ports.TableChange)) ports.TableChange {
+		c := ports.TableChange{BaseRevision: 5, Revision: 7, Complete: true, Routes: table(7, 2).Routes, Groups: old.Groups}
 		f(&c)
 		return c
 	}
 	for _, c := range []struct {
-		name, why string
-		change    ports.TableChange
+		name, problem string
+		change        ports.TableChange
 	}{
-		{"valid", "", whole(func(*ports.TableChange) {})},
-		{"cut short", "not read", whole(func(c *ports.TableChange) { c.Problems = []string{"not read whole"} })},
-		{"unknown group", "unknown group", whole(func(c *ports.TableChange) { c.Routes[0].Group = "h" })},
-		{"same place", "share host", whole(func(c *ports.TableChange) { c.Routes[1].Host = c.Routes[0].Host })},
-		{"no time", "time is 0", whole(func(c *ports.TableChange) { c.Routes[0].ExpiryUs = 0 })},
-		{"old revision", "not above", whole(func(c *ports.TableChange) { c.Revision = 5 })},
-		{"twice", "stands twice", whole(func(c *ports.TableChange) { c.Routes[1].Name = c.Routes[0].Name })},
-		{"group in use removed", "unknown group", ports.TableChange{Base: 5, Revision: 7, RemoveGroups: []string{"g"}}},
+		{"valid", "", complete(func(*ports.TableChange) {})},
+		{"cut short", "not read", complete(func(c *ports.TableChange) { c.Problems = []string{"not read whole"} })},
+		{"unknown group", "unknown group", complete(func(c *ports.TableChange) { c.Routes[0].Group = "h" })},
+		{"same place", "share host", complete(func(c *ports.TableChange) { c.Routes[1].Host = c.Routes[0].Host })},
+		{"no time", "time is 0", complete(func(c *ports.TableChange) { c.Routes[0].TimeoutUs = 0 })},
+		{"old revision", "not above", complete(func(c *ports.TableChange) { c.Revision = 5 })},
+		{"twice", "stands twice", complete(func(c *ports.TableChange) { c.Routes[1].Name = c.Routes[0].Name })},
+		{"group in use removed", "unknown group", ports.TableChange{BaseRevision: 5, Revision: 7, RemoveGroups: []string{"g"}}},
 	} {
-		got, ps := Apply(old, c.change)
-		if (c.why == "") != (len(ps) == 0) || c.why != "" && !strings.Contains(strings.Join(ps, "; "), c.why) {
-			t.Errorf("%s: %v", c.name, ps)
+		got, problems := Apply(old, c.change)
+		if (c.problem == "") != (len(problems) == 0) || c.problem != "" && !strings.Contains(strings.Join(problems, "; "), c.problem) {
+			t.Errorf("%s: %v", c.name, problems)
 		}
-		if c.why == "" && (len(got.Routes) != 2 || got.Revision != 7) {
+		if c.problem == "" && (len(got.Routes) != 2 || got.Revision != 7) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
-	got, ps := Apply(old, ports.TableChange{Base: 5, Revision: 9, Routes: []ports.Route{route(9), func() ports.Route { r := route(1); r.ExpiryUs = 1; return r }()}, RemoveRoutes: []string{"r-0"}})
-	if len(ps) > 0 || len(got.Routes) != 3 || got.Routes[0].Name != "r-1" || got.Routes[0].ExpiryUs != 1 || got.Routes[2].Name != "r-9" || got.Limits.TxIdleUs != 3 || len(old.Routes) != 3 || old.Routes[1].ExpiryUs != 800_000 {
-		t.Fatalf("%v %+v", ps, got)
+	got, problems := Apply(old, ports.TableChange{BaseRevision: 5, Revision: 9, Routes: []ports.Route{route(9), func() ports.Route { r := route(1); r.TimeoutUs = 1; return r }()}, RemoveRoutes: []string{"r-0"}})
+	if len(problems) > 0 || len(got.Routes) != 3 || got.Routes[0].Name != "r-1" || got.Routes[0].TimeoutUs != 1 || got.Routes[2].Name != "r-9" || got.Limits.TransactionIdleTimeoutUs != 3 || len(old.Routes) != 3 || old.Routes[1].TimeoutUs != 800_000 {
+		t.Fatalf("%v %+v", problems, got)
 	}
 }
--- a/routingtable/stored_test.go
+++ b/routingtable/stored_test.go
@@ -19,16 +19,16 @@
 
 func storedTable(routes int) ports.RoutingTable {
 	t := ports.RoutingTable{
-		Revision:   41,
-		Groups:     []ports.Group{{Name: "orders", ConnLimit: 60, Sync: 1, Source: []byte(`{"Name":"orders"}`)}},
-		Limits:     ports.Limits{IdleUs: 15_000_001, TxIdleUs: 3_000_002, Source: []byte(`{"IdleMs":1}`)},
-		Placements: []ports.Placement{{Group: "orders", Site: "zone-2", Table: 30, From: "zone-1", Back: true}},
-		Taken:      []ports.TakenOrder{{Revision: 40, Digest: "digest-a"}, {Revision: 41, Digest: "digest-b"}},
-		Forgotten:  39,
+		Revision:          41,
+		Groups:            []ports.Group{{Name: "orders", ConnectionLimit: 60, RequiredReplicaAcks: 1, Source: []byte(`{"Name":"orders"}`)}},
+		Limits:            ports.Limits{IdleTimeoutUs: 15_000_001, TransactionIdleTimeoutUs: 3_000_002, Source: []byte(`{"IdleMs":1}`)},
+		Placements:        []ports.Placement{{Group: "orders", Site: "zone-2", TableRevision: 30, PreviousSite: "zone-1", Reverted: true}},
+		RecentOrders:      []ports.AppliedOrder{{Revision: 40, Digest: "digest-a"}, {Revision: 41, Digest: "digest-b"}},
+		ForgottenRevision: 39,
 	}
 	for i := range routes {
-		t.Routes = append(t.Routes, ports.Route{Name: fmt.Sprint("r-", i), Host: fmt.Sprint("host-", i), Prefix: "/p", Kind: 2, Group: "orders", ExpiryUs: 800_001,
-			AimUs: 300_002, StaleUs: 1_500_003, Rank: 4, Tries: 5, Source: []byte(`{"Name":"r"}`)})
+		t.Routes = append(t.Routes, ports.Route{Name: fmt.Sprint("r-", i), Host: fmt.Sprint("host-", i), Prefix: "/p", Class: 2, Group: "orders", TimeoutUs: 800_001,
+			LatencyTargetUs: 300_002, MaxStalenessUs: 1_500_003, Rank: 4, MaxAttempts: 5, Source: []byte(`{"Name":"r"}`)})
 	}
 	return t
 }
--- a/sessionpool/core.go
+++ b/sessionpool/core.go
@@ -17,53 +17,53 @@
 // Core is a pool node: what it learned from the voters over the table of its
 // sessions. It is deterministic and is what the simulator runs.
 type Core struct {
-	Table   *sessiontable.Table
-	view    *voterview.View
-	table   ports.RoutingTable
-	rev     uint64
-	lease   int64
-	nodes   int
-	phases  map[string]ports.Phase
-	leaving bool
-	contact contact
-	checks  invariant.Checks
+	Table         *sessiontable.Table
+	view          *voterview.Learner
+	table         ports.RoutingTable
+	tableRevision uint64
+	leaseUntil    int64
+	nodes         int
+	phases        map[string]ports.Phase
+	draining      bool
+	contact       contact
+	checks        invariant.Checks
 }
 
-// readyUs is how long after its lease a node still calls itself ready: cut off
+// readyGraceUs is how long after its lease a node still calls itself ready: cut off
 // from the voters it can serve no current read, while others can.
-const readyUs = 400_000
+const readyGraceUs = 400_000
 
-// drainMargin is how much sooner than it has to a node leaves a database alone
+// drainMarginUs is how much sooner than it has to a node leaves a database alone
 // that leaves: it may have heard of it later than whoever acknowledged it.
-const drainMargin = 800_000
+const drainMarginUs = 800_000
 
-// routeMargin is taken off the time that a change has to be in force everywhere.
-const routeMargin = 100_000
+// routingMarginUs is taken off the time that a change has to be in force everywhere.
+const routingMarginUs = 100_000
 
-// routeFor is how long after its lease a node may route by its table: what the
+// routingGraceUs is how long after its lease a node may route by its table: what the
 // lease vouches for is as old as the look that brought it, and a change that was
 // acknowledged after that look binds a while later. This clock may run slow by a
 // tenth.
-func routeFor(applyUs int64) int64 {
-	return max(applyUs*10/11-voterview.LeaseUs-routeMargin, 0)
+func routingGraceUs(applyUs int64) int64 {
+	return max(applyUs*10/11-voterview.LeaseDurationUs-routingMarginUs, 0)
 }
 
 // Effects of one step.
 type Effects struct {
-	Send []step.Send
-	Do   []sessiontable.Effect
+	Send  []step.Send
+	Table []sessiontable.Effect
 }
 
 // NewCore makes a node; run must be another than any earlier run's.
-func NewCore(b ports.Boot, run, seed uint64, o sessiontable.Options) *Core {
+func NewCore(boot ports.ProcessConfig, run, seed uint64, options sessiontable.Options) *Core {
 	// A copy that refuses a beginning may run the statement behind it on its own.
-	o.BeginApart = true
-	if d := b.Bounds.DrainUs; d > 0 {
-		o.DrainUs = cmp.Or(o.DrainUs, d-min(d/4, drainMargin))
+	options.SeparateBegin = true
+	if d := boot.Bounds.GracefulDrainUs; d > 0 {
+		options.DrainTimeoutUs = cmp.Or(options.DrainTimeoutUs, d-min(d/4, drainMarginUs))
 	}
-	o.ReadyUs = cmp.Or(o.ReadyUs, readyUs)
-	o.RouteUs = cmp.Or(o.RouteUs, routeFor(b.Bounds.ApplyUs))
-	return &Core{Table: sessiontable.New(seed, b.Zone, o), view: voterview.New(b.PoolNode(), b.SeedVoters(), b.Zone, b.Name, "pool", run)}
+	options.ReadyGraceUs = cmp.Or(options.ReadyGraceUs, readyGraceUs)
+	options.RoutingGraceUs = cmp.Or(options.RoutingGraceUs, routingGraceUs(boot.Bounds.ApplyUs))
+	return &Core{Table: sessiontable.New(seed, boot.Zone, options), view: voterview.New(boot.PoolNodeAddress(), boot.SeedVoterAddresses(), boot.Zone, boot.Name, "pool", run)}
 }
 
 // Due is when Step has something to do next even if nothing happens.
@@ -71,50 +71,50 @@
 
 // Step takes events of the table's, and voters' envelopes, then does what is
 // due.
-func (c *Core) Step(now int64, evs ...any) Effects {
-	var fx Effects
-	for _, e := range evs {
-		switch e := e.(type) {
+func (c *Core) Step(now int64, events ...any) Effects {
+	var effects Effects
+	for _, event := range events {
+		switch event := event.(type) {
 		case *schema.Envelope:
-			if b, ok := e.Body.(*schema.Envelope_LookReturn); ok {
-				c.view.Step(now, e.From, b.LookReturn)
-				c.learned(now, &fx)
+			if b, ok := event.Body.(*schema.Envelope_PollResponse); ok {
+				c.view.Step(now, event.From, b.PollResponse)
+				c.applyLearned(now, &effects)
 			}
 			continue
-		case sessiontable.Stop:
-			c.leaving = true
-			c.view.Want()
+		case sessiontable.Drain:
+			c.draining = true
+			c.view.RequestPoll()
 		}
-		c.do(now, &fx, e)
+		c.stepTable(now, &effects, event)
 	}
 	if now >= c.Table.Due() {
-		c.do(now, &fx, sessiontable.Tick{})
+		c.stepTable(now, &effects, sessiontable.Tick{})
 	}
 	if c.Table.Changed() {
-		c.view.Want()
+		c.view.RequestPoll()
 	}
 	if now >= c.view.Due() {
-		fx.Send = c.view.Tick(now, func() voterview.Report { return c.report(now) })
-		c.noteContact(now, &fx)
-		c.noteViolations(&fx)
+		effects.Send = c.view.Tick(now, func() voterview.Report { return c.report(now) })
+		c.logContact(now, &effects)
+		c.logViolations(&effects)
 	}
-	return fx
+	return effects
 }
 
-func (c *Core) do(now int64, fx *Effects, e any) {
-	for _, d := range c.Table.Step(now, e) {
-		if _, ok := d.(sessiontable.Look); ok {
-			c.view.Want()
+func (c *Core) stepTable(now int64, effects *Effects, event any) {
+	for _, effect := range c.Table.Step(now, event) {
+		if _, ok := effect.(sessiontable.RenewLease); ok {
+			c.view.RequestPoll()
 			continue
 		}
-		fx.Do = append(fx.Do, d)
+		effects.Table = append(effects.Table, effect)
 	}
 }
 
-// takeTable takes the newest agreed routing table into force, if it is newer.
-func (c *Core) takeTable() bool {
-	known, ok := c.view.Agreed(voterview.TableKey)
-	if !ok || known.Revision <= c.rev {
+// adoptTable takes the newest agreed routing table into force, if it is newer.
+func (c *Core) adoptTable() bool {
+	known, ok := c.view.Committed(voterview.TableKey)
+	if !ok || known.Revision <= c.tableRevision {
 		return false
 	}
 	t, err := routingtable.Decode(known.Data)
@@ -122,47 +122,47 @@
 		return false // what voters agreed on they have read themselves
 	}
 	if t.Revision < c.table.Revision {
-		c.checks.Broken(invariant.TableWentBack, "from the operators' revision %d to %d", c.table.Revision, t.Revision)
+		c.checks.Violated(invariant.TableRevertedToOlder, "from the operators' revision %d to %d", c.table.Revision, t.Revision)
 	}
-	c.rev, c.table = known.Revision, t
+	c.tableRevision, c.table = known.Revision, t
 	return true
 }
 
-// learned hands what the view found to the table.
-func (c *Core) learned(now int64, fx *Effects) {
-	ks, dbs := c.view.Take()
-	c.noteBehind(now)
-	var v sessiontable.View
-	some := false
-	if slices.Contains(ks, voterview.TableKey) && c.takeTable() {
-		v.Table, some = &c.table, true
-	}
-	if v.Table != nil {
-		c.noteTable(now, fx)
-		c.view.Want() // a move may wait to hear that this node works by it
-	}
-	led := slices.ContainsFunc(ks, func(k string) bool { return strings.HasPrefix(k, voterview.LeaderPrefix) })
-	if v.Table != nil || led {
-		v.Groups, some = map[string]sessiontable.GroupView{}, true
+// applyLearned hands what the view found to the table.
+func (c *Core) applyLearned(now int64, effects *Effects) {
+	keys, databasesChanged := c.view.TakeChanges()
+	c.recordNewerTable(now)
+	var update sessiontable.Update
+	changed := false
+	if slices.Contains(keys, voterview.TableKey) && c.adoptTable() {
+		update.Table, changed = &c.table, true
+	}
+	if update.Table != nil {
+		c.logTable(now, effects)
+		c.view.RequestPoll() // a move may wait to hear that this node works by it
+	}
+	leadershipChanged := slices.ContainsFunc(keys, func(key string) bool { return strings.HasPrefix(key, voterview.LeaderPrefix) })
+	if update.Table != nil || leadershipChanged {
+		update.Groups, changed = map[string]sessiontable.GroupState{}, true
 		c.phases = map[string]ports.Phase{}
-		for n, l := range c.view.Leaderships() {
-			c.phases[n] = l.Phase
-			v.Groups[n] = sessiontable.GroupView{Leadership: l, Doubt: c.view.Doubt(voterview.LeaderPrefix + n), Withheld: l.Table > c.rev}
+		for name, leaseUntil := range c.view.Leaderships() {
+			c.phases[name] = leaseUntil.Phase
+			update.Groups[name] = sessiontable.GroupState{Leadership: leaseUntil, Unconfirmed: c.view.Unconfirmed(voterview.LeaderPrefix + name), Withheld: leaseUntil.TableRevision > c.tableRevision}
 		}
-		c.view.Want() // the voters wait to hear that this node knows
+		c.view.RequestPoll() // the voters wait to hear that this node knows
 	}
-	if dbs || led {
-		v.Instances, some = c.instances(), true
+	if databasesChanged || leadershipChanged {
+		update.Instances, changed = c.instances(), true
 	}
-	if n := c.view.Nodes(); n != c.nodes {
-		c.nodes, some = n, true
+	if name := c.view.PoolNodes(); name != c.nodes {
+		c.nodes, changed = name, true
 	}
-	if l := c.view.LeaseUntil(); l != c.lease {
-		c.lease, some = l, true
+	if leaseUntil := c.view.LeaseUntil(); leaseUntil != c.leaseUntil {
+		c.leaseUntil, changed = leaseUntil, true
 	}
-	if some {
-		v.LeaseUntil, v.Nodes = c.lease, c.nodes
-		c.do(now, fx, v)
+	if changed {
+		update.LeaseUntil, update.Nodes = c.leaseUntil, c.nodes
+		c.stepTable(now, effects, update)
 	}
 }
 
@@ -170,44 +170,44 @@
 // yet: when all control processes have just started they know of the registers
 // alone.
 func (c *Core) instances() []ports.Instance {
-	is := append([]ports.Instance{}, c.view.Instances()...)
-	for n, l := range c.view.Leaderships() {
-		if l.Primary != "" && l.Address != "" && !c.view.Gone(l.Primary) && !slices.ContainsFunc(is, func(i ports.Instance) bool { return i.ID == l.Primary }) {
-			is = append(is, ports.Instance{ID: l.Primary, Group: n, Address: l.Address, Primary: true})
+	instances := append([]ports.Instance{}, c.view.Instances()...)
+	for name, l := range c.view.Leaderships() {
+		if l.Primary != "" && l.Address != "" && !c.view.Gone(l.Primary) && !slices.ContainsFunc(instances, func(i ports.Instance) bool { return i.ID == l.Primary }) {
+			instances = append(instances, ports.Instance{ID: l.Primary, Group: name, Address: l.Address, Primary: true})
 		}
 	}
-	slices.SortFunc(is, func(a, b ports.Instance) int { return cmp.Compare(a.ID, b.ID) })
-	return is
+	slices.SortFunc(instances, func(a, b ports.Instance) int { return cmp.Compare(a.ID, b.ID) })
+	return instances
 }
 
 // report is what the next look tells.
 func (c *Core) report(now int64) voterview.Report {
-	r := c.Table.Report(now)
-	out := voterview.Report{Leaving: c.leaving, Table: c.rev}
-	for _, s := range r.Sightings {
-		out.Sightings = append(out.Sightings, &schema.Sighting{Id: s.ID, FailingUs: s.FailingUs, Cut: s.Cut})
+	tableReport := c.Table.Report(now)
+	report := voterview.Report{Draining: c.draining, TableRevision: c.tableRevision}
+	for _, health := range tableReport.HealthReports {
+		report.HealthReports = append(report.HealthReports, &schema.HealthReport{DatabaseId: health.ID, FailingUs: health.FailingUs, Disconnected: health.Disconnected})
 	}
-	for _, w := range r.Words {
-		k := voterview.LeaderPrefix + w.Group
+	for _, status := range tableReport.GroupStatuses {
+		key := voterview.LeaderPrefix + status.Group
 		// While the primary serves, nobody asks whether something runs there.
-		rev, quiet := w.Revision, w.Quiet && c.phases[w.Group] != ports.PhaseOpen
-		if c.view.Doubt(k) {
+		revision, quiet := status.Revision, status.Quiescent && c.phases[status.Group] != ports.PhaseServing
+		if c.view.Unconfirmed(key) {
 			// It knows that something newer is on its way and rests on nothing older.
-			rev, quiet = c.view.Seen(k), false
+			revision, quiet = c.view.HighestSeen(key), false
 		}
-		out.Words = append(out.Words, &schema.GroupWord{Group: w.Group, Revision: rev, AckedTerm: w.Acked.Term, AckedNumber: w.Acked.Number, Quiet: quiet})
+		report.GroupStatuses = append(report.GroupStatuses, &schema.GroupStatus{Group: status.Group, Revision: revision, AckedTerm: status.Acknowledged.Term, AckedNumber: status.Acknowledged.Number, Idle: quiet})
 	}
-	return out
+	return report
 }
 
 // Revision is the operators' revision of the routing table in force here.
 func (c *Core) Revision() uint64 { return c.table.Revision }
 
 // TableRevision is the register's revision of the routing table in force here.
-func (c *Core) TableRevision() uint64 { return c.rev }
+func (c *Core) TableRevision() uint64 { return c.tableRevision }
 
 // LeaseUntil is until when what the voters agreed may be relied upon here.
-func (c *Core) LeaseUntil() int64 { return c.lease }
+func (c *Core) LeaseUntil() int64 { return c.leaseUntil }
 
 // Ready says whether a caller's statement could be served now.
-func (c *Core) Ready(now int64) bool { return !c.leaving && c.rev > 0 && c.Table.Ready(now) }
+func (c *Core) Ready(now int64) bool { return !c.draining && c.tableRevision > 0 && c.Table.Ready(now) }
--- a/sessionpool/edges.go
+++ b/sessionpool/edges.go
@@ -8,26 +8,26 @@
 	"stoneford/ports"
 )
 
-// Callers takes callers' connections until the context ends.
-type Callers interface {
-	Serve(ctx context.Context, e Events) error
+// Frontend takes callers' connections until the context ends.
+type Frontend interface {
+	Serve(ctx context.Context, e SessionHandler) error
 }
 
-// Events is what callers do. Asked brings a session's next statement only after
+// SessionHandler is what callers do. Asked brings a session's next statement only after
 // the reply to the one before was queued. The replies to an event may be queued
 // before its call returns.
-type Events interface {
-	Opened(c Caller, host string) (session uint64)
-	Asked(session uint64, st ports.Statement)
-	Left(session uint64)
+type SessionHandler interface {
+	SessionOpened(c Client, host string) (session uint64)
+	StatementReceived(session uint64, st ports.Statement)
+	SessionClosed(session uint64)
 }
 
-// Caller is one caller's session at the edge. Reply and End queue, in order, and
+// Client is one caller's session at the edge. Reply and End queue, in order, and
 // never block; Flush writes what was queued and does not wait for a caller that
 // does not read.
-type Caller interface {
+type Client interface {
 	Reply(r ports.Reply)
-	End() // closes the session behind what was queued
+	Close() // closes the session behind what was queued
 	Flush()
 }
 
@@ -43,11 +43,11 @@
 type Database interface {
 	Queue(ops []ports.Op)
 	Flush()
-	Read(into []ports.Answer) ([]ports.Answer, error)
+	Read(into []ports.Response) ([]ports.Response, error)
 	Close()
 }
 
-// Probe answers whether the node is ready, until the context ends.
-type Probe interface {
+// ReadinessServer answers whether the node is ready, until the context ends.
+type ReadinessServer interface {
 	Serve(ctx context.Context, ready func() bool) error
 }
--- a/sessionpool/process.go
+++ b/sessionpool/process.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// drainLook is how often a stopping node looks whether it is done.
-	drainLook = 25 * time.Millisecond
-	// lastWords is the part of the grace left for the process to end.
-	lastWords = 300 * time.Millisecond
-	// leastTick is the least time between two ticks of a core.
-	leastTick = 500 * time.Microsecond
+	// drainPollInterval is how often a stopping node looks whether it is done.
+	drainPollInterval = 25 * time.Millisecond
+	// exitReserve is the part of the grace left for the process to end.
+	exitReserve = 300 * time.Millisecond
+	// minTickInterval is the least time between two ticks of a core.
+	minTickInterval = 500 * time.Microsecond
 )
 
 // node is what the process runs: *Core.
@@ -44,81 +44,81 @@
 
 // Edges are what surrounds a pool node.
 type Edges struct {
-	Callers Callers
-	Probe   Probe
-	Dialer  Dialer
+	Frontend  Frontend
+	Readiness ReadinessServer
+	Dialer    Dialer
 }
 
 // Process is one pool node.
 type Process struct {
-	boot    atomic.Pointer[ports.Boot]
-	edges   Edges
-	clock   clockwork.Clock
-	began   time.Time
-	run     context.Context
-	links   *links.Links
-	session atomic.Uint64
-	table   atomic.Uint64
+	boot          atomic.Pointer[ports.ProcessConfig]
+	edges         Edges
+	clock         clockwork.Clock
+	startedAt     time.Time
+	context       context.Context
+	links         *links.Transport
+	lastSession   atomic.Uint64
+	tableRevision atomic.Uint64
 
 	// One event at a time goes into the core, and what follows from it is queued
 	// at the edges before the next one; it is written after that, by whoever
 	// brought the event.
-	mu       sync.Mutex
-	core     node
-	sessions map[uint64]Caller
-	conns    map[uint64]*conn
-	alarm    clockwork.Timer
-	alarmAt  int64 // 0: not set
+	mu          sync.Mutex
+	core        node
+	sessions    map[uint64]Client
+	connections map[uint64]*connection
+	timer       clockwork.Timer
+	timerAt     int64 // 0: not set
 }
 
-// conn is a connection to a database, or the opening of one.
-type conn struct {
-	db   Database
-	ctx  context.Context
-	stop context.CancelFunc
+// connection is a connection to a database, or the opening of one.
+type connection struct {
+	db     Database
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
 // NewProcess makes a node.
-func NewProcess(b ports.Boot, clock clockwork.Clock, e Edges, o sessiontable.Options) *Process {
-	return newProcess(b, clock, e, NewCore(b, rand.Uint64(), rand.Uint64(), o))
+func NewProcess(boot ports.ProcessConfig, clock clockwork.Clock, edges Edges, options sessiontable.Options) *Process {
+	return newProcess(boot, clock, edges, NewCore(boot, rand.Uint64(), rand.Uint64(), options))
 }
 
-func newProcess(b ports.Boot, clock clockwork.Clock, e Edges, n node) *Process {
-	p := &Process{edges: e, clock: clock, began: clock.Now(), core: n, run: context.Background(),
-		sessions: map[uint64]Caller{}, conns: map[uint64]*conn{}}
-	p.boot.Store(&b)
+func newProcess(boot ports.ProcessConfig, clock clockwork.Clock, edges Edges, n node) *Process {
+	p := &Process{edges: edges, clock: clock, startedAt: clock.Now(), core: n, context: context.Background(),
+		sessions: map[uint64]Client{}, connections: map[uint64]*connection{}}
+	p.boot.Store(&boot)
 	return p
 }
 
-// SetBoot takes changed settings in: the next stop goes by them.
-func (p *Process) SetBoot(b ports.Boot) { p.boot.Store(&b) }
+// UpdateConfig takes changed settings in: the next stop goes by them.
+func (p *Process) UpdateConfig(boot ports.ProcessConfig) { p.boot.Store(&boot) }
 
 // now is the process's monotonic time; it starts at a second, so that 0 can
 // stand for never.
-func (p *Process) now() int64 { return p.clock.Since(p.began).Microseconds() + 1_000_000 }
+func (p *Process) now() int64 { return p.clock.Since(p.startedAt).Microseconds() + 1_000_000 }
 
-// setAlarm sees to it that the core's time passes when it is due. The alarm is
+// setTimer sees to it that the core's time passes when it is due. The alarm is
 // set only when it has to ring earlier, so it may ring too early.
-func (p *Process) setAlarm(now int64) {
+func (p *Process) setTimer(now int64) {
 	due := p.core.Due()
-	if due == math.MaxInt64 || p.alarmAt != 0 && p.alarmAt <= due {
+	if due == math.MaxInt64 || p.timerAt != 0 && p.timerAt <= due {
 		return
 	}
-	p.alarmAt = due
-	d := max(time.Duration(due-now)*time.Microsecond, leastTick)
-	if p.alarm == nil {
-		p.alarm = p.clock.AfterFunc(d, p.rang)
+	p.timerAt = due
+	d := max(time.Duration(due-now)*time.Microsecond, minTickInterval)
+	if p.timer == nil {
+		p.timer = p.clock.AfterFunc(d, p.timerFired)
 	} else {
-		p.alarm.Reset(d)
+		p.timer.Reset(d)
 	}
 }
 
-// rang lets the core's time pass.
-func (p *Process) rang() {
+// timerFired lets the core's time pass.
+func (p *Process) timerFired() {
 	p.mu.Lock()
-	p.alarmAt = 0
+	p.timerAt = 0
 	if now := p.now(); now < p.core.Due() {
-		p.setAlarm(now)
+		p.setTimer(now)
 		p.mu.Unlock()
 		return
 	}
@@ -127,27 +127,27 @@
 
 // Run serves until the context ends, then drains and returns.
 func (p *Process) Run(ctx context.Context) (err error) {
-	var cl cleanup.Stack
-	defer func() { err = errors.Join(err, cl.Run()) }()
+	var cleanups cleanup.Stack
+	defer func() { err = errors.Join(err, cleanups.Run()) }()
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var serving sync.WaitGroup
-	cl.Push(func() error { stop(); serving.Wait(); return nil })
-	p.run = work
-	b := p.boot.Load()
+	cleanups.Push(func() error { stop(); serving.Wait(); return nil })
+	p.context = work
+	boot := p.boot.Load()
 	failed := make(chan error, 3)
 	serve := func(f func() error) { serving.Go(func() { failed <- f() }) }
-	self := b.PoolNode()
-	ln, err := net.Listen("tcp", b.Listen(self))
+	self := boot.PoolNodeAddress()
+	listener, err := net.Listen("tcp", boot.ListenAddress(self))
 	if err != nil {
 		return err
 	}
-	p.links = links.New(work, self, links.Local(self), func(e *schema.Envelope) { p.step(e) })
-	serve(func() error { return p.links.Serve(ln) })
+	p.links = links.New(work, self, links.LocalAddress(self), func(e *schema.Envelope) { p.step(e) })
+	serve(func() error { return p.links.Serve(listener) })
 	p.step(sessiontable.Tick{})
-	serve(func() error { return p.edges.Callers.Serve(work, p) })
-	serve(func() error { return p.edges.Probe.Serve(work, p.Ready) })
+	serve(func() error { return p.edges.Frontend.Serve(work, p) })
+	serve(func() error { return p.edges.Readiness.Serve(work, p.Ready) })
 	serving.Go(func() { p.serveState(work) })
-	log.WithFields(log.Fields{"name": b.Name, "front": b.Front, "node": b.PoolNode()}).Info("stoneford-pool is up")
+	log.WithFields(log.Fields{"name": boot.Name, "front": boot.CallerAddress, "node": boot.PoolNodeAddress()}).Info("stoneford-pool is up")
 	select {
 	case err := <-failed:
 		return err
@@ -162,14 +162,14 @@
 func (p *Process) drain() {
 	b := p.boot.Load().Bounds
 	began := p.clock.Now()
-	p.step(sessiontable.Stop{GraceUs: b.GraceUs})
-	grace := time.Duration(b.GraceUs)*time.Microsecond - lastWords
+	p.step(sessiontable.Drain{GraceUs: b.GraceUs})
+	grace := time.Duration(b.GraceUs)*time.Microsecond - exitReserve
 	for {
 		past := p.clock.Since(began)
-		if past >= grace || p.busy() == 0 && past >= time.Duration(b.TakenOutUs)*time.Microsecond {
+		if past >= grace || p.busy() == 0 && past >= time.Duration(b.RemovalLagUs)*time.Microsecond {
 			return
 		}
-		<-p.clock.After(drainLook)
+		<-p.clock.After(drainPollInterval)
 	}
 }
 
@@ -187,186 +187,186 @@
 }
 
 // TableRevision is the register's revision of the routing table in force here.
-func (p *Process) TableRevision() uint64 { return p.table.Load() }
+func (p *Process) TableRevision() uint64 { return p.tableRevision.Load() }
 
-// CutLinks breaks the node's links to other processes until they are mended, for
+// PartitionLinks breaks the node's links to other processes until they are mended, for
 // trials; the node has to run.
-func (p *Process) CutLinks(broken bool) { p.links.Cut(broken) }
+func (p *Process) PartitionLinks(broken bool) { p.links.SetPartitioned(broken) }
 
-// Opened begins a caller's session.
-func (p *Process) Opened(c Caller, host string) uint64 {
-	id := p.session.Add(1)
+// SessionOpened begins a caller's session.
+func (p *Process) SessionOpened(c Client, host string) uint64 {
+	id := p.lastSession.Add(1)
 	p.mu.Lock()
 	p.sessions[id] = c
-	p.stepLocked(sessiontable.Opened{Session: id, Host: host})
+	p.stepLocked(sessiontable.SessionOpened{Session: id, Host: host})
 	return id
 }
 
-// Asked brings a session's next statement.
-func (p *Process) Asked(session uint64, st ports.Statement) {
+// StatementReceived brings a session's next statement.
+func (p *Process) StatementReceived(session uint64, statement ports.Statement) {
 	p.mu.Lock()
 	if _, ok := p.sessions[session]; !ok {
 		p.mu.Unlock()
 		return
 	}
-	p.stepLocked(sessiontable.Asked{Session: session, St: st})
+	p.stepLocked(sessiontable.StatementReceived{Session: session, Statement: statement})
 }
 
-// Left ends a session.
-func (p *Process) Left(session uint64) {
+// SessionClosed ends a session.
+func (p *Process) SessionClosed(session uint64) {
 	p.mu.Lock()
 	if _, ok := p.sessions[session]; !ok {
 		p.mu.Unlock()
 		return
 	}
 	delete(p.sessions, session)
-	p.stepLocked(sessiontable.Left{Session: session})
+	p.stepLocked(sessiontable.SessionClosed{Session: session})
 }
 
 // step puts events into the core and does what follows.
-func (p *Process) step(evs ...any) {
+func (p *Process) step(events ...any) {
 	p.mu.Lock()
-	p.stepLocked(evs...)
+	p.stepLocked(events...)
 }
 
 type flusher interface{ Flush() }
 
 // stepLocked is step for who holds the lock, which it gives back before
 // anything is written.
-func (p *Process) stepLocked(evs ...any) {
+func (p *Process) stepLocked(events ...any) {
 	now := p.now()
-	var flushBuf [4]flusher
-	flush := flushBuf[:0]
+	var flushBuffer [4]flusher
+	flushers := flushBuffer[:0]
 	var dials []func()
-	var closing []*conn
-	var says []sessiontable.Say
-	fx := p.core.Step(now, evs...)
-	if c, ok := p.core.(*Core); ok {
-		p.table.Store(c.rev)
+	var closing []*connection
+	var entries []sessiontable.LogEntry
+	effects := p.core.Step(now, events...)
+	if conn, ok := p.core.(*Core); ok {
+		p.tableRevision.Store(conn.tableRevision)
 	}
-	for _, f := range fx.Do {
-		switch f := f.(type) {
+	for _, flusher := range effects.Table {
+		switch flusher := flusher.(type) {
 		case sessiontable.Reply:
-			c := p.sessions[f.Session]
-			if c == nil {
+			conn := p.sessions[flusher.Session]
+			if conn == nil {
 				continue
 			}
-			c.Reply(f.Reply)
-			if f.Close {
-				c.End()
-				delete(p.sessions, f.Session)
+			conn.Reply(flusher.Reply)
+			if flusher.Close {
+				conn.Close()
+				delete(p.sessions, flusher.Session)
 			}
-			flush = append(flush, c)
-		case sessiontable.Shut:
-			if c := p.sessions[f.Session]; c != nil {
-				c.End()
-				delete(p.sessions, f.Session)
-				flush = append(flush, c)
+			flushers = append(flushers, conn)
+		case sessiontable.CloseSession:
+			if conn := p.sessions[flusher.Session]; conn != nil {
+				conn.Close()
+				delete(p.sessions, flusher.Session)
+				flushers = append(flushers, conn)
 			}
 		case sessiontable.Send:
-			if c := p.conns[f.Conn]; c != nil && c.db != nil {
-				c.db.Queue(f.Ops)
-				flush = append(flush, c.db)
+			if conn := p.connections[flusher.Conn]; conn != nil && conn.db != nil {
+				conn.db.Queue(flusher.Ops)
+				flushers = append(flushers, conn.db)
 			}
 		case sessiontable.Connect:
-			c := &conn{}
-			c.ctx, c.stop = context.WithCancel(p.run)
-			p.conns[f.Conn] = c
-			dials = append(dials, func() { p.connection(f, c) })
-		case sessiontable.Close:
-			if c := p.conns[f.Conn]; c != nil {
-				delete(p.conns, f.Conn)
-				closing = append(closing, c)
+			conn := &connection{}
+			conn.ctx, conn.cancel = context.WithCancel(p.context)
+			p.connections[flusher.Conn] = conn
+			dials = append(dials, func() { p.serveConnection(flusher, conn) })
+		case sessiontable.CloseConnection:
+			if conn := p.connections[flusher.Conn]; conn != nil {
+				delete(p.connections, flusher.Conn)
+				closing = append(closing, conn)
 			}
-		case sessiontable.Say:
-			says = append(says, f)
+		case sessiontable.LogEntry:
+			entries = append(entries, flusher)
 		}
 	}
-	p.setAlarm(now)
+	p.setTimer(now)
 	p.mu.Unlock()
-	for _, f := range flush {
-		f.Flush()
+	for _, flusher := range flushers {
+		flusher.Flush()
 	}
-	for _, f := range dials {
-		go f()
+	for _, flusher := range dials {
+		go flusher()
 	}
-	for _, c := range closing {
-		c.close()
+	for _, conn := range closing {
+		conn.close()
 	}
-	for _, s := range says {
-		say(s.Code, s.Text)
+	for _, entry := range entries {
+		writeLog(entry.Code, entry.Text)
 	}
-	for _, s := range fx.Send {
-		p.links.Send(s.To, s.Env)
+	for _, entry := range effects.Send {
+		p.links.Send(entry.To, entry.Envelope)
 	}
 }
 
-func say(c result.Code, text string) {
+func writeLog(c result.Code, text string) {
 	log.WithFields(log.Fields{"code": int(c), "what": text}).Info(c.String())
 }
 
-func (c *conn) close() {
-	c.stop()
+func (c *connection) close() {
+	c.cancel()
 	if c.db != nil {
 		c.db.Close()
 	}
 }
 
-// connection opens a connection to a database and reads its answers until it
+// serveConnection opens a connection to a database and reads its answers until it
 // ends.
-func (p *Process) connection(f sessiontable.Connect, c *conn) {
-	defer c.stop()
-	ctx, stop := context.WithTimeout(c.ctx, time.Duration(f.WaitUs)*time.Microsecond)
-	db, pos, code, err := p.edges.Dialer.Dial(ctx, f.Address, f.Group, f.ID)
+func (p *Process) serveConnection(connect sessiontable.Connect, conn *connection) {
+	defer conn.cancel()
+	ctx, stop := context.WithTimeout(conn.ctx, time.Duration(connect.WaitUs)*time.Microsecond)
+	database, position, code, err := p.edges.Dialer.Dial(ctx, connect.Address, connect.Group, connect.ID)
 	stop()
 	if err == nil {
-		defer db.Close()
+		defer database.Close()
 	}
-	if !p.opened(f.Conn, c, db, pos, code, err) {
+	if !p.connectEnded(connect.Conn, conn, database, position, code, err) {
 		return
 	}
-	var as []ports.Answer
-	var evs []any
+	var answers []ports.Response
+	var events []any
 	for err == nil {
-		as, err = db.Read(as[:0])
-		evs = evs[:0]
-		for i, a := range as {
-			evs = append(evs, sessiontable.Answered{Conn: f.Conn, Answer: a})
-			as[i] = ports.Answer{}
+		answers, err = database.Read(answers[:0])
+		events = events[:0]
+		for i, answer := range answers {
+			events = append(events, sessiontable.AnswerReceived{Conn: connect.Conn, Answer: answer})
+			answers[i] = ports.Response{}
 		}
 		p.mu.Lock()
-		if p.conns[f.Conn] != c { // given up
+		if p.connections[connect.Conn] != conn { // given up
 			p.mu.Unlock()
 			return
 		}
 		if err != nil {
-			delete(p.conns, f.Conn)
-			evs = append(evs, sessiontable.Lost{Conn: f.Conn, Err: err.Error(), Cut: cut(err)})
+			delete(p.connections, connect.Conn)
+			events = append(events, sessiontable.ConnectionLost{Conn: connect.Conn, Err: err.Error(), Disconnected: disconnected(err)})
 		}
-		p.stepLocked(evs...)
+		p.stepLocked(events...)
 	}
 }
 
-// opened tells the core how a connect ended, and whether there is a
+// connectEnded tells the core how a connect ended, and whether there is a
 // connection to read.
-func (p *Process) opened(id uint64, c *conn, db Database, pos ports.Position, code ports.Code, err error) bool {
+func (p *Process) connectEnded(id uint64, conn *connection, database Database, position ports.Position, code ports.Code, err error) bool {
 	p.mu.Lock()
-	if p.conns[id] != c { // given up
+	if p.connections[id] != conn { // given up
 		p.mu.Unlock()
 		return false
 	}
 	if err != nil {
-		delete(p.conns, id)
-		p.stepLocked(sessiontable.Connected{Conn: id, Code: code, Err: err.Error(), NotThere: errors.Is(err, syscall.ECONNREFUSED), Cut: cut(err)})
+		delete(p.connections, id)
+		p.stepLocked(sessiontable.ConnectEnded{Conn: id, Code: code, Err: err.Error(), ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Disconnected: disconnected(err)})
 		return false
 	}
-	c.db = db
-	p.stepLocked(sessiontable.Connected{Conn: id, Position: pos, Code: code})
+	conn.db = database
+	p.stepLocked(sessiontable.ConnectEnded{Conn: id, Position: position, Code: code})
 	return true
 }
 
-// cut says that the other side ended a connection, rather than fell silent.
-func cut(err error) bool {
-	var ne net.Error
-	return !(errors.As(err, &ne) && ne.Timeout()) && !errors.Is(err, syscall.ETIMEDOUT) && !errors.Is(err, syscall.EHOSTUNREACH)
+// disconnected says that the other side ended a connection, rather than fell silent.
+func disconnected(err error) bool {
+	var netErr net.Error
+	return !(errors.As(err, &netErr) && netErr.Timeout()) && !errors.Is(err, syscall.ETIMEDOUT) && !errors.Is(err, syscall.EHOSTUNREACH)
 }
--- a/sessiontable/answers.go
+++ b/sessiontable/answers.go
@@ -4,182 +4,182 @@
 	"stoneford/ports"
 )
 
-// answered takes the end of the oldest op of a connection.
-func (t *Table) answered(e Answered) {
-	c := t.conns[e.Conn]
-	if c == nil {
+// receiveAnswer takes the end of the oldest op of a connection.
+func (t *Table) receiveAnswer(e AnswerReceived) {
+	conn := t.connections[e.Conn]
+	if conn == nil {
 		return
 	}
-	t.touch(c)
-	if len(c.pend) == 0 {
-		c.doubt = true
-		t.drop(c)
+	t.touch(conn)
+	if len(conn.pending) == 0 {
+		conn.closeWhenIdle = true
+		t.closeConnection(conn)
 		return
 	}
-	in, an := c.in, e.Answer
-	p := c.pend[0]
-	c.pend = c.pend[:copy(c.pend, c.pend[1:])]
-	c.state = an.State
-	t.works(in)
-	switch p.what {
-	case ownOp:
-		if an.Code != ports.Done {
-			c.doubt = true
+	db, answer := conn.database, e.Answer
+	p := conn.pending[0]
+	conn.pending = conn.pending[:copy(conn.pending, conn.pending[1:])]
+	conn.state = answer.State
+	t.markWorking(db)
+	switch p.kind {
+	case nodeOp:
+		if answer.Code != ports.Done {
+			conn.closeWhenIdle = true
 		}
 		return
-	case ownEnd:
-		t.disarm(&c.due)
-		if an.Code != ports.Done {
-			c.doubt = true
+	case nodeRollback:
+		t.disarm(&conn.timer)
+		if answer.Code != ports.Done {
+			conn.closeWhenIdle = true
 		}
-		t.free(c)
+		t.recycle(conn)
 		return
 	case beginOp:
-		if an.Code != ports.Done {
-			c.beginBad = &an
+		if answer.Code != ports.Done {
+			conn.beginFailure = &answer
 		}
-		if len(c.pend) > 0 {
+		if len(conn.pending) > 0 {
 			return
 		}
-		// It went alone (Options.BeginApart).
-		if an.Code == ports.Done && an.State == ports.Open && c.request != nil {
-			t.sendMain(c, c.request)
+		// It went alone (Options.SeparateBegin).
+		if answer.Code == ports.Done && answer.State == ports.InTransaction && conn.request != nil {
+			t.sendStatement(conn, conn.request)
 			return
 		}
-		an.Stamped = false
-		t.ran(c, p.a, an, false)
+		answer.Stamped = false
+		t.statementEnded(conn, p.request, answer, false)
 		return
 	}
-	t.ran(c, p.a, an, true)
+	t.statementEnded(conn, p.request, answer, true)
 }
 
-// ran takes the end of a statement on a connection: what is known of it decides
+// statementEnded takes the end of a statement on a connection: what is known of it decides
 // what its caller is told (design 14.9).
-func (t *Table) ran(c *conn, a *request, an ports.Answer, main bool) {
-	in := c.in
-	sent := c.sentUs
-	t.unslot(c)
-	t.learn(in, a, an, sent)
+func (t *Table) statementEnded(conn *connection, req *request, answer ports.Response, main bool) {
+	db := conn.database
+	sent := conn.sentUs
+	t.releaseSlot(conn)
+	t.recordRunTime(db, req, answer, sent)
 	// Inside a transaction the position may be that of its beginning.
-	if c.led != 0 && (a == nil || a.tx == nil || !a.tx.ran || a.commit && an.Code == ports.Done) {
-		t.noteEvidence(c, sent, an.Position, an.Code == ports.Done && a != nil && a.mayKeep())
+	if conn.primaryTerm != 0 && (req == nil || req.tx == nil || !req.tx.ran || req.commit && answer.Code == ports.Done) {
+		t.recordEvidence(conn, sent, answer.Position, answer.Code == ports.Done && req != nil && req.mayCommit())
 	}
-	t.noteLevel(in, an.Position)
-	if c.request == nil {
+	t.recordPosition(db, answer.Position)
+	if conn.request == nil {
 		// Nobody waits: its reader was given up or went elsewhere.
-		t.free(c)
+		t.recycle(conn)
 		return
 	}
-	c.request, a.conn, a.in = nil, nil, nil
-	t.disarm(&a.due)
+	conn.request, req.connection, req.database = nil, nil, nil
+	t.disarm(&req.timer)
 	defer func() {
-		t.quieter(in)
-		in.dirtyIn(t)
+		t.reportIfQuiescent(db)
+		db.markChanged(t)
 	}()
-	bad := c.beginBad
-	if bad != nil && main {
-		t.beginFailed(c, a, *bad, an)
+	beginAnswer := conn.beginFailure
+	if beginAnswer != nil && main {
+		t.beginFailed(conn, req, *beginAnswer, answer)
 		return
 	}
-	if an.Code == ports.Done && (!an.Stamped || !main) {
+	if answer.Code == ports.Done && (!answer.Stamped || !main) {
 		// Not what was asked for: nothing can rest on it.
-		c.doubt = true
-		t.part(c)
-		t.brokenOff(c, a)
+		conn.closeWhenIdle = true
+		t.closeDetached(conn)
+		t.requestInterrupted(conn, req)
 		return
 	}
-	if an.Code == ports.NoStatement {
-		c.stale = true // it does not hold what it was given
+	if answer.Code == ports.UnknownPreparedStatement {
+		conn.stale = true // it does not hold what it was given
 	}
-	x := a.tx
-	if an.Code == ports.Done {
-		t.done(c, a, an)
+	tx := req.tx
+	if answer.Code == ports.Done {
+		t.statementDone(conn, req, answer)
 		return
 	}
 	switch {
-	case x == nil:
-		t.free(c)
-		t.failedSingle(in, a, an)
-	case a.commit:
-		t.failedCommit(c, a, an)
+	case tx == nil:
+		t.recycle(conn)
+		t.failedSingle(db, req, answer)
+	case req.commit:
+		t.failedCommit(conn, req, answer)
 	default:
-		t.failedInTx(c, a, an)
+		t.failedInTx(conn, req, answer)
 	}
 }
 
-func (t *Table) done(c *conn, a *request, an ports.Answer) {
-	x := a.tx
-	r := ports.Reply{Body: an.Body}
-	kept := a.mayKeep()
+func (t *Table) statementDone(conn *connection, req *request, answer ports.Response) {
+	tx := req.tx
+	reply := ports.Reply{Body: answer.Body}
+	kept := req.mayCommit()
 	switch {
-	case x == nil, a.commit:
-		if x != nil {
-			x.conn, c.tx = nil, nil
-			c.in.txs--
-			c.stale = false // what was set inside it stays
+	case tx == nil, req.commit:
+		if tx != nil {
+			tx.connection, conn.tx = nil, nil
+			conn.database.openTransactions--
+			conn.stale = false // what was set inside it stays
 		}
-		t.free(c)
-	case an.State != ports.Open:
+		t.recycle(conn)
+	case answer.State != ports.InTransaction:
 		// It ran outside its transaction: whether it is kept is not known.
-		c.doubt = true
-		t.part(c)
-		if a.write {
-			r = ports.Reply{Code: ports.InDoubt, Text: "the database ran it outside the transaction"}
+		conn.closeWhenIdle = true
+		t.closeDetached(conn)
+		if req.writes {
+			reply = ports.Reply{Code: ports.InDoubt, Text: "the database ran it outside the transaction"}
 		} else {
-			r = ports.Reply{Code: ports.RolledBack, Text: "the transaction was lost"}
+			reply = ports.Reply{Code: ports.RolledBack, Text: "the transaction was lost"}
 		}
-	case c.last:
+	case conn.closeAfterStatement:
 		// The primary was replaced: the next statement is told.
-		x.over = true
-		t.end(a, r)
-		t.release(x)
+		tx.ended = true
+		t.finish(req, reply)
+		t.release(tx)
 		return
 	}
 	if kept {
-		t.confirm(a, &unsure{led: c.led, by: c.in.ID, position: an.Position, reply: r, until: min(a.deadline, t.now+t.o.UnsureUs)})
+		t.confirmCommit(req, &unconfirmedCommit{primaryTerm: conn.primaryTerm, primary: conn.database.ID, position: answer.Position, reply: reply, untilUs: min(req.deadline, t.now+t.options.CommitConfirmationUs)})
 		return
 	}
-	t.end(a, r)
+	t.finish(req, reply)
 }
 
-// learn takes run times and how many statements the database bears.
-func (t *Table) learn(in *instance, a *request, an ports.Answer, sent int64) {
-	if an.Code == ports.Busy {
-		in.slots = max(1, in.slots/2)
-		run := t.runOf(in, 0)
-		if a != nil {
-			run = t.runOf(in, a.runIndex())
+// recordRunTime takes run times and how many statements the database bears.
+func (t *Table) recordRunTime(db *database, req *request, answer ports.Response, sent int64) {
+	if answer.Code == ports.Busy {
+		db.slots = max(1, db.slots/2)
+		run := t.runTime(db, 0)
+		if req != nil {
+			run = t.runTime(db, req.runIndex())
 		}
-		in.pause = t.now + run/2 + t.r.Int64N(run+1)
+		db.busyUntil = t.now + run/2 + t.rand.Int64N(run+1)
 		return
 	}
-	if an.Code != ports.Done {
+	if answer.Code != ports.Done {
 		return
 	}
-	if a != nil {
-		i := a.runIndex()
-		us := max(t.now-sent, 1)
-		in.ranUs[i] = t.now
-		if in.run[i] == 0 {
-			in.run[i] = us
+	if req != nil {
+		i := req.runIndex()
+		durationUs := max(t.now-sent, 1)
+		db.runUpdatedUs[i] = t.now
+		if db.runUs[i] == 0 {
+			db.runUs[i] = durationUs
 		} else {
-			in.run[i] += (us - in.run[i]) / 8
-			in.run[i] = max(in.run[i], 1)
+			db.runUs[i] += (durationUs - db.runUs[i]) / 8
+			db.runUs[i] = max(db.runUs[i], 1)
 		}
 	}
-	n := in.Capacity
+	n := db.Capacity
 	if n <= 0 {
-		n = t.o.GuessedSlots
+		n = t.options.DefaultCapacity
 	}
-	if in.running+1 >= int(in.slots) {
-		in.slots = min(in.slots+0.25/max(in.slots, 1), float64(max(2, n)))
+	if db.running+1 >= int(db.slots) {
+		db.slots = min(db.slots+0.25/max(db.slots, 1), float64(max(2, n)))
 	}
 }
 
-// part drops a connection whose request was taken off it already.
-func (t *Table) part(c *conn) {
-	if t.conns[c.id] == c {
-		t.emit(Close{Conn: c.id})
-		t.remove(c)
+// closeDetached drops a connection whose request was taken off it already.
+func (t *Table) closeDetached(conn *connection) {
+	if t.connections[conn.id] == conn {
+		t.emit(CloseConnection{Conn: conn.id})
+		t.remove(conn)
 	}
 }
--- a/sessiontable/check.go
+++ b/sessiontable/check.go
@@ -5,30 +5,30 @@
 // checkTouched stops the process where a connection is tied wrongly; it looks
 // at what this step touched.
 func (t *Table) checkTouched() {
-	for _, c := range t.touched {
-		c.seen = false
-		if t.conns[c.id] == c {
-			if m := c.wrong(); m != "" {
-				panic(fmt.Sprintf("sessiontable: connection %d: %s", c.id, m))
+	for _, conn := range t.touchedConnections {
+		conn.touched = false
+		if t.connections[conn.id] == conn {
+			if m := conn.inconsistency(); m != "" {
+				panic(fmt.Sprintf("sessiontable: connection %d: %s", conn.id, m))
 			}
 		}
 	}
-	t.touched = t.touched[:0]
+	t.touchedConnections = t.touchedConnections[:0]
 }
 
-func (c *conn) wrong() string {
-	switch a, x := c.request, c.tx; {
-	case a != nil && a.conn != c:
+func (c *connection) inconsistency() string {
+	switch req, tx := c.request, c.tx; {
+	case req != nil && req.connection != c:
 		return "its statement does not know of it"
-	case x != nil && x.conn != c:
+	case tx != nil && tx.connection != c:
 		return "its transaction does not know of it"
-	case a != nil && a.tx != x:
+	case req != nil && req.tx != tx:
 		return "it runs a statement outside its transaction"
-	case a != nil && x != nil && a.s != x.s:
+	case req != nil && tx != nil && req.session != tx.session:
 		return "two sessions hold it"
-	case a != nil && len(c.pend) == 0:
+	case req != nil && len(c.pending) == 0:
 		return "it runs nothing it was sent"
-	case x != nil && !x.begun:
+	case tx != nil && !tx.begun:
 		return "its transaction has not begun"
 	}
 	return ""
--- a/sessiontable/check_test.go
+++ b/sessiontable/check_test.go
@@ -11,83 +11,83 @@
 func checkAll(t testing.TB, b *Table) {
 	t.Helper()
 	running, waiting, open := 0, 0, 0
-	held := map[*tx]uint64{}
-	for id, c := range b.conns {
-		if m := c.wrong(); m != "" {
-			t.Fatalf("connection %d: %s", id, m)
+	held := map[*transaction]uint64{}
+	for id, conn := range b.connections {
+		if timer := conn.inconsistency(); timer != "" {
+			t.Fatalf("connection %d: %s", id, timer)
 		}
-		if c.tx != nil {
-			if held[c.tx] != 0 {
-				t.Fatalf("a transaction has connections %d and %d", held[c.tx], id)
+		if conn.tx != nil {
+			if held[conn.tx] != 0 {
+				t.Fatalf("a transaction has connections %d and %d", held[conn.tx], id)
 			}
-			held[c.tx] = id
+			held[conn.tx] = id
 		}
-		if c.slot {
+		if conn.usesSlot {
 			running++
 		}
-		if !slices.Contains(c.in.conns, c) {
+		if !slices.Contains(conn.database.connections, conn) {
 			t.Fatalf("connection %d is not among its instance's", id)
 		}
 	}
-	for _, s := range b.sess {
-		if s.tx != nil {
+	for _, session := range b.sessions {
+		if session.tx != nil {
 			open++
 		}
 		// It waits, it runs, or it ran and waits to be confirmed: one of these.
-		if a := s.request; a != nil && count(a.conn != nil, a.place != 0, a.unsure != nil) != 1 {
-			t.Fatalf("session %d: its statement neither waits nor runs, or both", s.id)
+		if req := session.request; req != nil && count(req.connection != nil, req.queueIndex != 0, req.unconfirmed != nil) != 1 {
+			t.Fatalf("session %d: its statement neither waits nor runs, or both", session.id)
 		}
-		if a := s.request; a != nil && a.due.place == 0 {
-			t.Fatalf("session %d: nothing ends its statement", s.id)
+		if req := session.request; req != nil && req.timer.index == 0 {
+			t.Fatalf("session %d: nothing ends its statement", session.id)
 		}
 	}
 	n := 0
-	for _, g := range b.gs {
-		waiting += g.wait.len()
-		for _, in := range g.ins {
-			n += len(in.conns)
-			waiting += in.line.len()
+	for _, group := range b.groupsByName {
+		waiting += group.waiting.len()
+		for _, db := range group.databases {
+			n += len(db.connections)
+			waiting += db.queue.len()
 			var run, txs, opening, stuck int
-			for _, c := range in.conns {
-				if c.slot {
+			for _, conn := range db.connections {
+				if conn.usesSlot {
 					run++
 				}
-				if c.stuck {
+				if conn.stuck {
 					stuck++
 				}
-				if c.tx != nil {
+				if conn.tx != nil {
 					txs++
 				}
-				if !c.up {
+				if !conn.up {
 					opening++
 				}
 			}
-			if run != in.running || txs != in.txs || opening != in.opening || stuck != in.stuck {
-				t.Fatalf("instance %s counts %d %d %d %d for %d %d %d %d", in.ID, in.running, in.txs, in.opening, in.stuck, run, txs, opening, stuck)
+			if run != db.running || txs != db.openTransactions || opening != db.opening || stuck != db.stuck {
+				t.Fatalf("instance %s counts %d %d %d %d for %d %d %d %d", db.ID, db.running, db.openTransactions, db.opening, db.stuck, run, txs, opening, stuck)
 			}
-			for _, c := range in.idle {
-				if !c.up || c.slot || c.tx != nil || len(c.pend) > 0 {
-					t.Fatalf("instance %s: connection %d is idle and in use", in.ID, c.id)
+			for _, conn := range db.idle {
+				if !conn.up || conn.usesSlot || conn.tx != nil || len(conn.pending) > 0 {
+					t.Fatalf("instance %s: connection %d is idle and in use", db.ID, conn.id)
 				}
 			}
-			for i, a := range in.line.xs {
-				if a.place != i+1 || a.in != in {
-					t.Fatalf("instance %s: its line is torn", in.ID)
+			for i, req := range db.queue.items {
+				if req.queueIndex != i+1 || req.database != db {
+					t.Fatalf("instance %s: its line is torn", db.ID)
 				}
-				if i > 0 && before(a, in.line.xs[(i-1)/2]) {
-					t.Fatalf("instance %s: its line is out of order", in.ID)
+				if i > 0 && queuedBefore(req, db.queue.items[(i-1)/2]) {
+					t.Fatalf("instance %s: its line is out of order", db.ID)
 				}
 			}
 		}
 	}
-	if n != len(b.conns) || running != b.running || waiting != b.waiting {
-		t.Fatalf("counts: %d connections of %d, %d running of %d, %d waiting of %d", n, len(b.conns), running, b.running, waiting, b.waiting)
+	if n != len(b.connections) || running != b.running || waiting != b.waiting {
+		t.Fatalf("counts: %d connections of %d, %d running of %d, %d waiting of %d", n, len(b.connections), running, b.running, waiting, b.waiting)
 	}
-	if open > b.open {
-		t.Fatalf("%d open transactions of %d", open, b.open)
+	if open > b.openTransactions {
+		t.Fatalf("%d open transactions of %d", open, b.openTransactions)
 	}
-	for i, m := range b.timers.xs {
-		if m.place != i+1 {
+	for i, timer := range b.timers.items {
+		if timer.index != i+1 {
 			t.Fatalf("timers are torn")
 		}
 	}
--- a/sessiontable/clients_test.go
+++ b/sessiontable/clients_test.go
@@ -9,15 +9,15 @@
 )
 
 // open has a new caller come.
-func (w *world) open() {
-	w.next++
-	c := &client{session: w.next, host: w.routes[w.r.IntN(len(w.routes))].Host, values: map[string]string{}, prepared: map[string]shapeKey{}}
-	w.byID[c.session] = c
-	w.step(Opened{Session: c.session, Host: c.host})
+func (env *environment) open() {
+	env.lastSession++
+	c := &client{session: env.lastSession, host: env.routes[env.rand.IntN(len(env.routes))].Host, values: map[string]string{}, prepared: map[string]shapeKey{}}
+	env.clients[c.session] = c
+	env.step(SessionOpened{Session: c.session, Host: c.host})
 }
 
-func (w *world) route(host string) ports.Route {
-	for _, r := range w.routes {
+func (env *environment) route(host string) ports.Route {
+	for _, r := range env.routes {
 		if r.Host == host {
 			return r
 		}
@@ -25,86 +25,86 @@
 	return ports.Route{}
 }
 
-// ask has a caller send a statement.
-func (w *world) ask(c *client, k ports.Kind, name, text string, writes bool) string {
-	w.ids++
-	id := fmt.Sprintf("s%d", w.ids)
-	c.asked, c.kind, c.pend = id, k, nil
-	tr := &truth{c: c, kind: k, tx: c.tx, at: w.now, values: maps.Clone(c.values), route: w.route(c.host), floor: c.floor}
+// sendStatement has a caller send a statement.
+func (env *environment) sendStatement(c *client, k ports.StatementKind, name, text string, writes bool) string {
+	env.ids++
+	id := fmt.Sprintf("s%d", env.ids)
+	c.statementID, c.kind, c.onDone = id, k, nil
+	expected := &oracle{client: c, kind: k, tx: c.tx, at: env.now, values: maps.Clone(c.values), route: env.route(c.host), floor: c.floor}
 	switch {
 	case k == ports.Begin || k == ports.BeginRead:
-		c.pend = func() { c.tx, c.txAt, c.writes, c.readOnly = id, tr.at, nil, k == ports.BeginRead }
+		c.onDone = func() { c.tx, c.txAt, c.writes, c.readOnly = id, expected.at, nil, k == ports.BeginRead }
 	case c.tx != "":
-		tr.at = c.txAt
-		tr.floor = w.tr[c.tx].floor
+		expected.at = c.txAt
+		expected.floor = env.oracles[c.tx].floor
 	}
 	switch k {
 	case ports.SetValue:
-		c.pend = func() { c.values[name] = text }
+		c.onDone = func() { c.values[name] = text }
 	case ports.Prepare:
-		c.pend = func() { c.prepared[name] = shapeKey{writes, text} }
-	case ports.Drop:
-		c.pend = func() { delete(c.prepared, name) }
-	case ports.Run:
-		tr.shape = c.prepared[name]
+		c.onDone = func() { c.prepared[name] = shapeKey{writes, text} }
+	case ports.Deallocate:
+		c.onDone = func() { delete(c.prepared, name) }
+	case ports.Execute:
+		expected.shape = c.prepared[name]
 	}
-	w.tr[id] = tr
-	if k == ports.Write || k == ports.Run && tr.shape.writes {
+	env.oracles[id] = expected
+	if k == ports.Write || k == ports.Execute && expected.shape.writes {
 		c.writes = append(c.writes, id)
 	}
-	w.step(Asked{Session: c.session, St: ports.Statement{ID: id, Kind: k, Name: name, Text: text, Writes: writes}})
+	env.step(StatementReceived{Session: c.session, Statement: ports.Statement{ID: id, Kind: k, Name: name, Text: text, Writes: writes}})
 	return id
 }
 
 // next has a caller do something.
-func (w *world) act(c *client) {
-	if c.left || c.asked != "" {
+func (env *environment) act(c *client) {
+	if c.closed || c.statementID != "" {
 		return
 	}
-	if w.odds(150) {
-		c.left = true
-		delete(w.byID, c.session)
-		w.step(Left{Session: c.session})
+	if env.odds(150) {
+		c.closed = true
+		delete(env.clients, c.session)
+		env.step(SessionClosed{Session: c.session})
 		return
 	}
-	n := fmt.Sprintf("n%d", w.r.IntN(3))
+	n := fmt.Sprintf("n%d", env.rand.IntN(3))
 	read := func() {
 		switch {
-		case w.odds(3) && c.prepared[n].text != "" && !c.prepared[n].writes:
-			w.ask(c, ports.Run, n, "", false)
+		case env.odds(3) && c.prepared[n].text != "" && !c.prepared[n].writes:
+			env.sendStatement(c, ports.Execute, n, "", false)
 		default:
-			w.ask(c, ports.Read, "", "k", false)
+			env.sendStatement(c, ports.Read, "", "k", false)
 		}
 	}
 	write := func() {
 		switch {
-		case w.odds(3) && c.prepared[n].text != "" && c.prepared[n].writes:
-			w.ask(c, ports.Run, n, "", false)
+		case env.odds(3) && c.prepared[n].text != "" && c.prepared[n].writes:
+			env.sendStatement(c, ports.Execute, n, "", false)
 		default:
-			w.ask(c, ports.Write, "", "k", false)
+			env.sendStatement(c, ports.Write, "", "k", false)
 		}
 	}
-	if c.state == ports.Broken {
-		w.ask(c, []ports.Kind{ports.Rollback, ports.Commit, ports.Read}[w.r.IntN(3)], "", "", false)
+	if c.state == ports.TransactionFailed {
+		env.sendStatement(c, []ports.StatementKind{ports.Rollback, ports.Commit, ports.Read}[env.rand.IntN(3)], "", "", false)
 		return
 	}
-	switch w.r.IntN(12) {
+	switch env.rand.IntN(12) {
 	case 0:
-		w.ask(c, ports.SetValue, n, fmt.Sprintf("v%d", w.r.IntN(3)), false)
+		env.sendStatement(c, ports.SetValue, n, fmt.Sprintf("v%d", env.rand.IntN(3)), false)
 		return
 	case 1:
-		w.ask(c, ports.Prepare, n, fmt.Sprintf("q%d", w.r.IntN(4)), w.odds(2))
+		env.sendStatement(c, ports.Prepare, n, fmt.Sprintf("q%d", env.rand.IntN(4)), env.odds(2))
 		return
 	}
 	if c.tx != "" {
-		switch w.r.IntN(6) {
+		switch env.rand.IntN(6) {
 		case 0:
-			w.ask(c, ports.Commit, "", "", false)
+			env.sendStatement(c, ports.Commit, "", "", false)
 		case 1:
-			if w.odds(3) {
-				w.ask(c, ports.Rollback, "", "", false)
+			if env.odds(3) {
+				env.sendStatement(c, ports.Rollback, "", "", false)
 			} else {
-				w.ask(c, ports.Commit, "", "", false)
+				env.sendStatement(c, ports.Commit, "", "", false)
 			}
 		case 2, 3:
 			if !c.readOnly {
@@ -117,11 +117,11 @@
 		}
 		return
 	}
-	switch w.r.IntN(8) {
+	switch env.rand.IntN(8) {
 	case 0, 1:
-		w.ask(c, ports.Begin, "", "", false)
+		env.sendStatement(c, ports.Begin, "", "", false)
 	case 2:
-		w.ask(c, ports.BeginRead, "", "", false)
+		env.sendStatement(c, ports.BeginRead, "", "", false)
 	case 3, 4:
 		write()
 	default:
@@ -130,76 +130,76 @@
 }
 
 // reply holds what a caller is told to what is known of the databases.
-func (w *world) reply(e Reply) {
-	c := w.byID[e.Session]
+func (env *environment) reply(e Reply) {
+	c := env.clients[e.Session]
 	if c == nil {
-		w.fatal("a reply to session %d, which is none: %+v", e.Session, e)
+		env.fatal("a reply to session %d, which is none: %+v", e.Session, e)
 	}
 	if e.Close {
 		defer func() {
-			c.left = true
-			delete(w.byID, e.Session)
+			c.closed = true
+			delete(env.clients, e.Session)
 		}()
 	}
-	again := func() { w.after(w.between(500, 60_000), func() { w.act(c) }) }
-	if c.asked == "" {
+	again := func() { env.after(env.between(500, 60_000), func() { env.act(c) }) }
+	if c.statementID == "" {
 		c.state = ports.Idle
 		again()
 		return
 	}
-	id := c.asked
-	c.asked = ""
-	tr := w.tr[id]
-	tr.told, tr.code = true, e.Code
-	w.codes[e.Code]++
-	w.note("session %d: %s kind %d ends %d state %d %s", e.Session, id, tr.kind, e.Code, e.State, e.Text)
-	if tr.route.ExpiryUs > 0 && w.now > tr.at+tr.route.ExpiryUs+1 && tr.tx == "" {
-		w.fatal("%s ends past its expiry", id)
+	id := c.statementID
+	c.statementID = ""
+	expected := env.oracles[id]
+	expected.answered, expected.code = true, e.Code
+	env.codes[e.Code]++
+	env.logf("session %d: %s kind %d ends %d state %d %s", e.Session, id, expected.kind, e.Code, e.State, e.Text)
+	if expected.route.TimeoutUs > 0 && env.now > expected.at+expected.route.TimeoutUs+1 && expected.tx == "" {
+		env.fatal("%s ends past its expiry", id)
 	}
 	was := c.state
 	c.state = e.State
-	if e.Code == ports.Done && c.pend != nil {
-		c.pend()
+	if e.Code == ports.Done && c.onDone != nil {
+		c.onDone()
 	}
-	wrote := tr.kind == ports.Write || tr.kind == ports.Run && tr.shape.writes
-	if tr.tx == "" && wrote || tr.kind == ports.Commit {
+	wrote := expected.kind == ports.Write || expected.kind == ports.Execute && expected.shape.writes
+	if expected.tx == "" && wrote || expected.kind == ports.Commit {
 		ids := c.writes
 		c.writes = nil
 		for _, x := range ids {
-			switch ran := w.tr[x].ran; {
+			switch ran := env.oracles[x].ran; {
 			case e.Code == ports.Done && ran != 1:
-				w.fatal("%s is told done and took effect %d times", x, ran)
-			case e.Code.Promise() && ran != 0:
-				w.fatal("%s is told that nothing is kept, and it is", x)
-			case e.Code.Promise():
-				w.tr[x].void = true
+				env.fatal("%s is told done and took effect %d times", x, ran)
+			case e.Code.NoEffect() && ran != 0:
+				env.fatal("%s is told that nothing is kept, and it is", x)
+			case e.Code.NoEffect():
+				env.oracles[x].nothingCommitted = true
 			}
 		}
 		if e.Code == ports.Done && len(ids) > 0 {
-			pos := w.posOf(ids[0])
-			w.acked(pos)
+			pos := env.posOf(ids[0])
+			env.recordAcknowledged(pos)
 			if c.floor.Before(pos) {
 				c.floor = pos
 			}
 		}
 	}
-	if tr.tx != "" && tr.kind != ports.Commit && tr.kind != ports.Rollback && e.Code != ports.Done {
-		if e.State != ports.Broken {
-			w.fatal("%s failed inside a transaction and the state is %d", id, e.State)
+	if expected.tx != "" && expected.kind != ports.Commit && expected.kind != ports.Rollback && e.Code != ports.Done {
+		if e.State != ports.TransactionFailed {
+			env.fatal("%s failed inside a transaction and the state is %d", id, e.State)
 		}
-		if e.Code.Promise() {
+		if e.Code.NoEffect() {
 			for _, x := range c.writes {
-				w.tr[x].void = true
+				env.oracles[x].nothingCommitted = true
 			}
 		}
 	}
-	if e.State == ports.Idle && tr.tx != "" {
+	if e.State == ports.Idle && expected.tx != "" {
 		c.tx, c.writes = "", nil
 	}
-	if tr.tx == "" && e.State != ports.Idle && tr.kind != ports.Begin && tr.kind != ports.BeginRead || was == ports.Broken && e.Code == ports.Done && e.State != ports.Idle {
-		w.fatal("%s leaves state %d behind %d", id, e.State, was)
+	if expected.tx == "" && e.State != ports.Idle && expected.kind != ports.Begin && expected.kind != ports.BeginRead || was == ports.TransactionFailed && e.Code == ports.Done && e.State != ports.Idle {
+		env.fatal("%s leaves state %d behind %d", id, e.State, was)
 	}
-	if tr.tx == "" {
+	if expected.tx == "" {
 		if wrote {
 			c.writes = nil
 		}
@@ -207,81 +207,81 @@
 	again()
 }
 
-func (w *world) posOf(id string) ports.Position {
-	for _, d := range w.dbs {
-		for i := len(d.log) - 1; i >= 0; i-- {
-			for _, x := range d.log[i].ids {
+func (env *environment) posOf(id string) ports.Position {
+	for _, db := range env.dbs {
+		for i := len(db.log) - 1; i >= 0; i-- {
+			for _, x := range db.log[i].ids {
 				if x == id {
-					return d.log[i].pos
+					return db.log[i].position
 				}
 			}
 		}
 	}
-	w.fatal("%s was told done and stands in no log", id)
+	env.fatal("%s was told done and stands in no log", id)
 	return ports.Position{}
 }
 
 // start brings a world up.
-func (w *world) start(callers int) {
-	w.step(View{Table: &ports.RoutingTable{Revision: 1, Routes: w.routes, Groups: []ports.Group{{Name: "g", ConnLimit: 65, Sync: 1}}, Limits: ports.Limits{TxIdleUs: 3_000_000}}})
-	w.look()
-	w.after(50_000, func() {
-		w.looks()
-		if !w.p.alone {
-			w.others()
+func (env *environment) start(callers int) {
+	env.step(Update{Table: &ports.RoutingTable{Revision: 1, Routes: env.routes, Groups: []ports.Group{{Name: "g", ConnectionLimit: 65, RequiredReplicaAcks: 1}}, Limits: ports.Limits{TransactionIdleTimeoutUs: 3_000_000}}})
+	env.renewLease()
+	env.after(50_000, func() {
+		env.renewLeasePeriodically()
+		if !env.faults.onlyThisNode {
+			env.commitOfOtherNodes()
 		}
 	})
 	for range callers {
-		w.after(w.between(60_000, 400_000), w.open)
+		env.after(env.between(60_000, 400_000), env.open)
 	}
-	w.after(1_000_000, func() { w.refill(callers) })
+	env.after(1_000_000, func() { env.refill(callers) })
 }
 
-func (w *world) refill(n int) {
-	if w.stopAt == 0 {
-		for range n - len(w.byID) {
-			w.open()
+func (env *environment) refill(n int) {
+	if env.stopAt == 0 {
+		for range n - len(env.clients) {
+			env.open()
 		}
 	}
-	w.after(200_000, func() { w.refill(n) })
+	env.after(200_000, func() { env.refill(n) })
 }
 
-// trouble plays what the plan allows.
-func (w *world) trouble() {
-	w.after(w.between(200_000, 1_500_000), w.trouble)
+// injectFaults plays what the plan allows.
+func (env *environment) injectFaults() {
+	env.after(env.between(200_000, 1_500_000), env.injectFaults)
 	var can []func()
 	add := func(yes bool, f func()) {
 		if yes {
 			can = append(can, f)
 		}
 	}
-	add(w.p.crash, func() { w.dbs[w.r.IntN(3)].crash() })
-	add(w.p.changes, func() {
-		for _, d := range w.dbs {
-			if !d.alive {
+	add(env.faults.crash, func() { env.dbs[env.rand.IntN(3)].crash() })
+	add(env.faults.primaryChanges, func() {
+		for _, db := range env.dbs {
+			if !db.alive {
 				return
 			}
 		}
-		w.change(false)
+		env.changePrimary(false)
 	})
-	add(w.p.cut, func() {
-		d := w.dbs[w.r.IntN(3)]
-		for _, c := range sorted(d.conns) {
-			if w.odds(2) {
-				c.cutNow()
+	add(env.faults.cutConnections, func() {
+		db := env.dbs[env.rand.IntN(3)]
+		for _, c := range sorted(db.conns) {
+			if env.odds(2) {
+				c.disconnect()
 			}
 		}
 	})
-	add(w.p.cutOff, func() {
-		w.cut = true
-		w.after(w.between(100_000, 1_200_000), func() { w.cut = false })
+	add(env.faults.partitioned, func() {
+		env.partitioned = true
+		env.after(env.between(100_000, 1_200_000), func() { env.partitioned = false })
 	})
-	add(w.p.leave, func() {
-		d := w.dbs[w.r.IntN(3)]
-		d.leaving, d.call = !d.leaving, d.call+1
+	add(env.faults.drain, func() {
+		db := env.dbs[env.rand.IntN(3)]
+		db.draining, db.call = !db.draining, db.call+1
 	})
-	add(true, func() { d := w.dbs[w.r.IntN(3)]; d.lag = w.between(1_000, 1_500_000) })
-	can[w.r.IntN(len(can))]()
+	add(true, func() { db := env.dbs[env.rand.IntN(3)]; db.lag = env.between(1_000, 1_500_000) })
+	can[env.rand.IntN(len(can))]()
 }
 
 func sorted(m map[uint64]*fakeConn) (l []*fakeConn) {
@@ -296,22 +296,22 @@
 	return l
 }
 
-// TestWorlds drives random callers against databases that fail in every way
+// TestEnvironments drives random callers against databases that fail in every way
 // there is, and holds what callers are told to what the databases did.
-func TestWorlds(t *testing.T) {
+func TestEnvironments(t *testing.T) {
 	plans := []struct {
 		name string
-		p    plan
+		p    faultPlan
 	}{
-		{"quiet", plan{forgets: true, brokenBegin: true}},
-		{"alone", plan{alone: true, brokenBegin: true}},
-		{"busy", plan{busy: true, brokenBegin: true}},
-		{"lost", plan{lose: true, cut: true, silent: true, brokenBegin: true}},
-		{"crash", plan{crash: true, brokenBegin: true}},
-		{"changes", plan{changes: true, brokenBegin: true}},
-		{"cut off", plan{changes: true, cutOff: true, brokenBegin: true}},
-		{"all", plan{busy: true, lose: true, cut: true, silent: true, crash: true, changes: true, leave: true, cutOff: true, brokenBegin: true}},
-		{"all, apart", plan{busy: true, lose: true, cut: true, silent: true, crash: true, changes: true, leave: true, cutOff: true, apart: true}},
+		{"quiet", faultPlan{rollbackRestoresValues: true, brokenBegin: true}},
+		{"alone", faultPlan{onlyThisNode: true, brokenBegin: true}},
+		{"busy", faultPlan{busy: true, brokenBegin: true}},
+		{"lost", faultPlan{loseAnswers: true, cutConnections: true, unresponsive: true, brokenBegin: true}},
+		{"crash", faultPlan{crash: true, brokenBegin: true}},
+		{"changes", faultPlan{primaryChanges: true, brokenBegin: true}},
+		{"cut off", faultPlan{primaryChanges: true, partitioned: true, brokenBegin: true}},
+		{"all", faultPlan{busy: true, loseAnswers: true, cutConnections: true, unresponsive: true, crash: true, primaryChanges: true, drain: true, partitioned: true, brokenBegin: true}},
+		{"all, apart", faultPlan{busy: true, loseAnswers: true, cutConnections: true, unresponsive: true, crash: true, primaryChanges: true, drain: true, partitioned: true, separateBegin: true}},
 	}
 	seeds := uint64(20)
 	if testing.Short() {
@@ -322,14 +322,14 @@
 			total := map[ports.Code]int{}
 			follow := 0
 			for seed := range seeds {
-				w := newWorld(t, seed, p.p)
-				w.start(25)
-				w.after(600_000, w.trouble)
-				w.runUntil(7_000_000)
-				for c, n := range w.codes {
+				env := newEnvironment(t, seed, p.p)
+				env.start(25)
+				env.after(600_000, env.injectFaults)
+				env.runUntil(7_000_000)
+				for c, n := range env.codes {
 					total[c] += n
 				}
-				follow += w.follow
+				follow += env.replicaReads
 			}
 			if total[ports.Done] == 0 || follow == 0 {
 				t.Fatalf("ended %v, %d at followers", total, follow)
--- a/sessiontable/commits.go
+++ b/sessiontable/commits.go
@@ -6,69 +6,69 @@
 
 // certainty of a commit that a database answered.
 const (
-	certain   = iota // its primary is surely the only one now
-	uncertain        // that is not known now, and may be in a moment
-	doubtful         // it is being replaced, or was
+	primaryConfirmed   = iota // its primary is surely the only one now
+	primaryUnconfirmed        // that is not known now, and may be in a moment
+	primaryReplaced           // it is being replaced, or was
 )
 
-// confirm ends a commit that its database answered. It is acknowledged only
+// confirmCommit ends a commit that its database answered. It is acknowledged only
 // while the database surely leads: nobody else is promoted before every node's
 // lease has run out or the node has confirmed the change, so nothing is
 // acknowledged after another was (design 14.7).
-func (t *Table) confirm(a *request, u *unsure) {
-	g, p := a.g, u.position
-	switch t.certainty(g, u.led, u.by) {
-	case uncertain:
-		a.unsure = u
-		g.unsure = append(g.unsure, a)
-		t.arm(&a.due, u.until)
-		t.lookNow()
+func (t *Table) confirmCommit(req *request, commit *unconfirmedCommit) {
+	group, p := req.group, commit.position
+	switch t.commitCertainty(group, commit.primaryTerm, commit.primary) {
+	case primaryUnconfirmed:
+		req.unconfirmed = commit
+		group.unconfirmed = append(group.unconfirmed, req)
+		t.arm(&req.timer, commit.untilUs)
+		t.requestLease()
 		return
-	case doubtful:
-		t.end(a, ports.Reply{Code: ports.InDoubt, Text: "the primary was being replaced"})
+	case primaryReplaced:
+		t.finish(req, ports.Reply{Code: ports.InDoubt, Text: "the primary was being replaced"})
 		return
 	}
-	if a.s.floorOf != g {
-		a.s.floor, a.s.floorOf = ports.Position{}, g
+	if req.session.lastCommitGroup != group {
+		req.session.lastCommit, req.session.lastCommitGroup = ports.Position{}, group
 	}
-	if a.s.floor.Before(p) {
-		a.s.floor = p
+	if req.session.lastCommit.Before(p) {
+		req.session.lastCommit = p
 	}
-	if g.acked.Before(p) {
-		g.acked = p
+	if group.acknowledged.Before(p) {
+		group.acknowledged = p
 	}
-	t.end(a, u.reply)
+	t.finish(req, commit.reply)
 }
 
-func (t *Table) certainty(g *group, led uint64, by string) int {
+func (t *Table) commitCertainty(group *databaseGroup, led uint64, by string) int {
 	switch {
-	case led == 0 || !g.has || g.view.Term != led || g.view.Primary != by,
-		g.view.Phase != ports.PhaseOpen && g.view.Phase != ports.PhaseClosing:
-		return doubtful
-	case g.view.Doubt, t.now >= g.sure:
-		return uncertain
+	case led == 0 || !group.known || group.state.Term != led || group.state.Primary != by,
+		group.state.Phase != ports.PhaseServing && group.state.Phase != ports.PhaseDraining:
+		return primaryReplaced
+	case group.state.Unconfirmed, t.now >= group.confirmedUntil:
+		return primaryUnconfirmed
 	}
-	return certain
+	return primaryConfirmed
 }
 
-// unsure is a commit whose database answered, and that waits for the lease.
-type unsure struct {
-	led      uint64
-	by       string
-	position ports.Position
-	reply    ports.Reply
-	until    int64
+// unconfirmedCommit is a commit whose database answered, and that waits for the lease.
+type unconfirmedCommit struct {
+	primaryTerm uint64
+	primary     string
+	position    ports.Position
+	reply       ports.Reply
+	untilUs     int64
 }
 
-// confirmAgain goes through the commits of a group that wait for certainty.
-func (t *Table) confirmAgain(g *group) {
-	as := g.unsure
-	g.unsure = nil
-	for _, a := range as {
-		if u := a.unsure; u != nil {
-			a.unsure = nil
-			t.disarm(&a.due)
-			t.confirm(a, u)
+// retryConfirmations goes through the commits of a group that wait for certainty.
+func (t *Table) retryConfirmations(group *databaseGroup) {
+	requests := group.unconfirmed
+	group.unconfirmed = nil
+	for _, req := range requests {
+		if commit := req.unconfirmed; commit != nil {
+			req.unconfirmed = nil
+			t.disarm(&req.timer)
+			t.confirmCommit(req, commit)
 		}
 	}
 }
--- a/sessiontable/connections.go
+++ b/sessiontable/connections.go
@@ -9,182 +9,182 @@
 
 // What an op in a connection's list of those without an end is.
 const (
-	ownOp  = iota
-	ownEnd // the node's own rollback
+	nodeOp       = iota
+	nodeRollback // the node's own rollback
 	beginOp
-	mainOp
+	statementOp
 )
 
-// pending is one op that was sent and has no end yet.
-type pending struct {
-	what int
-	a    *request // of beginOp and mainOp
+// pendingOp is one op that was sent and has no end yet.
+type pendingOp struct {
+	kind    int
+	request *request // of beginOp and statementOp
 }
 
-// conn is one connection to a database.
-type conn struct {
-	id       uint64
-	in       *instance
-	up       bool
-	vals     *values
-	prepared map[*shape]bool
-	stale    bool     // what stands on it is not known for sure: reset it first
-	doubt    bool     // to be closed as soon as nothing runs on it
-	last     bool     // its instance leads no more: closed after what runs
-	request  *request // that runs on it
-	slot     bool     // a statement on it has no end yet
-	stuck    bool     // and has taken too long
-	tx       *tx      // it belongs to
-	pend     []pending
-	state    ports.State
-	sentUs   int64
-	led      uint64 // the view's term it was sent under, 0 at a follower
-	beginBad *ports.Answer
-	due      timer
-	seen     bool // in Table.touched
+// connection is one connection to a database.
+type connection struct {
+	id                  uint64
+	database            *database
+	up                  bool
+	values              *values
+	prepared            map[*preparedShape]bool
+	stale               bool         // what stands on it is not known for sure: reset it first
+	closeWhenIdle       bool         // to be closed as soon as nothing runs on it
+	closeAfterStatement bool         // its instance leads no more: closed after what runs
+	request             *request     // that runs on it
+	usesSlot            bool         // a statement on it has no end yet
+	stuck               bool         // and has taken too long
+	tx                  *transaction // it belongs to
+	pending             []pendingOp
+	state               ports.TransactionState
+	sentUs              int64
+	primaryTerm         uint64 // the view's term it was sent under, 0 at a follower
+	beginFailure        *ports.Response
+	timer               timer
+	touched             bool // in Table.touched
 }
 
-func (t *Table) touch(c *conn) {
-	if !c.seen {
-		c.seen = true
-		t.touched = append(t.touched, c)
+func (t *Table) touch(conn *connection) {
+	if !conn.touched {
+		conn.touched = true
+		t.touchedConnections = append(t.touchedConnections, conn)
 	}
 }
 
-// most is the number of connections to an instance that this node may hold
+// connectionLimit is the number of connections to an instance that this node may hold
 // (design 14.11).
-func (t *Table) most(in *instance) int {
-	if in.g.conf.ConnLimit == 0 {
+func (t *Table) connectionLimit(db *database) int {
+	if db.group.config.ConnectionLimit == 0 {
 		return 1
 	}
-	return max(1, int(t.share(in)))
+	return max(1, int(t.connectionQuota(db)))
 }
 
-// share is this node's part of an instance's limit of connections, which is
+// connectionQuota is this node's part of an instance's limit of connections, which is
 // below 1 where there are more nodes than connections.
-func (t *Table) share(in *instance) float64 {
-	return float64(in.g.conf.ConnLimit-t.o.Spare) / float64(max(t.nodes, 1))
+func (t *Table) connectionQuota(db *database) float64 {
+	return float64(db.group.config.ConnectionLimit-t.options.ReservedConnections) / float64(max(t.nodes, 1))
 }
 
-// keepFor is how long an idle connection is kept. Where there is less than one
+// idleTimeout is how long an idle connection is kept. Where there is less than one
 // for each node, so short that all nodes together, each at its usual rate of
 // use, hold no more than most of the limit (design 14.11).
-func (t *Table) keepFor(in *instance) int64 {
-	s := t.share(in)
-	if s >= 1 || in.g.conf.ConnLimit == 0 {
-		return t.o.IdleUs
+func (t *Table) idleTimeout(db *database) int64 {
+	s := t.connectionQuota(db)
+	if s >= 1 || db.group.config.ConnectionLimit == 0 {
+		return t.options.IdleConnectionUs
 	}
-	us := s * crowdedShare / max(in.useRate, leastRate) * 1e6
-	return int64(min(max(us, 20_000), float64(t.o.IdleUs)))
+	us := s * crowdedQuota / max(db.useRate, minUseRate) * 1e6
+	return int64(min(max(us, 20_000), float64(t.options.IdleConnectionUs)))
 }
 
-// used feeds an instance's rate of use.
-func (t *Table) used(in *instance) {
-	dt := float64(t.now-in.usedUs) / rateOverUs
-	if in.usedUs == 0 {
-		in.useRate = firstRate
+// recordUse feeds an instance's rate of use.
+func (t *Table) recordUse(db *database) {
+	dt := float64(t.now-db.lastUseUs) / useRateWindowUs
+	if db.lastUseUs == 0 {
+		db.useRate = initialUseRate
 	} else {
-		in.useRate = in.useRate*math.Exp(-dt) + 1e6/rateOverUs
+		db.useRate = db.useRate*math.Exp(-dt) + 1e6/useRateWindowUs
 	}
-	in.usedUs = t.now
+	db.lastUseUs = t.now
 }
 
 // What a node whose share is below one connection reckons with.
 const (
-	crowdedShare = 0.6
-	rateOverUs   = 10e6 // the rate of use is an average over this
-	firstRate    = 0.4  // uses a second before any is known
-	leastRate    = 0.05
-	crowdedAgain = 25_000 // and it tries again after about this
+	crowdedQuota    = 0.6
+	useRateWindowUs = 10e6 // the rate of use is an average over this
+	initialUseRate  = 0.4  // uses a second before any is known
+	minUseRate      = 0.05
+	crowdedRetryUs  = 25_000 // and it tries again after about this
 )
 
-// openMore opens connections for a line, unless one in use will surely do.
-func (t *Table) openMore(in *instance, a *request) {
+// openConnections opens connections for a line, unless one in use will surely do.
+func (t *Table) openConnections(db *database, req *request) {
 	// More than the statements that may run at once are of no use.
-	n := len(in.conns) - in.txs
-	want := min(in.line.len()-in.opening, max(1, int(in.slots))-n, t.most(in)-len(in.conns))
-	if want <= 0 || in.wrong {
+	n := len(db.connections) - db.openTransactions
+	want := min(db.queue.len()-db.opening, max(1, int(db.slots))-n, t.connectionLimit(db)-len(db.connections))
+	if want <= 0 || db.wrongIdentity {
 		return
 	}
-	if t.now < in.backoff {
-		t.wakeAt(in, in.backoff)
+	if t.now < db.backoffUntil {
+		t.wakeAt(db, db.backoffUntil)
 		return
 	}
-	if n > 0 && in.opening == 0 && t.now < a.atUs+t.o.OpenUs {
-		t.wakeAt(in, a.atUs+t.o.OpenUs)
+	if n > 0 && db.opening == 0 && t.now < req.arrivedUs+t.options.OpenDelayUs {
+		t.wakeAt(db, req.arrivedUs+t.options.OpenDelayUs)
 		return
 	}
 	for range min(want, 4) {
-		t.connect(in)
+		t.connect(db)
 	}
 }
 
-func (t *Table) connect(in *instance) {
-	t.nextID++
-	c := &conn{id: t.nextID, in: in, vals: noValues}
-	c.due.owner = c
-	t.conns[c.id] = c
-	in.conns = append(in.conns, c)
-	in.opening++
+func (t *Table) connect(db *database) {
+	t.lastConnection++
+	conn := &connection{id: t.lastConnection, database: db, values: noValues}
+	conn.timer.owner = conn
+	t.connections[conn.id] = conn
+	db.connections = append(db.connections, conn)
+	db.opening++
 	t.counts.Connects++
-	t.emit(Connect{Conn: c.id, Address: in.Address, Group: in.Group, ID: in.ID, WaitUs: t.o.ConnectUs})
+	t.emit(Connect{Conn: conn.id, Address: db.Address, Group: db.Group, ID: db.ID, WaitUs: t.options.ConnectTimeoutUs})
 }
 
-func (t *Table) connected(e Connected) {
-	c := t.conns[e.Conn]
-	if c == nil || c.up {
+func (t *Table) connectEnded(e ConnectEnded) {
+	conn := t.connections[e.Conn]
+	if conn == nil || conn.up {
 		return
 	}
-	in := c.in
+	db := conn.database
 	if e.Err == "" && e.Code == ports.Done {
-		in.opening--
-		c.up = true
-		in.backUs, in.backoff = 0, 0
-		t.works(in)
-		t.noteLevel(in, e.Position)
-		t.free(c)
+		db.opening--
+		conn.up = true
+		db.backUs, db.backoffUntil = 0, 0
+		t.markWorking(db)
+		t.recordPosition(db, e.Position)
+		t.recycle(conn)
 		return
 	}
-	t.remove(c)
-	if crowded := t.share(in) < 1; crowded && (e.Code == ports.TooMany || e.Cut && !e.NotThere) {
+	t.remove(conn)
+	if crowded := t.connectionQuota(db) < 1; crowded && (e.Code == ports.TooManyConnections || e.Disconnected && !e.ConnectionRefused) {
 		// Its turn comes once another node has closed one.
-		in.backoff = t.now + crowdedAgain + t.r.Int64N(crowdedAgain)
-		t.wakeAt(in, in.backoff)
+		db.backoffUntil = t.now + crowdedRetryUs + t.rand.Int64N(crowdedRetryUs)
+		t.wakeAt(db, db.backoffUntil)
 		return
-	} else if e.Code == ports.TooMany {
-		in.backoff = t.now + 300_000
+	} else if e.Code == ports.TooManyConnections {
+		db.backoffUntil = t.now + 300_000
 	} else {
-		in.backUs = min(max(in.backUs*2, 50_000), 1_000_000)
-		in.backoff = t.now + in.backUs
+		db.backUs = min(max(db.backUs*2, 50_000), 1_000_000)
+		db.backoffUntil = t.now + db.backUs
 	}
 	switch {
 	case e.Code == ports.WrongInstance:
-		in.wrong = true
-		t.fails(in, t.now, true)
-	case e.Code == ports.Done || e.NotThere:
-		t.fails(in, t.now, e.NotThere)
+		db.wrongIdentity = true
+		t.markFailing(db, t.now, true)
+	case e.Code == ports.Done || e.ConnectionRefused:
+		t.markFailing(db, t.now, e.ConnectionRefused)
 	}
-	if in.failing > 0 || in.line.len() > 0 {
-		t.wakeAt(in, in.backoff)
+	if db.failingSince > 0 || db.queue.len() > 0 {
+		t.wakeAt(db, db.backoffUntil)
 	}
 }
 
-// pick takes the idle connection that needs the least to be set: the one used
+// takeIdle takes the idle connection that needs the least to be set: the one used
 // last among equals, so that the others can grow old and be closed.
-func (t *Table) pick(in *instance, a *request) *conn {
+func (t *Table) takeIdle(db *database, req *request) *connection {
 	best, score := -1, -1
-	for i := len(in.idle) - 1; i >= 0; i-- {
-		c, n := in.idle[i], 0
+	for i := len(db.idle) - 1; i >= 0; i-- {
+		conn, n := db.idle[i], 0
 		switch {
-		case c.stale:
-		case c.vals == a.s.vals || c.vals.key == a.s.vals.key:
+		case conn.stale:
+		case conn.values == req.session.values || conn.values.key == req.session.values.key:
 			n = 4
-			if a.shape == nil || c.prepared[a.shape] {
+			if req.shape == nil || conn.prepared[req.shape] {
 				n = 6
 			}
-		case c.vals.within(a.s.vals):
+		case conn.values.reachable(req.session.values):
 			n = 2
-			if a.shape != nil && c.prepared[a.shape] {
+			if req.shape != nil && conn.prepared[req.shape] {
 				n = 3
 			}
 		}
@@ -198,104 +198,104 @@
 	if best < 0 {
 		return nil
 	}
-	c := in.idle[best]
-	in.idle = slices.Delete(in.idle, best, best+1)
-	t.disarm(&c.due)
-	return c
+	conn := db.idle[best]
+	db.idle = slices.Delete(db.idle, best, best+1)
+	t.disarm(&conn.timer)
+	return conn
 }
 
 // release parts a transaction from its connection; the database is told to roll
 // back unless it is known to have ended it.
-func (t *Table) release(x *tx) {
-	c := x.conn
-	if c == nil {
+func (t *Table) release(tx *transaction) {
+	conn := tx.connection
+	if conn == nil {
 		return
 	}
-	x.conn, c.tx = nil, nil
-	c.in.txs--
-	t.quieter(c.in)
+	tx.connection, conn.tx = nil, nil
+	conn.database.openTransactions--
+	t.reportIfQuiescent(conn.database)
 	switch {
-	case len(c.pend) > 0, c.doubt, c.last:
-		t.drop(c)
-	case c.state == ports.Idle:
-		t.free(c)
+	case len(conn.pending) > 0, conn.closeWhenIdle, conn.closeAfterStatement:
+		t.closeConnection(conn)
+	case conn.state == ports.Idle:
+		t.recycle(conn)
 	default:
-		c.pend = append(c.pend, pending{what: ownEnd})
-		t.emit(Send{Conn: c.id, Ops: []ports.Op{{Own: true, St: ports.Statement{Kind: ports.Rollback}}}})
-		t.arm(&c.due, t.now+t.o.OrphanUs)
-		t.touch(c)
+		conn.pending = append(conn.pending, pendingOp{kind: nodeRollback})
+		t.emit(Send{Conn: conn.id, Ops: []ports.Op{{Internal: true, Statement: ports.Statement{Kind: ports.Rollback}}}})
+		t.arm(&conn.timer, t.now+t.options.AbandonedTimeoutUs)
+		t.touch(conn)
 	}
 }
 
-// free makes a connection ready for the next, or closes it.
-func (t *Table) free(c *conn) {
-	in := c.in
-	t.touch(c)
-	if c.doubt || c.last || c.state != ports.Idle || len(c.pend) > 0 || in.out || len(in.conns) > t.most(in) ||
-		in.Leaving && t.primary(in.g) != in && in.line.len() == 0 {
-		t.drop(c)
+// recycle makes a connection ready for the next, or closes it.
+func (t *Table) recycle(conn *connection) {
+	db := conn.database
+	t.touch(conn)
+	if conn.closeWhenIdle || conn.closeAfterStatement || conn.state != ports.Idle || len(conn.pending) > 0 || db.removed || len(db.connections) > t.connectionLimit(db) ||
+		db.Draining && t.primary(db.group) != db && db.queue.len() == 0 {
+		t.closeConnection(conn)
 		return
 	}
-	in.idle = append(in.idle, c)
-	t.arm(&c.due, t.now+t.keepFor(in))
-	in.dirtyIn(t)
+	db.idle = append(db.idle, conn)
+	t.arm(&conn.timer, t.now+t.idleTimeout(db))
+	db.markChanged(t)
 }
 
 // remove forgets a connection and hands back the request that ran on it; its
 // transaction can never commit.
-func (t *Table) remove(c *conn) *request {
-	in := c.in
-	var w *request // of its transaction, still waiting for its turn
-	if x := c.tx; x != nil && x.s.request != nil && x.s.request.place != 0 {
-		w = x.s.request
-		t.unplace(w)
+func (t *Table) remove(conn *connection) *request {
+	db := conn.database
+	var waiting *request // of its transaction, still waiting for its turn
+	if tx := conn.tx; tx != nil && tx.session.request != nil && tx.session.request.queueIndex != 0 {
+		waiting = tx.session.request
+		t.dequeue(waiting)
 	}
-	delete(t.conns, c.id)
-	if i := slices.Index(in.conns, c); i >= 0 {
-		in.conns = slices.Delete(in.conns, i, i+1)
+	delete(t.connections, conn.id)
+	if i := slices.Index(db.connections, conn); i >= 0 {
+		db.connections = slices.Delete(db.connections, i, i+1)
 	}
-	if i := slices.Index(in.idle, c); i >= 0 {
-		in.idle = slices.Delete(in.idle, i, i+1)
+	if i := slices.Index(db.idle, conn); i >= 0 {
+		db.idle = slices.Delete(db.idle, i, i+1)
 	}
-	if !c.up {
-		in.opening--
+	if !conn.up {
+		db.opening--
 	}
-	t.disarm(&c.due)
-	t.unslot(c)
-	if x := c.tx; x != nil {
-		x.conn, c.tx = nil, nil
-		x.over = true
-		in.txs--
+	t.disarm(&conn.timer)
+	t.releaseSlot(conn)
+	if tx := conn.tx; tx != nil {
+		tx.connection, conn.tx = nil, nil
+		tx.ended = true
+		db.openTransactions--
 	}
-	a := c.request
-	if a != nil {
-		c.request, a.conn, a.in = nil, nil, nil
+	req := conn.request
+	if req != nil {
+		conn.request, req.connection, req.database = nil, nil, nil
 	}
-	t.quieter(in)
-	in.dirtyIn(t)
-	if w != nil {
-		t.end(w, ports.Reply{Code: ports.RolledBack, Text: "the transaction was ended"})
+	t.reportIfQuiescent(db)
+	db.markChanged(t)
+	if waiting != nil {
+		t.finish(waiting, ports.Reply{Code: ports.RolledBack, Text: "the transaction was ended"})
 	}
-	return a
+	return req
 }
 
-func (t *Table) unslot(c *conn) {
-	if c.slot {
-		c.slot = false
-		c.in.running--
-		if c.stuck {
-			c.stuck = false
-			c.in.stuck--
+func (t *Table) releaseSlot(conn *connection) {
+	if conn.usesSlot {
+		conn.usesSlot = false
+		conn.database.running--
+		if conn.stuck {
+			conn.stuck = false
+			conn.database.stuck--
 		}
 		t.running--
 	}
 }
 
-// drop closes a connection; what ran on it ends as broken off.
-func (t *Table) drop(c *conn) {
-	if t.conns[c.id] != c {
+// closeConnection closes a connection; what ran on it ends as broken off.
+func (t *Table) closeConnection(conn *connection) {
+	if t.connections[conn.id] != conn {
 		return
 	}
-	t.emit(Close{Conn: c.id})
-	t.brokenOff(c, t.remove(c))
+	t.emit(CloseConnection{Conn: conn.id})
+	t.requestInterrupted(conn, t.remove(conn))
 }
--- a/sessiontable/dispatch.go
+++ b/sessiontable/dispatch.go
@@ -8,136 +8,136 @@
 )
 
 // dispatch starts what it can of an instance's line.
-func (t *Table) dispatch(in *instance) {
-	if t.drained(in) {
-		t.replaceLine(in, func(a *request) bool { return !a.goesOn() })
+func (t *Table) dispatch(db *database) {
+	if t.drained(db) {
+		t.requeue(db, func(req *request) bool { return !req.hasConnection() })
 	}
-	for in.line.len() > 0 && !in.out {
-		if in.failing > 0 {
-			t.scatter(in)
-			t.probe(in)
+	for db.queue.len() > 0 && !db.removed {
+		if db.failingSince > 0 {
+			t.moveReads(db)
+			t.checkHealth(db)
 			return
 		}
-		if in.running-in.stuck >= max(1, int(in.slots)) {
+		if db.running-db.stuck >= max(1, int(db.slots)) {
 			return
 		}
-		if t.now < in.pause {
-			t.wakeAt(in, in.pause)
+		if t.now < db.busyUntil {
+			t.wakeAt(db, db.busyUntil)
 			return
 		}
-		a := in.line.top()
-		var c *conn
-		if a.goesOn() {
-			c = a.tx.conn
-		} else if c = t.pick(in, a); c == nil {
-			t.openMore(in, a)
+		req := db.queue.top()
+		var conn *connection
+		if req.hasConnection() {
+			conn = req.tx.connection
+		} else if conn = t.takeIdle(db, req); conn == nil {
+			t.openConnections(db, req)
 			return
 		}
-		t.unplace(a)
-		t.send(a, c)
+		t.dequeue(req)
+		t.send(req, conn)
 	}
 }
 
-func (t *Table) wakeAt(in *instance, at int64) {
-	if in.wake.place == 0 || in.wake.at > at {
-		t.arm(&in.wake, at)
+func (t *Table) wakeAt(db *database, at int64) {
+	if db.wakeTimer.index == 0 || db.wakeTimer.at > at {
+		t.arm(&db.wakeTimer, at)
 	}
 }
 
 // send sends a request over a connection, with what has to stand there first, in
 // one write.
-func (t *Table) send(a *request, c *conn) {
-	s, x, in := a.s, a.tx, c.in
-	begun := x != nil && x.begun
+func (t *Table) send(req *request, conn *connection) {
+	session, tx, db := req.session, req.tx, conn.database
+	begun := tx != nil && tx.begun
 	ops := make([]ports.Op, 0, 4)
-	own := func(st ports.Statement) {
-		ops = append(ops, ports.Op{Own: true, St: st})
-		c.pend = append(c.pend, pending{what: ownOp})
+	own := func(statement ports.Statement) {
+		ops = append(ops, ports.Op{Internal: true, Statement: statement})
+		conn.pending = append(conn.pending, pendingOp{kind: nodeOp})
 	}
-	if !begun && (c.stale || !c.vals.within(s.vals) || a.shape != nil && len(c.prepared) >= t.o.Prepared && !c.prepared[a.shape]) {
+	if !begun && (conn.stale || !conn.values.reachable(session.values) || req.shape != nil && len(conn.prepared) >= t.options.MaxPrepared && !conn.prepared[req.shape]) {
 		own(ports.Statement{Kind: ports.Reset})
-		c.vals, c.stale = noValues, false
-		clear(c.prepared)
+		conn.values, conn.stale = noValues, false
+		clear(conn.prepared)
 		t.counts.Resets++
 	}
-	if c.vals != s.vals {
-		if c.vals.key != s.vals.key {
-			for _, n := range slices.Sorted(maps.Keys(s.vals.m)) {
-				if v, ok := c.vals.m[n]; !ok || v != s.vals.m[n] {
-					own(ports.Statement{Kind: ports.SetValue, Name: n, Text: s.vals.m[n]})
-					c.stale = c.stale || begun
+	if conn.values != session.values {
+		if conn.values.key != session.values.key {
+			for _, n := range slices.Sorted(maps.Keys(session.values.byName)) {
+				if v, ok := conn.values.byName[n]; !ok || v != session.values.byName[n] {
+					own(ports.Statement{Kind: ports.SetValue, Name: n, Text: session.values.byName[n]})
+					conn.stale = conn.stale || begun
 				}
 			}
 		}
-		c.vals = s.vals
+		conn.values = session.values
 	}
-	if p := a.shape; p != nil && !c.prepared[p] {
-		own(ports.Statement{Kind: ports.Prepare, Name: p.name, Text: p.text, Writes: p.writes})
-		if c.prepared == nil {
-			c.prepared = map[*shape]bool{}
+	if shape := req.shape; shape != nil && !conn.prepared[shape] {
+		own(ports.Statement{Kind: ports.Prepare, Name: shape.name, Text: shape.text, Writes: shape.writes})
+		if conn.prepared == nil {
+			conn.prepared = map[*preparedShape]bool{}
 		}
-		c.prepared[p] = true
-		c.stale = c.stale || begun
+		conn.prepared[shape] = true
+		conn.stale = conn.stale || begun
 	}
 	alone := false
-	op := ports.Op{St: a.st}
-	if x != nil && !begun {
-		x.conn, x.begun, c.tx = c, true, x
-		in.txs++
-		b := ports.Op{St: x.begin}
-		if x.readOnly {
-			b.After = a.need
+	op := ports.Op{Statement: req.statement}
+	if tx != nil && !begun {
+		tx.connection, tx.begun, conn.tx = conn, true, tx
+		db.openTransactions++
+		b := ports.Op{Statement: tx.begin}
+		if tx.readOnly {
+			b.After = req.needPosition
 		}
 		ops = append(ops, b)
-		c.pend = append(c.pend, pending{beginOp, a})
-		alone = t.o.BeginApart
-	} else if x == nil && !a.write {
-		op.After = a.need
+		conn.pending = append(conn.pending, pendingOp{beginOp, req})
+		alone = t.options.SeparateBegin
+	} else if tx == nil && !req.writes {
+		op.After = req.needPosition
 	}
-	if a.shape != nil {
-		op.Name = a.shape.name
+	if req.shape != nil {
+		op.Name = req.shape.name
 	}
-	a.left = !alone
+	req.statementSent = !alone
 	if !alone {
 		ops = append(ops, op)
-		c.pend = append(c.pend, pending{mainOp, a})
+		conn.pending = append(conn.pending, pendingOp{statementOp, req})
 	}
-	c.request, c.slot, c.sentUs, c.beginBad = a, true, t.now, nil
-	c.led = 0
-	if in.g.view.Primary == in.ID {
-		c.led = in.g.view.Term
+	conn.request, conn.usesSlot, conn.sentUs, conn.beginFailure = req, true, t.now, nil
+	conn.primaryTerm = 0
+	if db.group.state.Primary == db.ID {
+		conn.primaryTerm = db.group.state.Term
 	}
-	a.conn, a.in, a.sentUs, a.term = c, in, t.now, in.g.view.Term
-	if a.tries++; a.tries > 1 {
-		t.counts.Again++
+	req.connection, req.database, req.sentUs, req.term = conn, db, t.now, db.group.state.Term
+	if req.attempts++; req.attempts > 1 {
+		t.counts.Retries++
 	}
 	if !begun {
-		if c.led != 0 {
-			t.counts.Primary++
+		if conn.primaryTerm != 0 {
+			t.counts.AtPrimary++
 		} else {
-			t.counts.Follower++
+			t.counts.AtReplica++
 		}
 	}
-	in.running++
+	db.running++
 	t.running++
-	t.used(in)
-	t.arm(&a.due, min(a.deadline, t.now+t.silence(in, a)))
-	t.emit(Send{Conn: c.id, Ops: ops})
-	t.touch(c)
+	t.recordUse(db)
+	t.arm(&req.timer, min(req.deadline, t.now+t.unresponsiveAfter(db, req)))
+	t.emit(Send{Conn: conn.id, Ops: ops})
+	t.touch(conn)
 }
 
-// sendMain sends the statement whose kept beginning went alone.
-func (t *Table) sendMain(c *conn, a *request) {
-	op := ports.Op{St: a.st}
-	if a.shape != nil {
-		op.Name = a.shape.name
+// sendStatement sends the statement whose kept beginning went alone.
+func (t *Table) sendStatement(conn *connection, req *request) {
+	op := ports.Op{Statement: req.statement}
+	if req.shape != nil {
+		op.Name = req.shape.name
 	}
-	a.left = true
-	c.pend = append(c.pend, pending{mainOp, a})
-	t.emit(Send{Conn: c.id, Ops: []ports.Op{op}})
+	req.statementSent = true
+	conn.pending = append(conn.pending, pendingOp{statementOp, req})
+	t.emit(Send{Conn: conn.id, Ops: []ports.Op{op}})
 }
 
-// silence is how long a statement may run before its database is suspect.
-func (t *Table) silence(in *instance, a *request) int64 {
-	return max(t.o.SilentUs, 8*t.runOf(in, a.runIndex()))
+// unresponsiveAfter is how long a statement may run before its database is suspect.
+func (t *Table) unresponsiveAfter(db *database, req *request) int64 {
+	return max(t.options.UnresponsiveUs, 8*t.runTime(db, req.runIndex()))
 }
--- a/sessiontable/events.go
+++ b/sessiontable/events.go
@@ -8,61 +8,61 @@
 // Events. IDs of sessions and connections are the edge's and are never used
 // twice in one run.
 type (
-	// Opened begins a caller's session on a database's name; From tells where the
+	// SessionOpened begins a caller's session on a database's name; From tells where the
 	// caller sits.
-	Opened struct {
+	SessionOpened struct {
 		Session uint64
 		Host    string
 	}
-	// Asked brings a session's next statement. The edge brings one at a time: the
+	// StatementReceived brings a session's next statement. The edge brings one at a time: the
 	// next one only after the Reply to the one before.
-	Asked struct {
-		Session uint64
-		St      ports.Statement
+	StatementReceived struct {
+		Session   uint64
+		Statement ports.Statement
 	}
-	// Left ends a session: the caller closed it or its connection broke.
-	Left struct{ Session uint64 }
-	// Connected ends a Connect; Err tells why there is none, NotThere that nobody
+	// SessionClosed ends a session: the caller closed it or its connection broke.
+	SessionClosed struct{ Session uint64 }
+	// ConnectEnded ends a Connect; Err tells why there is none, ConnectionRefused that nobody
 	// listens there, Cut that somebody did and ended it.
-	Connected struct {
-		Conn     uint64
-		Position ports.Position
-		Code     ports.Code // of a refused connect, with Err set
-		Err      string
-		NotThere bool
-		Cut      bool
+	ConnectEnded struct {
+		Conn              uint64
+		Position          ports.Position
+		Code              ports.Code // of a refused connect, with Err set
+		Err               string
+		ConnectionRefused bool
+		Disconnected      bool
 	}
-	// Answered is the answer to the oldest op of a connection that has none.
-	Answered struct {
+	// AnswerReceived is the answer to the oldest op of a connection that has none.
+	AnswerReceived struct {
 		Conn   uint64
-		Answer ports.Answer
+		Answer ports.Response
 	}
-	// Lost tells that a connection broke.
-	Lost struct {
-		Conn uint64
-		Err  string
-		Cut  bool // ended by the other side, rather than fallen silent
+	// ConnectionLost tells that a connection broke.
+	ConnectionLost struct {
+		Conn         uint64
+		Err          string
+		Disconnected bool // ended by the other side, rather than fallen silent
 	}
-	// View is what the voters agreed, and how long this node may rely on it.
-	View struct {
-		Table      *ports.RoutingTable  // nil: unchanged
-		Groups     map[string]GroupView // whole, nil: unchanged
-		Instances  []ports.Instance     // whole, nil: unchanged
-		LeaseUntil int64                // until when Groups is surely the newest, by this node's clock
-		Nodes      int                  // pool nodes that share the databases' connections
+	// Update is what the voters agreed, and how long this node may rely on it.
+	Update struct {
+		Table      *ports.RoutingTable   // nil: unchanged
+		Groups     map[string]GroupState // whole, nil: unchanged
+		Instances  []ports.Instance      // whole, nil: unchanged
+		LeaseUntil int64                 // until when Groups is surely the newest, by this node's clock
+		Nodes      int                   // pool nodes that share the databases' connections
 	}
-	// Stop drains the node; open transactions get until GraceUs from now.
-	Stop struct{ GraceUs int64 }
+	// Drain drains the node; open transactions get until GraceUs from now.
+	Drain struct{ GraceUs int64 }
 	// Tick lets time pass.
 	Tick struct{}
 )
 
-// GroupView is one group's leadership as this node knows it.
-type GroupView struct {
+// GroupState is one group's leadership as this node knows it.
+type GroupState struct {
 	ports.Leadership
-	// Doubt: a voter holds something newer that is not known to be agreed, so
+	// Unconfirmed: a voter holds something newer that is not known to be agreed, so
 	// nothing may rest on this being the newest.
-	Doubt bool
+	Unconfirmed bool
 	// Withheld: the leadership needs a newer routing table than this node works
 	// by, so nothing is taken on for the group (design 15.4).
 	Withheld bool
@@ -78,8 +78,8 @@
 		ports.Reply
 		Close bool
 	}
-	// Shut closes a session that has asked nothing, without a message.
-	Shut struct{ Session uint64 }
+	// CloseSession closes a session that has asked nothing, without a message.
+	CloseSession struct{ Session uint64 }
 	// Connect asks for a connection to an instance.
 	Connect struct {
 		Conn    uint64
@@ -93,12 +93,12 @@
 		Conn uint64
 		Ops  []ports.Op
 	}
-	// Close gives a connection up, whatever runs on it.
-	Close struct{ Conn uint64 }
-	// Look asks that the lease be renewed now: somebody waits for it.
-	Look struct{}
-	// Say is for the log.
-	Say struct {
+	// CloseConnection gives a connection up, whatever runs on it.
+	CloseConnection struct{ Conn uint64 }
+	// RenewLease asks that the lease be renewed now: somebody waits for it.
+	RenewLease struct{}
+	// LogEntry is for the log.
+	LogEntry struct {
 		Code result.Code
 		Text string
 	}
@@ -107,26 +107,26 @@
 // Effect is one of the above.
 type Effect any
 
-// Sighting is an instance that this node cannot use.
-type Sighting struct {
-	ID        string
-	FailingUs int64
-	Cut       bool
+// HealthReport is an instance that this node cannot use.
+type HealthReport struct {
+	ID           string
+	FailingUs    int64
+	Disconnected bool
 }
 
-// Word is what the node tells the voters of one group.
-type Word struct {
-	Group    string
-	Revision uint64
-	Acked    ports.Position // newest commit it acknowledged to a caller
-	Quiet    bool           // nothing is under way at the primary
+// GroupStatus is what the node tells the voters of one group.
+type GroupStatus struct {
+	Group        string
+	Revision     uint64
+	Acknowledged ports.Position // newest commit it acknowledged to a caller
+	Quiescent    bool           // nothing is under way at the primary
 }
 
 // Report is what Table.Report returns, for the node's next look. Changed says
 // that it should be told at once: a sighting is new, a group fell quiet while
 // its change of primary waits for that.
 type Report struct {
-	Sightings []Sighting
-	Words     []Word
-	Changed   bool
+	HealthReports []HealthReport
+	GroupStatuses []GroupStatus
+	Changed       bool
 }
--- a/sessiontable/failures.go
+++ b/sessiontable/failures.go
@@ -5,213 +5,213 @@
 )
 
 // retry has a request run once more, here or elsewhere, if it still may.
-func (t *Table) retry(a *request, an *ports.Answer) {
-	if an != nil {
-		a.refused = an
+func (t *Table) retry(req *request, answer *ports.Response) {
+	if answer != nil {
+		req.rejection = answer
 	}
-	if a.s.gone || t.now >= a.deadline {
-		t.refuse(a)
+	if req.session.closed || t.now >= req.deadline {
+		t.reject(req)
 		return
 	}
-	t.place(a)
+	t.assign(req)
 }
 
-func (t *Table) failedSingle(in *instance, a *request, an ports.Answer) {
-	r := ports.Reply{Code: an.Code, Text: an.Text, Body: an.Body}
-	if an.Code == ports.NoStatement {
-		r = ports.Reply{Code: ports.Busy, Text: "the database lost a prepared name; retry at once"}
+func (t *Table) failedSingle(db *database, req *request, answer ports.Response) {
+	reply := ports.Reply{Code: answer.Code, Text: answer.Text, Body: answer.Body}
+	if answer.Code == ports.UnknownPreparedStatement {
+		reply = ports.Reply{Code: ports.Busy, Text: "the database lost a prepared name; retry at once"}
 	}
-	if t.mayRetry(in, a, an) {
-		t.retry(a, &an)
+	if t.mayRetry(db, req, answer) {
+		t.retry(req, &answer)
 		return
 	}
-	t.end(a, r)
+	t.finish(req, reply)
 }
 
 // mayRetry says that what a database did not run, or a read, goes on elsewhere
 // or again, and notes what that says of the database.
-func (t *Table) mayRetry(in *instance, a *request, an ports.Answer) bool {
-	switch an.Code {
+func (t *Table) mayRetry(db *database, req *request, answer ports.Response) bool {
+	switch answer.Code {
 	case ports.Busy:
-		return a.tries < 8
+		return req.attempts < 8
 	case ports.Lagging:
-		if a.need.Known() && in.g.view.Primary == in.ID {
+		if req.needPosition.Known() && db.group.state.Primary == db.ID {
 			return false
 		}
-		a.tried = append(a.tried, in.ID)
+		req.triedDatabases = append(req.triedDatabases, db.ID)
 		return true
 	case ports.ReadOnly:
-		g := in.g
-		if g.view.Primary == in.ID {
-			g.notUs, g.not = max(t.now, 1), g.view.Revision
-			if g.since == 0 {
-				g.since = t.now
+		group := db.group
+		if group.state.Primary == db.ID {
+			group.deniedUs, group.deniedRevision = max(t.now, 1), group.state.Revision
+			if group.failoverSince == 0 {
+				group.failoverSince = t.now
 			}
-			t.lookNow()
-			return a.tries < 4
+			t.requestLease()
+			return req.attempts < 4
 		}
 		return false
 	case ports.WrongInstance:
-		in.wrong = true
-		t.fails(in, t.now, true)
-		return a.tries < 4
-	case ports.TooMany, ports.NoStatement:
-		return a.tries < 4
+		db.wrongIdentity = true
+		t.markFailing(db, t.now, true)
+		return req.attempts < 4
+	case ports.TooManyConnections, ports.UnknownPreparedStatement:
+		return req.attempts < 4
 	case ports.Failed:
-		if a.tx == nil && !a.write && a.tries < t.o.Tries {
-			a.tried = append(a.tried, in.ID)
+		if req.tx == nil && !req.writes && req.attempts < t.options.MaxAttempts {
+			req.triedDatabases = append(req.triedDatabases, db.ID)
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Table) failedInTx(c *conn, a *request, an ports.Answer) {
-	x := a.tx
-	if !x.ran && an.Code.NotRun() && an.Code != ports.NoStatement {
-		t.rewind(x)
-		if t.mayRetry(c.in, a, an) {
-			t.retry(a, &an)
+func (t *Table) failedInTx(conn *connection, req *request, answer ports.Response) {
+	tx := req.tx
+	if !tx.ran && answer.Code.NotRun() && answer.Code != ports.UnknownPreparedStatement {
+		t.rewind(tx)
+		if t.mayRetry(conn.database, req, answer) {
+			t.retry(req, &answer)
 			return
 		}
-	} else if an.Code == ports.Busy && an.State == ports.Open && !c.last && a.tries < 8 {
-		t.retry(a, &an)
+	} else if answer.Code == ports.Busy && answer.State == ports.InTransaction && !conn.closeAfterStatement && req.attempts < 8 {
+		t.retry(req, &answer)
 		return
-	} else if an.Code == ports.ReadOnly {
-		t.mayRetry(c.in, a, an)
-	} else if an.Code == ports.NoStatement {
-		t.end(a, ports.Reply{Code: ports.RolledBack, Text: "the database lost a prepared name"})
+	} else if answer.Code == ports.ReadOnly {
+		t.mayRetry(conn.database, req, answer)
+	} else if answer.Code == ports.UnknownPreparedStatement {
+		t.finish(req, ports.Reply{Code: ports.RolledBack, Text: "the database lost a prepared name"})
 		return
 	}
-	t.end(a, ports.Reply{Code: an.Code, Text: an.Text, Body: an.Body})
+	t.finish(req, ports.Reply{Code: answer.Code, Text: answer.Text, Body: answer.Body})
 }
 
 // rewind brings a transaction of which nothing ran back to before its
 // beginning was sent.
-func (t *Table) rewind(x *tx) {
-	t.release(x)
-	x.begun, x.over = false, false
+func (t *Table) rewind(tx *transaction) {
+	t.release(tx)
+	tx.begun, tx.ended = false, false
 }
 
 // beginFailed ends a statement whose kept beginning, sent along with it, was
 // not taken.
-func (t *Table) beginFailed(c *conn, a *request, bad, an ports.Answer) {
-	x := a.tx
-	if an.Code == ports.Done || !an.Code.NotRun() && an.Code != ports.Malformed && an.Code != ports.RolledBack || an.State == ports.Open {
+func (t *Table) beginFailed(conn *connection, req *request, beginAnswer, answer ports.Response) {
+	tx := req.tx
+	if answer.Code == ports.Done || !answer.Code.NotRun() && answer.Code != ports.Malformed && answer.Code != ports.RolledBack || answer.State == ports.InTransaction {
 		// The statement ran all the same, outside its transaction.
-		c.doubt = true
-		in := c.in
-		t.part(c)
-		x.begun, x.over = false, false
-		if a.write {
-			t.end(a, ports.Reply{Code: ports.InDoubt, Text: "the database ran it outside the transaction"})
+		conn.closeWhenIdle = true
+		db := conn.database
+		t.closeDetached(conn)
+		tx.begun, tx.ended = false, false
+		if req.writes {
+			t.finish(req, ports.Reply{Code: ports.InDoubt, Text: "the database ran it outside the transaction"})
 			return
 		}
-		if t.mayRetry(in, a, bad) {
-			t.retry(a, &bad)
+		if t.mayRetry(db, req, beginAnswer) {
+			t.retry(req, &beginAnswer)
 			return
 		}
-		t.end(a, ports.Reply{Code: ports.RolledBack, Text: "the transaction did not begin"})
+		t.finish(req, ports.Reply{Code: ports.RolledBack, Text: "the transaction did not begin"})
 		return
 	}
-	t.rewind(x)
-	if bad.Code.NotRun() && t.mayRetry(c.in, a, bad) {
-		t.retry(a, &bad)
+	t.rewind(tx)
+	if beginAnswer.Code.NotRun() && t.mayRetry(conn.database, req, beginAnswer) {
+		t.retry(req, &beginAnswer)
 		return
 	}
-	t.end(a, ports.Reply{Code: bad.Code, Text: bad.Text, Body: bad.Body})
+	t.finish(req, ports.Reply{Code: beginAnswer.Code, Text: beginAnswer.Text, Body: beginAnswer.Body})
 }
 
-func (t *Table) failedCommit(c *conn, a *request, an ports.Answer) {
-	if an.Code == ports.Busy && an.State == ports.Open && !c.last && a.tries < 8 {
-		t.retry(a, &an)
+func (t *Table) failedCommit(conn *connection, req *request, answer ports.Response) {
+	if answer.Code == ports.Busy && answer.State == ports.InTransaction && !conn.closeAfterStatement && req.attempts < 8 {
+		t.retry(req, &answer)
 		return
 	}
-	if an.Code == ports.ReadOnly {
-		t.mayRetry(c.in, a, an)
+	if answer.Code == ports.ReadOnly {
+		t.mayRetry(conn.database, req, answer)
 	}
-	t.end(a, ports.Reply{Code: an.Code, Text: an.Text, Body: an.Body})
+	t.finish(req, ports.Reply{Code: answer.Code, Text: answer.Text, Body: answer.Body})
 }
 
-// lost takes a connection that broke.
-func (t *Table) lost(e Lost) {
-	c := t.conns[e.Conn]
-	if c == nil {
+// connectionLost takes a connection that broke.
+func (t *Table) connectionLost(e ConnectionLost) {
+	conn := t.connections[e.Conn]
+	if conn == nil {
 		return
 	}
-	in := c.in
-	a := t.remove(c)
-	if e.Cut && !in.Leaving {
-		t.fails(in, t.now, true)
+	db := conn.database
+	req := t.remove(conn)
+	if e.Disconnected && !db.Draining {
+		t.markFailing(db, t.now, true)
 	}
-	t.brokenOff(c, a)
+	t.requestInterrupted(conn, req)
 }
 
-// brokenOff ends the request of a connection that is gone (design 14.9): what may
+// requestInterrupted ends the request of a connection that is gone (design 14.9): what may
 // be kept is in doubt, what cannot be is not, and a read goes elsewhere.
-func (t *Table) brokenOff(c *conn, a *request) {
-	if a == nil {
+func (t *Table) requestInterrupted(conn *connection, req *request) {
+	if req == nil {
 		return
 	}
-	t.disarm(&a.due)
-	x := a.tx
+	t.disarm(&req.timer)
+	tx := req.tx
 	switch {
-	case a.mayKeep() && a.left:
-		t.end(a, ports.Reply{Code: ports.InDoubt, Text: "the connection broke before its end was known"})
-	case x != nil:
+	case req.mayCommit() && req.statementSent:
+		t.finish(req, ports.Reply{Code: ports.InDoubt, Text: "the connection broke before its end was known"})
+	case tx != nil:
 		// A first statement that left may have run there; one whose beginning alone
 		// left did not.
-		if !x.ran && !a.left && a.tries < t.o.Tries && t.now < a.deadline && !a.s.gone {
-			x.begun, x.over = false, false
-			a.tried = append(a.tried, c.in.ID)
-			t.place(a)
+		if !tx.ran && !req.statementSent && req.attempts < t.options.MaxAttempts && t.now < req.deadline && !req.session.closed {
+			tx.begun, tx.ended = false, false
+			req.triedDatabases = append(req.triedDatabases, conn.database.ID)
+			t.assign(req)
 			return
 		}
-		x.over = true
-		t.end(a, ports.Reply{Code: ports.RolledBack, Text: "the connection broke; the transaction is ended"})
-	case a.tries < t.o.Tries && t.now < a.deadline && !a.s.gone:
-		a.tried = append(a.tried, c.in.ID)
-		t.place(a)
-	case t.now >= a.deadline:
-		t.end(a, ports.Reply{Code: ports.Timeout, Text: "no end within its time"})
+		tx.ended = true
+		t.finish(req, ports.Reply{Code: ports.RolledBack, Text: "the connection broke; the transaction is ended"})
+	case req.attempts < t.options.MaxAttempts && t.now < req.deadline && !req.session.closed:
+		req.triedDatabases = append(req.triedDatabases, conn.database.ID)
+		t.assign(req)
+	case t.now >= req.deadline:
+		t.finish(req, ports.Reply{Code: ports.Timeout, Text: "no end within its time"})
 	default:
-		t.end(a, ports.Reply{Code: ports.RolledBack, Text: "the connection broke"})
+		t.finish(req, ports.Reply{Code: ports.RolledBack, Text: "the connection broke"})
 	}
 }
 
-// overran is called when a running statement's database is silent, and at its
+// statementOverdue is called when a running statement's database is silent, and at its
 // deadline.
-func (t *Table) overran(a *request) {
-	c := a.conn
-	in := c.in
-	if t.now >= a.deadline {
-		t.fails(in, a.sentUs, false)
-		t.drop(c)
+func (t *Table) statementOverdue(req *request) {
+	conn := req.connection
+	db := conn.database
+	if t.now >= req.deadline {
+		t.markFailing(db, req.sentUs, false)
+		t.closeConnection(conn)
 		return
 	}
-	t.fails(in, a.sentUs, false)
-	again := c.stuck
-	if !c.stuck {
-		c.stuck = true
-		in.stuck++
+	t.markFailing(db, req.sentUs, false)
+	alreadyOverdue := conn.stuck
+	if !conn.stuck {
+		conn.stuck = true
+		db.stuck++
 	}
 	switch {
-	case a.tx == nil && !a.write && a.tries < t.o.Tries && !a.s.gone:
+	case req.tx == nil && !req.writes && req.attempts < t.options.MaxAttempts && !req.session.closed:
 		// The read goes elsewhere, or is given up where there is no other place; the
 		// connection waits for its end, which nobody hears.
-		c.request, a.conn, a.in = nil, nil, nil
-		t.arm(&c.due, t.now+t.o.OrphanUs)
-		a.tried = append(a.tried, in.ID)
-		t.place(a)
+		conn.request, req.connection, req.database = nil, nil, nil
+		t.arm(&conn.timer, t.now+t.options.AbandonedTimeoutUs)
+		req.triedDatabases = append(req.triedDatabases, db.ID)
+		t.assign(req)
 		return
-	case a.tx != nil && !a.mayKeep() && again:
+	case req.tx != nil && !req.mayCommit() && alreadyOverdue:
 		// It never commits once its connection is closed, so it is given up for
 		// certain and long before its deadline.
-		t.drop(c)
+		t.closeConnection(conn)
 		return
-	case a.tx != nil && !a.mayKeep():
-		t.arm(&a.due, min(a.deadline, t.now+t.silence(in, a)))
+	case req.tx != nil && !req.mayCommit():
+		t.arm(&req.timer, min(req.deadline, t.now+t.unresponsiveAfter(db, req)))
 		return
 	}
-	t.arm(&a.due, a.deadline)
+	t.arm(&req.timer, req.deadline)
 }
--- a/sessiontable/health.go
+++ b/sessiontable/health.go
@@ -1,50 +1,50 @@
 package sessiontable
 
-// fails notes that an instance cannot be used; it is told at once.
-func (t *Table) fails(in *instance, since int64, cut bool) {
-	if in.failing == 0 || cut && !in.cut {
-		t.changed = true
+// markFailing notes that an instance cannot be used; it is told at once.
+func (t *Table) markFailing(db *database, since int64, cut bool) {
+	if db.failingSince == 0 || cut && !db.disconnected {
+		t.reportChanged = true
 	}
-	if in.failing == 0 {
-		in.failing = max(since, 1)
+	if db.failingSince == 0 {
+		db.failingSince = max(since, 1)
 	}
-	in.cut = in.cut || cut
-	in.dirtyIn(t)
-	t.wakeAt(in, max(in.backoff, t.now+50_000))
+	db.disconnected = db.disconnected || cut
+	db.markChanged(t)
+	t.wakeAt(db, max(db.backoffUntil, t.now+50_000))
 }
 
-// works notes that an instance gave a sign.
-func (t *Table) works(in *instance) {
-	if in.failing > 0 {
-		in.failing, in.cut, in.spread = 0, false, false
-		in.dirtyIn(t)
+// markWorking notes that an instance gave a sign.
+func (t *Table) markWorking(db *database) {
+	if db.failingSince > 0 {
+		db.failingSince, db.disconnected, db.readsMoved = 0, false, false
+		db.markChanged(t)
 	}
-	in.wrong = false
+	db.wrongIdentity = false
 }
 
-// probe connects to an instance that fails, to see when it works again.
-func (t *Table) probe(in *instance) {
-	if in.failing == 0 || in.out || in.Leaving || in.wrong || in.opening > 0 {
+// checkHealth connects to an instance that fails, to see when it works again.
+func (t *Table) checkHealth(db *database) {
+	if db.failingSince == 0 || db.removed || db.Draining || db.wrongIdentity || db.opening > 0 {
 		return
 	}
-	if t.now < in.backoff {
-		t.wakeAt(in, in.backoff)
+	if t.now < db.backoffUntil {
+		t.wakeAt(db, db.backoffUntil)
 		return
 	}
-	if len(in.conns)-in.stuck < t.most(in) {
-		in.backUs = min(max(in.backUs*2, 50_000), 1_000_000)
-		in.backoff = t.now + in.backUs
-		t.connect(in)
+	if len(db.connections)-db.stuck < t.connectionLimit(db) {
+		db.backUs = min(max(db.backUs*2, 50_000), 1_000_000)
+		db.backoffUntil = t.now + db.backUs
+		t.connect(db)
 		return
 	}
-	t.wakeAt(in, t.now+500_000)
+	t.wakeAt(db, t.now+500_000)
 }
 
-// scatter places anew the reads that wait for an instance that fails, once.
-func (t *Table) scatter(in *instance) {
-	if in.spread {
+// moveReads places anew the reads that wait for an instance that fails, once.
+func (t *Table) moveReads(db *database) {
+	if db.readsMoved {
 		return
 	}
-	in.spread = true
-	t.replaceLine(in, func(a *request) bool { return !a.goesOn() && !a.atPrimary() })
+	db.readsMoved = true
+	t.requeue(db, func(req *request) bool { return !req.hasConnection() && !req.needsPrimary() })
 }
--- a/sessiontable/heap.go
+++ b/sessiontable/heap.go
@@ -3,48 +3,48 @@
 // heap is a binary heap whose items know their place in it, so that one can be
 // taken out of the middle. An item's place is its index plus one, 0 for none.
 type heap[T any] struct {
-	xs   []T
-	less func(a, b T) bool
-	at   func(T) *int
+	items []T
+	less  func(a, b T) bool
+	index func(T) *int
 }
 
-func (h *heap[T]) len() int { return len(h.xs) }
-func (h *heap[T]) top() T   { return h.xs[0] }
+func (h *heap[T]) len() int { return len(h.items) }
+func (h *heap[T]) top() T   { return h.items[0] }
 
 func (h *heap[T]) push(x T) {
-	h.xs = append(h.xs, x)
-	*h.at(x) = len(h.xs)
-	h.up(len(h.xs) - 1)
+	h.items = append(h.items, x)
+	*h.index(x) = len(h.items)
+	h.up(len(h.items) - 1)
 }
 
 func (h *heap[T]) remove(x T) {
-	i, n := *h.at(x)-1, len(h.xs)-1
+	i, n := *h.index(x)-1, len(h.items)-1
 	h.swap(i, n)
 	var zero T
-	h.xs[n] = zero
-	h.xs = h.xs[:n]
-	*h.at(x) = 0
+	h.items[n] = zero
+	h.items = h.items[:n]
+	*h.index(x) = 0
 	if i < n {
-		h.fix(h.xs[i])
+		h.fix(h.items[i])
 	}
 }
 
 // fix puts an item right whose order changed.
 func (h *heap[T]) fix(x T) {
-	if i := *h.at(x) - 1; !h.up(i) {
+	if i := *h.index(x) - 1; !h.up(i) {
 		h.down(i)
 	}
 }
 
 func (h *heap[T]) swap(i, j int) {
-	h.xs[i], h.xs[j] = h.xs[j], h.xs[i]
-	*h.at(h.xs[i]), *h.at(h.xs[j]) = i+1, j+1
+	h.items[i], h.items[j] = h.items[j], h.items[i]
+	*h.index(h.items[i]), *h.index(h.items[j]) = i+1, j+1
 }
 
 func (h *heap[T]) up(i int) (moved bool) {
 	for i > 0 {
 		p := (i - 1) / 2
-		if !h.less(h.xs[i], h.xs[p]) {
+		if !h.less(h.items[i], h.items[p]) {
 			break
 		}
 		h.swap(i, p)
@@ -56,13 +56,13 @@
 func (h *heap[T]) down(i int) {
 	for {
 		c := 2*i + 1
-		if c >= len(h.xs) {
+		if c >= len(h.items) {
 			return
 		}
-		if c+1 < len(h.xs) && h.less(h.xs[c+1], h.xs[c]) {
+		if c+1 < len(h.items) && h.less(h.items[c+1], h.items[c]) {
 			c++
 		}
-		if !h.less(h.xs[c], h.xs[i]) {
+		if !h.less(h.items[c], h.items[i]) {
 			return
 		}
 		h.swap(i, c)
@@ -74,25 +74,25 @@
 type timer struct {
 	at    int64
 	seq   uint64
-	place int
+	index int
 	owner any
 }
 
-func (t *Table) arm(m *timer, at int64) {
-	if m.place != 0 && m.at == at {
+func (t *Table) arm(timer *timer, at int64) {
+	if timer.index != 0 && timer.at == at {
 		return
 	}
 	t.seq++
-	m.at, m.seq = at, t.seq
-	if m.place != 0 {
-		t.timers.fix(m)
+	timer.at, timer.seq = at, t.seq
+	if timer.index != 0 {
+		t.timers.fix(timer)
 		return
 	}
-	t.timers.push(m)
+	t.timers.push(timer)
 }
 
-func (t *Table) disarm(m *timer) {
-	if m.place != 0 {
-		t.timers.remove(m)
+func (t *Table) disarm(timer *timer) {
+	if timer.index != 0 {
+		t.timers.remove(timer)
 	}
 }
--- a/sessiontable/levels.go
+++ b/sessiontable/levels.go
@@ -5,67 +5,67 @@
 	"stoneford/ports"
 )
 
-// noteLevel takes a position that an instance showed.
-func (t *Table) noteLevel(in *instance, p ports.Position) {
+// recordPosition takes a position that an instance showed.
+func (t *Table) recordPosition(db *database, p ports.Position) {
 	if !p.Known() {
 		return
 	}
-	if in.pos.Before(p) || in.g.view.Primary != in.ID {
-		in.pos = p
+	if db.position.Before(p) || db.group.state.Primary != db.ID {
+		db.position = p
 	}
-	g := in.g
-	if g.view.Primary == in.ID || in.Leaving || !g.q.Known() || p.Term != g.qterm {
+	group := db.group
+	if group.state.Primary == db.ID || db.Draining || !group.commits.Known() || p.Term != group.commitsTerm {
 		return
 	}
-	g.q.Applied(in.ID, p.Number)
+	group.commits.ObserveReplica(db.ID, p.Number)
 	lag := int64(0)
-	if at, ok := g.q.CommittedUs(p.Number + 1); ok {
+	if at, ok := group.commits.CommitTime(p.Number + 1); ok {
 		lag = max(t.now-at, 0)
 	}
-	in.lag += (lag - in.lag) / 8
+	db.lagUs += (lag - db.lagUs) / 8
 }
 
-// all is what a commit may have written: of a caller's thing nothing finer is
+// anyCommit is what a commit may have written: of a caller's thing nothing finer is
 // known, and any missing commit makes a read stale.
-var all = []freshness.Atom{""}
+var anyCommit = []freshness.Atom{""}
 
-// noteEvidence takes what the primary's answer proves: all commits acknowledged
+// recordEvidence takes what the primary's answer proves: all commits acknowledged
 // before the statement left lie at or below the position, as the lease held at
 // that moment (design 14.10).
-func (t *Table) noteEvidence(c *conn, sent int64, p ports.Position, own bool) {
-	g, in := c.in.g, c.in
-	if !p.Known() || c.led == 0 || c.led != g.view.Term || g.view.Primary != in.ID || g.sure <= sent || p.Term < g.qterm {
+func (t *Table) recordEvidence(conn *connection, sent int64, p ports.Position, own bool) {
+	group, db := conn.database.group, conn.database
+	if !p.Known() || conn.primaryTerm == 0 || conn.primaryTerm != group.state.Term || group.state.Primary != db.ID || group.confirmedUntil <= sent || p.Term < group.commitsTerm {
 		return
 	}
-	if p.Term > g.qterm || !g.q.Known() {
-		g.q.Reset()
-		g.qterm = p.Term
-		for _, f := range g.ins {
-			if f != in && !f.Leaving {
-				l := int64(0)
-				if f.pos.Term == p.Term {
-					l = f.pos.Number
+	if p.Term > group.commitsTerm || !group.commits.Known() {
+		group.commits.Reset()
+		group.commitsTerm = p.Term
+		for _, replica := range group.databases {
+			if replica != db && !replica.Draining {
+				limit := int64(0)
+				if replica.position.Term == p.Term {
+					limit = replica.position.Number
 				}
-				g.q.Applied(f.ID, l)
+				group.commits.ObserveReplica(replica.ID, limit)
 			}
 		}
 	}
-	fresh := !g.q.Known()
+	fresh := !group.commits.Known()
 	if own {
-		g.q.Committed(sent, p.Number, 1, all)
+		group.commits.AddCommit(sent, p.Number, 1, anyCommit)
 	} else {
-		g.q.Seen(sent, p.Number)
+		group.commits.ObservePrimary(sent, p.Number)
 	}
-	if g.q.Len() > 4096 {
-		g.q.Applied("", g.q.Master()-2048) // where there is no copy
-		for _, f := range g.ins {
-			if l, ok := g.q.Level(f.ID); ok && l < g.q.Master()-2048 {
-				g.q.Drop(f.ID)
+	if group.commits.Len() > 4096 {
+		group.commits.ObserveReplica("", group.commits.PrimaryPosition()-2048) // where there is no copy
+		for _, replica := range group.databases {
+			if limit, ok := group.commits.AppliedPosition(replica.ID); ok && limit < group.commits.PrimaryPosition()-2048 {
+				group.commits.RemoveReplica(replica.ID)
 			}
 		}
 	}
 	if fresh {
-		t.replaceLine(in, func(a *request) bool { return !a.goesOn() && !a.atPrimary() })
-		t.again(g)
+		t.requeue(db, func(req *request) bool { return !req.hasConnection() && !req.needsPrimary() })
+		t.requeueWaiting(group)
 	}
 }
