--- a/sessiontable/place.go
+++ b/sessiontable/place.go
@@ -11,296 +11,296 @@
 )
 
 // runIndex is the average that a request counts in.
-func (a *request) runIndex() int {
-	i := int(a.route.Kind) * 2
-	if a.write || a.commit {
+func (r *request) runIndex() int {
+	i := int(r.route.Class) * 2
+	if r.writes || r.commit {
 		i++
 	}
 	return i
 }
 
-func (t *Table) runOf(in *instance, i int) int64 {
-	us := t.o.OtherUs
-	if in.Zone == t.zone {
-		us = t.o.SameUs
+func (t *Table) runTime(db *database, i int) int64 {
+	durationUs := t.options.RemoteZoneRunUs
+	if db.Zone == t.zone {
+		durationUs = t.options.LocalZoneRunUs
 	}
-	if in.run[i] == 0 || t.now > in.ranUs[i]+t.o.ForgetUs && in.run[i] > us {
-		return us // unknown, or so long ago that it is worth a try
+	if db.runUs[i] == 0 || t.now > db.runUpdatedUs[i]+t.options.RunTimeExpiryUs && db.runUs[i] > durationUs {
+		return durationUs // unknown, or so long ago that it is worth a try
 	}
-	return in.run[i]
+	return db.runUs[i]
 }
 
-// unplace takes a request out of the line it waits in.
-func (t *Table) unplace(a *request) {
-	a.later = false
-	if a.place == 0 {
+// dequeue takes a request out of the line it waits in.
+func (t *Table) dequeue(req *request) {
+	req.waitsForReplica = false
+	if req.queueIndex == 0 {
 		return
 	}
 	t.waiting--
-	if a.in != nil {
-		a.in.line.remove(a)
-		a.in.ranks[rankOf(a)]--
-		a.in = nil
+	if req.database != nil {
+		req.database.queue.remove(req)
+		req.database.queuedByRank[rankOf(req)]--
+		req.database = nil
 		return
 	}
-	a.g.wait.remove(a)
+	req.group.waiting.remove(req)
 }
 
-func rankOf(a *request) int { return min(max(a.route.Rank, 0), 7) }
+func rankOf(req *request) int { return min(max(req.route.Rank, 0), 7) }
 
-// place finds where a request is to run (design 14.8, 14.10).
-func (t *Table) place(a *request) {
-	if a.tries != a.backTry {
-		a.backTry, a.backUs = a.tries, t.now
+// assign finds where a request is to run (design 14.8, 14.10).
+func (t *Table) assign(req *request) {
+	if req.attempts != req.requeuedAttempts {
+		req.requeuedAttempts, req.requeuedUs = req.attempts, t.now
 	}
-	if a.goesOn() {
-		t.join(a, a.tx.conn.in)
+	if req.hasConnection() {
+		t.enqueue(req, req.tx.connection.database)
 		return
 	}
-	if a.g.view.Withheld {
-		t.await(a)
+	if req.group.state.Withheld {
+		t.waitForPrimary(req)
 		return
 	}
-	if a.atPrimary() {
-		t.placePrimary(a)
+	if req.needsPrimary() {
+		t.assignPrimary(req)
 		return
 	}
-	t.choose(a)
+	t.assignReplica(req)
 }
 
-func (t *Table) placePrimary(a *request) {
-	p := t.primary(a.g)
-	if p == nil {
-		t.await(a)
+func (t *Table) assignPrimary(req *request) {
+	primary := t.primary(req.group)
+	if primary == nil {
+		t.waitForPrimary(req)
 		return
 	}
-	if a.reads() && a.g.sure <= a.from(t.o.MarginUs) {
-		t.lookNow()
-		t.await(a)
+	if req.needsLease() && req.group.confirmedUntil <= req.mustSeeUs(t.options.StalenessMarginUs) {
+		t.requestLease()
+		t.waitForPrimary(req)
 		return
 	}
-	a.need = ports.Position{}
-	if f := a.floor(); f.Term == a.g.view.Term {
-		a.need = f // what an older term acknowledged, this primary holds
+	req.needPosition = ports.Position{}
+	if f := req.lastCommit(); f.Term == req.group.state.Term {
+		req.needPosition = f // what an older term acknowledged, this primary holds
 	}
-	t.join(a, p)
+	t.enqueue(req, primary)
 }
 
-// choose is Refresco's choice among the copies (docs/refresco.md): the least sum
+// assignReplica is Refresco's choice among the copies (docs/refresco.md): the least sum
 // of load, average run, wait for the level it needs, and crossing.
-func (t *Table) choose(a *request) {
-	g := a.g
-	thr := a.route.StaleUs - t.o.MarginUs
-	if !g.q.Known() || thr <= 0 {
-		t.placePrimary(a)
+func (t *Table) assignReplica(req *request) {
+	group := req.group
+	staleness := req.route.MaxStalenessUs - t.options.StalenessMarginUs
+	if !group.commits.Known() || staleness <= 0 {
+		t.assignPrimary(req)
 		return
 	}
-	i := a.runIndex()
-	p := t.primary(g)
-	cs := t.copies[:0]
-	for _, in := range g.ins {
-		if in.ID == g.view.Primary || !t.takes(in, a) {
+	i := req.runIndex()
+	primary := t.primary(group)
+	candidates := t.candidates[:0]
+	for _, db := range group.databases {
+		if db.ID == group.state.Primary || !t.acceptsReads(db, req) {
 			continue
 		}
-		cs = append(cs, t.copyOf(in, i, 0))
+		candidates = append(candidates, t.readCandidate(db, i, 0))
 	}
-	if p != nil && g.sure > a.from(t.o.MarginUs) && !slices.Contains(a.tried, p.ID) && p.failing == 0 {
-		c := t.copyOf(p, i, t.o.PrimaryUs)
-		c.Level = g.q.Master()
-		cs = append(cs, c)
+	if primary != nil && group.confirmedUntil > req.mustSeeUs(t.options.StalenessMarginUs) && !slices.Contains(req.triedDatabases, primary.ID) && primary.failingSince == 0 {
+		candidate := t.readCandidate(primary, i, t.options.PrimaryReadPenaltyUs)
+		candidate.AppliedPosition = group.commits.PrimaryPosition()
+		candidates = append(candidates, candidate)
 	}
-	t.copies = cs
+	t.candidates = candidates
 	var floor int64
-	pin := a.floor()
-	if pin.Term == g.qterm {
-		floor = pin.Number
-	}
-	f := freshness.Formula{Measure: freshness.Age, Threshold: thr}
-	ch, ok := freshness.Choose(&g.q, f, floor, a.arrival(), cs, t.r.IntN)
-	if !ok || p != nil && ch.Copy == p.ID {
-		t.placePrimary(a)
+	sessionFloor := req.lastCommit()
+	if sessionFloor.Term == group.commitsTerm {
+		floor = sessionFloor.Number
+	}
+	f := freshness.Formula{Measure: freshness.Age, Threshold: staleness}
+	choice, ok := freshness.Choose(&group.commits, f, floor, req.arrival(), candidates, t.rand.IntN)
+	if !ok || primary != nil && choice.Replica == primary.ID {
+		t.assignPrimary(req)
 		return
 	}
-	in := t.ins[ch.Copy]
-	a.need = ports.Position{Term: g.qterm, Number: ch.Level}
-	if a.need.Before(pin) {
-		a.need = pin
+	db := t.databases[choice.Replica]
+	req.needPosition = ports.Position{Term: group.commitsTerm, Number: choice.Position}
+	if req.needPosition.Before(sessionFloor) {
+		req.needPosition = sessionFloor
 	}
-	if ch.WaitUs > 0 {
-		if at := t.now + ch.WaitUs; at <= t.limit(a) {
+	if choice.WaitUs > 0 {
+		if at := t.now + choice.WaitUs; at <= t.waitLimit(req) {
 			// It starts once the copy should have come to the level.
-			a.in, a.later = nil, true
+			req.database, req.waitsForReplica = nil, true
 			t.waiting++
-			g.wait.push(a)
-			t.arm(&a.due, at)
+			group.waiting.push(req)
+			t.arm(&req.timer, at)
 			return
 		}
-		if p != nil {
-			t.placePrimary(a)
+		if primary != nil {
+			t.assignPrimary(req)
 			return
 		}
 	}
-	t.join(a, in)
+	t.enqueue(req, db)
 }
 
-func (t *Table) copyOf(in *instance, i int, extra int64) freshness.Copy {
-	run := t.runOf(in, i)
-	c := freshness.Copy{Name: in.ID, RunUs: run + extra, LagUs: in.lag}
-	c.BurdenUs = int64(float64(in.running-in.stuck+in.line.len()) * float64(run) / max(in.slots, 1))
-	if in.Zone != t.zone {
-		c.BurdenUs += t.o.CrossUs
+func (t *Table) readCandidate(db *database, i int, extra int64) freshness.Replica {
+	run := t.runTime(db, i)
+	candidate := freshness.Replica{Name: db.ID, AverageRunUs: run + extra, LagUs: db.lagUs}
+	candidate.LoadUs = int64(float64(db.running-db.stuck+db.queue.len()) * float64(run) / max(db.slots, 1))
+	if db.Zone != t.zone {
+		candidate.LoadUs += t.options.CrossZonePenaltyUs
 	}
-	if in.WarmUs > 0 {
-		c.BurdenUs += run
+	if db.WarmupUs > 0 {
+		candidate.LoadUs += run
 	}
-	if in.pos.Term == in.g.qterm {
-		c.Level = in.pos.Number
+	if db.position.Term == db.group.commitsTerm {
+		candidate.AppliedPosition = db.position.Number
 	}
-	return c
+	return candidate
 }
 
-// takes says that a follower may be given something new.
-func (t *Table) takes(in *instance, a *request) bool {
-	return !in.Leaving && !in.wrong && in.failing == 0 && !slices.Contains(a.tried, in.ID) &&
-		(t.now >= in.backoff || len(in.idle) > 0)
+// acceptsReads says that a follower may be given something new.
+func (t *Table) acceptsReads(db *database, req *request) bool {
+	return !db.Draining && !db.wrongIdentity && db.failingSince == 0 && !slices.Contains(req.triedDatabases, db.ID) &&
+		(t.now >= db.backoffUntil || len(db.idle) > 0)
 }
 
-// await has a request wait for a primary or a lease.
-func (t *Table) await(a *request) {
-	l := t.limit(a)
-	if l <= t.now {
-		t.refuse(a)
+// waitForPrimary has a request wait for a primary or a lease.
+func (t *Table) waitForPrimary(req *request) {
+	limit := t.waitLimit(req)
+	if limit <= t.now {
+		t.reject(req)
 		return
 	}
 	t.waiting++
-	a.in = nil
-	a.g.wait.push(a)
-	t.arm(&a.due, l)
+	req.database = nil
+	req.group.waiting.push(req)
+	t.arm(&req.timer, limit)
 }
 
-// join has a request wait in an instance's line, unless that is too long for it.
-func (t *Table) join(a *request, in *instance) {
-	if !a.goesOn() {
-		est := t.estimate(a, in)
-		if in.line.len() >= t.o.Line || est > 0 && t.now+est > a.aim && t.now < a.aim {
-			a.hint = est
-			t.refuse(a)
+// enqueue has a request wait in an instance's line, unless that is too long for it.
+func (t *Table) enqueue(req *request, db *database) {
+	if !req.hasConnection() {
+		estimate := t.estimate(req, db)
+		if db.queue.len() >= t.options.MaxQueue || estimate > 0 && t.now+estimate > req.latencyTarget && t.now < req.latencyTarget {
+			req.retryAfterUs = estimate
+			t.reject(req)
 			return
 		}
 	}
 	t.waiting++
-	a.in = in
-	in.line.push(a)
-	in.ranks[rankOf(a)]++
-	t.arm(&a.due, max(min(t.limit(a), a.deadline), t.now+1))
-	in.dirtyIn(t)
+	req.database = db
+	db.queue.push(req)
+	db.queuedByRank[rankOf(req)]++
+	t.arm(&req.timer, max(min(t.waitLimit(req), req.deadline), t.now+1))
+	db.markChanged(t)
 }
 
 // estimate is how long the line before a request takes.
-func (t *Table) estimate(a *request, in *instance) int64 {
-	n := in.running - in.stuck
-	for r := range rankOf(a) + 1 {
-		n += in.ranks[r]
+func (t *Table) estimate(req *request, db *database) int64 {
+	n := db.running - db.stuck
+	for r := range rankOf(req) + 1 {
+		n += db.queuedByRank[r]
 	}
-	if n = n + 1 - int(in.slots); n <= 0 {
+	if n = n + 1 - int(db.slots); n <= 0 {
 		return 0
 	}
-	return int64(float64(n) * float64(t.runOf(in, a.runIndex())) / max(in.slots, 1))
+	return int64(float64(n) * float64(t.runTime(db, req.runIndex())) / max(db.slots, 1))
 }
 
-// limit is until when a request may be held where it is. While no database can
+// waitLimit is until when a request may be held where it is. While no database can
 // take it that is a short time; while a change of primary is expected to end
 // within its aim, until a little past that; in the line of a database that
 // works, its aim.
-func (t *Table) limit(a *request) int64 {
-	quarter := a.atUs + min(a.aimUs/4, t.o.WaitUs)
-	if a.tries > 0 {
-		quarter = max(quarter, a.backUs+t.o.WaitUs)
-	}
-	l := quarter
-	if in := a.in; in != nil && in.failing == 0 && len(in.conns) > in.opening {
-		l = max(l, a.aim-t.runOf(in, a.runIndex()))
-	} else if since, ok := t.changing(a.g); ok && (a.atPrimary() || a.in == nil) {
-		if end := t.changeEnds(a.g, since); end < a.aim {
-			l = max(l, min(a.aim, end+(end-since)/4))
+func (t *Table) waitLimit(req *request) int64 {
+	earliest := req.arrivedUs + min(req.latencyTargetUs/4, t.options.UnavailableWaitUs)
+	if req.attempts > 0 {
+		earliest = max(earliest, req.requeuedUs+t.options.UnavailableWaitUs)
+	}
+	limit := earliest
+	if db := req.database; db != nil && db.failingSince == 0 && len(db.connections) > db.opening {
+		limit = max(limit, req.latencyTarget-t.runTime(db, req.runIndex()))
+	} else if since, ok := t.failoverSince(req.group); ok && (req.needsPrimary() || req.database == nil) {
+		if end := t.failoverEnd(req.group, since); end < req.latencyTarget {
+			limit = max(limit, min(req.latencyTarget, end+(end-since)/4))
 		}
 	}
-	return min(l, a.deadline-(a.deadline-a.atUs)/10)
+	return min(limit, req.deadline-(req.deadline-req.arrivedUs)/10)
 }
 
-// refuse ends a request that no database runs, with what a database said of it or
+// reject ends a request that no database runs, with what a database said of it or
 // with the moment to come back at.
-func (t *Table) refuse(a *request) {
-	if b := a.refused; b != nil && b.Code != ports.Busy {
-		t.end(a, ports.Reply{Code: b.Code, Text: b.Text, Body: b.Body})
+func (t *Table) reject(req *request) {
+	if rejection := req.rejection; rejection != nil && rejection.Code != ports.Busy {
+		t.finish(req, ports.Reply{Code: rejection.Code, Text: rejection.Text, Body: rejection.Body})
 		return
 	}
-	t.counts.Held++
-	t.countRefusal(a)
-	us := a.hint
-	if since, ok := t.changing(a.g); ok {
-		us = max(us, t.changeEnds(a.g, since)-t.now)
+	t.counts.Rejected++
+	t.countRejection(req)
+	durationUs := req.retryAfterUs
+	if since, ok := t.failoverSince(req.group); ok {
+		durationUs = max(durationUs, t.failoverEnd(req.group, since)-t.now)
 	}
-	ms := max(us/1000, 20)
-	t.end(a, ports.Reply{Code: ports.Busy, Text: "no database can take it now; retry after " + strconv.FormatInt(ms, 10) + " ms"})
+	ms := max(durationUs/1000, 20)
+	t.finish(req, ports.Reply{Code: ports.Busy, Text: "no database can take it now; retry after " + strconv.FormatInt(ms, 10) + " ms"})
 }
 
-// overdue is called when a request's moment has come.
-func (t *Table) overdue(a *request) {
-	if a.conn != nil {
-		t.overran(a)
+// requestTimerFired is called when a request's moment has come.
+func (t *Table) requestTimerFired(req *request) {
+	if req.connection != nil {
+		t.statementOverdue(req)
 		return
 	}
-	if a.unsure != nil {
-		t.end(a, ports.Reply{Code: ports.InDoubt, Text: "whether its primary still led is not known"})
+	if req.unconfirmed != nil {
+		t.finish(req, ports.Reply{Code: ports.InDoubt, Text: "whether its primary still led is not known"})
 		return
 	}
-	if a.later {
-		t.unplace(a)
-		t.place(a) // anew, with what was learned since
+	if req.waitsForReplica {
+		t.dequeue(req)
+		t.assign(req) // anew, with what was learned since
 		return
 	}
-	if l := t.limit(a); l > t.now {
-		t.arm(&a.due, l)
+	if limit := t.waitLimit(req); limit > t.now {
+		t.arm(&req.timer, limit)
 		return
 	}
-	t.refuse(a)
+	t.reject(req)
 }
 
-// countRefusal counts why nodes' own refusals come about, and says it once a second.
-func (t *Table) countRefusal(a *request) {
-	why := "its line is too long"
-	switch p := t.primary(a.g); {
-	case a.hint > 0:
-	case p == nil && a.g.denied(t):
-		why = "the primary says that it is none"
-	case p == nil && a.g.has && a.g.view.Phase == ports.PhaseOpen:
-		why = "the primary is not announced"
-	case p == nil:
-		why = "the primary is being changed"
-	case p.failing > 0:
-		why = "the primary cannot be used"
-	case t.now < p.backoff:
-		why = "the primary takes no more connections"
-	case a.reads() && a.g.sure <= a.from(t.o.MarginUs):
-		why = "no lease"
-	}
-	t.countRefusedFor(a.g.name + ": " + why)
+// countRejection counts why nodes' own refusals come about, and says it once a second.
+func (t *Table) countRejection(req *request) {
+	cause := "its line is too long"
+	switch primary := t.primary(req.group); {
+	case req.retryAfterUs > 0:
+	case primary == nil && req.group.denied(t):
+		cause = "the primary says that it is none"
+	case primary == nil && req.group.known && req.group.state.Phase == ports.PhaseServing:
+		cause = "the primary is not announced"
+	case primary == nil:
+		cause = "the primary is being changed"
+	case primary.failingSince > 0:
+		cause = "the primary cannot be used"
+	case t.now < primary.backoffUntil:
+		cause = "the primary takes no more connections"
+	case req.needsLease() && req.group.confirmedUntil <= req.mustSeeUs(t.options.StalenessMarginUs):
+		cause = "no lease"
+	}
+	t.countRejectionCause(req.group.name + ": " + cause)
 }
 
-// countRefusedFor counts what this node refuses itself, by cause, and says it once a
+// countRejectionCause counts what this node refuses itself, by cause, and says it once a
 // second.
-func (t *Table) countRefusedFor(why string) {
-	if t.held == nil {
-		t.held = map[string]int{}
+func (t *Table) countRejectionCause(cause string) {
+	if t.rejections == nil {
+		t.rejections = map[string]int{}
 	}
-	t.held[why]++
-	if t.now < t.heldUs+1_000_000 {
+	t.rejections[cause]++
+	if t.now < t.rejectionsLoggedUs+1_000_000 {
 		return
 	}
-	t.heldUs = t.now
-	for _, k := range slices.Sorted(maps.Keys(t.held)) {
-		t.emit(Say{Code: result.StatementsBounced, Text: strconv.Itoa(t.held[k]) + " for " + k})
+	t.rejectionsLoggedUs = t.now
+	for _, k := range slices.Sorted(maps.Keys(t.rejections)) {
+		t.emit(LogEntry{Code: result.StatementsRejected, Text: strconv.Itoa(t.rejections[k]) + " for " + k})
 	}
-	clear(t.held)
+	clear(t.rejections)
 }
--- a/sessiontable/sessions.go
+++ b/sessiontable/sessions.go
@@ -11,17 +11,17 @@
 // values are a session's values; they never change, a new set takes their place.
 // So a connection can hold on to the very set it was given.
 type values struct {
-	key string // names and texts in order
-	m   map[string]string
+	key    string // names and texts in order
+	byName map[string]string
 }
 
 var noValues = &values{}
 
 func (v *values) with(name, text string) *values {
-	if old, ok := v.m[name]; ok && old == text {
+	if old, ok := v.byName[name]; ok && old == text {
 		return v
 	}
-	m := maps.Clone(v.m)
+	m := maps.Clone(v.byName)
 	if m == nil {
 		m = map[string]string{}
 	}
@@ -33,14 +33,14 @@
 		b.WriteString(m[n])
 		b.WriteByte(0)
 	}
-	return &values{key: b.String(), m: m}
+	return &values{key: b.String(), byName: m}
 }
 
-// within says that every name of v stands in w, so that w can be reached by
+// reachable says that every name of v stands in w, so that w can be reached by
 // setting values.
-func (v *values) within(w *values) bool {
-	for n := range v.m {
-		if _, ok := w.m[n]; !ok {
+func (v *values) reachable(w *values) bool {
+	for n := range v.byName {
+		if _, ok := w.byName[n]; !ok {
 			return false
 		}
 	}
@@ -52,26 +52,26 @@
 	text   string
 }
 
-// shape is what a prepared name stands for; all sessions of the node share one
+// preparedShape is what a prepared name stands for; all sessions of the node share one
 // name for it on connections (design 14.8).
-type shape struct {
+type preparedShape struct {
 	shapeKey
 	name string
 }
 
-func (t *Table) shape(k shapeKey) *shape {
-	p := t.shapes[k]
-	if p == nil {
+func (t *Table) shapeFor(k shapeKey) *preparedShape {
+	shape := t.shapes[k]
+	if shape == nil {
 		if len(t.shapes) >= 4096 {
 			// Those in use live on in their sessions and on their connections; a
 			// name is never given out twice.
 			clear(t.shapes)
 		}
-		t.names++
-		p = &shape{shapeKey: k, name: "p" + decimal(t.names)}
-		t.shapes[k] = p
+		t.preparedNames++
+		shape = &preparedShape{shapeKey: k, name: "p" + decimal(t.preparedNames)}
+		t.shapes[k] = shape
 	}
-	return p
+	return shape
 }
 
 func decimal(n uint64) string {
@@ -88,380 +88,380 @@
 
 // session is one caller's.
 type session struct {
-	id       uint64
-	host     string
-	vals     *values
-	prepared map[string]*shape
-	state    ports.State
-	tx       *tx
-	request  *request       // under way
-	floor    ports.Position // of its newest acknowledged commit
-	floorOf  *group
-	gone     bool // nobody waits for replies
-	rest     timer
+	id              uint64
+	host            string
+	values          *values
+	prepared        map[string]*preparedShape
+	state           ports.TransactionState
+	tx              *transaction
+	request         *request       // under way
+	lastCommit      ports.Position // of its newest acknowledged commit
+	lastCommitGroup *databaseGroup
+	closed          bool // nobody waits for replies
+	idleTimer       timer
 }
 
-// tx is a session's transaction from its beginning to its end.
-type tx struct {
-	s        *session
-	begin    ports.Statement
-	readOnly bool
-	route    *ports.Route
-	g        *group
-	atUs     int64 // arrival of its beginning
-	spent    int64 // by its statements so far
-	conn     *conn
-	begun    bool // its beginning was sent
-	ran      bool // a statement of it ran
-	wrote    bool
-	over     bool // it can never commit; the next statement is told so
+// transaction is a session's transaction from its beginning to its end.
+type transaction struct {
+	session    *session
+	begin      ports.Statement
+	readOnly   bool
+	route      *ports.Route
+	group      *databaseGroup
+	arrivedUs  int64 // arrival of its beginning
+	spentUs    int64 // by its statements so far
+	connection *connection
+	begun      bool // its beginning was sent
+	ran        bool // a statement of it ran
+	wrote      bool
+	ended      bool // it can never commit; the next statement is told so
 }
 
 // request is a statement on its way.
 type request struct {
-	s      *session
-	st     ports.Statement
-	tx     *tx
-	route  *ports.Route
-	g      *group
-	shape  *shape
-	write  bool // a write outside or inside a transaction
-	commit bool
-
-	seq      uint64
-	atUs     int64
-	deadline int64
-	aimUs    int64
-	aim      int64
-	place    int       // in the line of in, or of its group where in is nil
-	in       *instance // whose line it waits in, or that runs it
-	conn     *conn     // that runs it
-	sentUs   int64
-	term     uint64 // of the view it was sent under
-	need     ports.Position
-	later    bool // waits for its copy to catch up
-	tries    int
-	backTry  int   // the try that it was last placed anew after
-	backUs   int64 // and when
-	tried    []string
-	refused  *ports.Answer // the newest that says it was not run
-	hint     int64         // when to come back, of the newest estimate
-	due      timer
-	unsure   *unsure
-	left     bool // the statement itself was sent, not only its beginning
+	session   *session
+	statement ports.Statement
+	tx        *transaction
+	route     *ports.Route
+	group     *databaseGroup
+	shape     *preparedShape
+	writes    bool // a write outside or inside a transaction
+	commit    bool
+
+	seq              uint64
+	arrivedUs        int64
+	deadline         int64
+	latencyTargetUs  int64
+	latencyTarget    int64
+	queueIndex       int         // in the line of in, or of its group where in is nil
+	database         *database   // whose line it waits in, or that runs it
+	connection       *connection // that runs it
+	sentUs           int64
+	term             uint64 // of the view it was sent under
+	needPosition     ports.Position
+	waitsForReplica  bool // waits for its copy to catch up
+	attempts         int
+	requeuedAttempts int   // the try that it was last placed anew after
+	requeuedUs       int64 // and when
+	triedDatabases   []string
+	rejection        *ports.Response // the newest that says it was not run
+	retryAfterUs     int64           // when to come back, of the newest estimate
+	timer            timer
+	unconfirmed      *unconfirmedCommit
+	statementSent    bool // the statement itself was sent, not only its beginning
 }
 
-// goesOn says that the request's transaction holds a connection.
-func (a *request) goesOn() bool { return a.tx != nil && a.tx.conn != nil }
+// hasConnection says that the request's transaction holds a connection.
+func (r *request) hasConnection() bool { return r.tx != nil && r.tx.connection != nil }
 
-// atPrimary says that only the primary will do.
-func (a *request) atPrimary() bool {
-	if a.tx != nil {
-		return !a.tx.readOnly || a.route.Kind == ports.Current
+// needsPrimary says that only the primary will do.
+func (r *request) needsPrimary() bool {
+	if r.tx != nil {
+		return !r.tx.readOnly || r.route.Class == ports.CurrentRead
 	}
-	return a.write || a.route.Kind == ports.Current
+	return r.writes || r.route.Class == ports.CurrentRead
 }
 
 // arrival is the moment a read's freshness counts from: its transaction's, if
 // there is one.
-func (a *request) arrival() int64 {
-	if a.tx != nil {
-		return a.tx.atUs
+func (r *request) arrival() int64 {
+	if r.tx != nil {
+		return r.tx.arrivedUs
 	}
-	return a.atUs
+	return r.arrivedUs
 }
 
-// floor is the newest commit that the session must see on its route.
-func (a *request) floor() ports.Position {
-	if a.route.Kind != ports.Pinned || a.s.floorOf != a.g {
+// lastCommit is the newest commit that the session must see on its route.
+func (r *request) lastCommit() ports.Position {
+	if r.route.Class != ports.ReadYourWrites || r.session.lastCommitGroup != r.group {
 		return ports.Position{}
 	}
-	return a.s.floor
+	return r.session.lastCommit
 }
 
-// from is the moment whose acknowledged commits the request has to see, all of them.
-func (a *request) from(margin int64) int64 {
-	at := a.arrival()
-	if a.route.Kind != ports.Current {
-		at -= max(a.route.StaleUs-margin, 0)
+// mustSeeUs is the moment whose acknowledged commits the request has to see, all of them.
+func (r *request) mustSeeUs(margin int64) int64 {
+	at := r.arrival()
+	if r.route.Class != ports.CurrentRead {
+		at -= max(r.route.MaxStalenessUs-margin, 0)
 	}
 	return at
 }
 
-// reads says that it, or its transaction, may read, so that it needs a lease.
-func (a *request) reads() bool { return a.tx != nil || !a.write }
+// needsLease says that it, or its transaction, may read, so that it needs a lease.
+func (r *request) needsLease() bool { return r.tx != nil || !r.writes }
 
-// mayKeep says that after sending it something may be kept.
-func (a *request) mayKeep() bool { return a.commit && a.tx.wrote || a.tx == nil && a.write }
+// mayCommit says that after sending it something may be kept.
+func (r *request) mayCommit() bool { return r.commit && r.tx.wrote || r.tx == nil && r.writes }
 
-func (t *Table) opened(e Opened) {
-	r := ports.Reply{State: ports.Idle}
+func (t *Table) openSession(e SessionOpened) {
+	reply := ports.Reply{State: ports.Idle}
 	switch {
-	case t.stopping:
-		r.Code, r.Text = ports.Busy, "this node stops; another takes the session at once"
-	case t.table == nil:
-		r.Code, r.Text = ports.Busy, "no routing table yet; retry after 500 ms"
+	case t.draining:
+		reply.Code, reply.Text = ports.Busy, "this node stops; another takes the session at once"
+	case t.routingTable == nil:
+		reply.Code, reply.Text = ports.Busy, "no routing table yet; retry after 500 ms"
 	case t.routes[e.Host] == nil:
-		r.Code, r.Text = t.noRoute()
+		reply.Code, reply.Text = t.unknownName()
 	case !t.mayRoute():
-		r.Code, r.Text = t.noTable()
+		reply.Code, reply.Text = t.unconfirmedTable()
 	}
-	if r.Code != ports.Done {
-		t.emit(Reply{Session: e.Session, Reply: r, Close: true})
+	if reply.Code != ports.Done {
+		t.emit(Reply{Session: e.Session, Reply: reply, Close: true})
 		return
 	}
-	s := &session{id: e.Session, host: e.Host, vals: noValues}
-	s.rest.owner = s
-	t.sess[e.Session] = s
-	t.emit(Reply{Session: e.Session, Reply: r})
+	session := &session{id: e.Session, host: e.Host, values: noValues}
+	session.idleTimer.owner = session
+	t.sessions[e.Session] = session
+	t.emit(Reply{Session: e.Session, Reply: reply})
 }
 
-func (t *Table) forget(s *session) {
-	s.gone = true
-	t.disarm(&s.rest)
-	delete(t.sess, s.id)
-	if s.tx != nil && s.request == nil {
-		t.endTx(s)
+func (t *Table) forget(session *session) {
+	session.closed = true
+	t.disarm(&session.idleTimer)
+	delete(t.sessions, session.id)
+	if session.tx != nil && session.request == nil {
+		t.endTransaction(session)
 	}
 }
 
-func (t *Table) left(e Left) {
-	s := t.sess[e.Session]
-	if s == nil {
+func (t *Table) endSession(e SessionClosed) {
+	session := t.sessions[e.Session]
+	if session == nil {
 		return
 	}
-	if a := s.request; a != nil && a.conn == nil {
-		s.gone = true // nobody hears it
-		t.end(a, ports.Reply{Code: ports.Busy})
+	if req := session.request; req != nil && req.connection == nil {
+		session.closed = true // nobody hears it
+		t.finish(req, ports.Reply{Code: ports.Busy})
 	}
-	t.forget(s)
+	t.forget(session)
 }
 
-// say sends a reply and notes the state it leaves the session in.
-func (t *Table) say(s *session, r ports.Reply, shut bool) {
-	s.state = r.State
-	if s.gone {
+// reply sends a reply and notes the state it leaves the session in.
+func (t *Table) reply(session *session, reply ports.Reply, shut bool) {
+	session.state = reply.State
+	if session.closed {
 		return
 	}
-	t.counts.Ended[r.Code]++
-	shut = shut || t.stopping && r.State == ports.Idle
-	t.emit(Reply{Session: s.id, Reply: r, Close: shut})
+	t.counts.Results[reply.Code]++
+	shut = shut || t.draining && reply.State == ports.Idle
+	t.emit(Reply{Session: session.id, Reply: reply, Close: shut})
 	if shut {
-		t.forget(s)
+		t.forget(session)
 		return
 	}
-	if l := t.limits().TxIdleUs; s.tx != nil && !s.tx.over && l > 0 {
-		t.arm(&s.rest, t.now+l+t.o.RestUs)
+	if limit := t.limits().TransactionIdleTimeoutUs; session.tx != nil && !session.tx.ended && limit > 0 {
+		t.arm(&session.idleTimer, t.now+limit+t.options.IdleTransactionMarginUs)
 	}
 }
 
 func (t *Table) limits() ports.Limits {
-	if t.table == nil {
+	if t.routingTable == nil {
 		return ports.Limits{}
 	}
-	return t.table.Limits
+	return t.routingTable.Limits
 }
 
-// local ends a statement that this node answers itself. An error inside a
+// answerLocally ends a statement that this node answers itself. An error inside a
 // transaction breaks it.
-func (t *Table) local(s *session, c ports.Code, text string) {
-	t.counts.Local++
-	r := ports.Reply{Code: c, Text: text, State: s.state}
-	if c != ports.Done && s.tx != nil {
-		t.release(s.tx)
-		s.tx.over = true
-		r.State = ports.Broken
-	}
-	t.say(s, r, false)
+func (t *Table) answerLocally(session *session, c ports.Code, text string) {
+	t.counts.AnsweredLocally++
+	reply := ports.Reply{Code: c, Text: text, State: session.state}
+	if c != ports.Done && session.tx != nil {
+		t.release(session.tx)
+		session.tx.ended = true
+		reply.State = ports.TransactionFailed
+	}
+	t.reply(session, reply, false)
 }
 
-func (t *Table) endTx(s *session) {
-	if s.tx == nil {
+func (t *Table) endTransaction(session *session) {
+	if session.tx == nil {
 		return
 	}
-	t.release(s.tx)
-	s.tx = nil
-	t.open--
-	t.disarm(&s.rest)
+	t.release(session.tx)
+	session.tx = nil
+	t.openTransactions--
+	t.disarm(&session.idleTimer)
 }
 
-// rested ends a transaction that rested for too long.
-func (t *Table) rested(s *session) {
-	if s.tx == nil || s.request != nil || s.tx.over {
+// transactionIdle ends a transaction that rested for too long.
+func (t *Table) transactionIdle(session *session) {
+	if session.tx == nil || session.request != nil || session.tx.ended {
 		return
 	}
-	t.release(s.tx)
-	s.tx.over = true
+	t.release(session.tx)
+	session.tx.ended = true
 }
 
 // routeOf is the route of a session's next statement, or nil if it was refused. One
 // inside a transaction goes by the route that the transaction began with.
-func (t *Table) routeOf(s *session, kind ports.Kind) *ports.Route {
-	if s.tx != nil {
-		return s.tx.route
+func (t *Table) routeOf(session *session, kind ports.StatementKind) *ports.Route {
+	if session.tx != nil {
+		return session.tx.route
 	}
-	rt := t.routes[s.host]
+	route := t.routes[session.host]
 	switch {
-	case rt == nil:
-		code, text := t.noRoute()
-		t.say(s, ports.Reply{Code: code, Text: text, State: ports.Idle}, true)
+	case route == nil:
+		code, text := t.unknownName()
+		t.reply(session, ports.Reply{Code: code, Text: text, State: ports.Idle}, true)
 		return nil
-	case t.stopping:
-		t.say(s, ports.Reply{Code: ports.Busy, Text: "this node stops; another takes the session at once", State: ports.Idle}, true)
+	case t.draining:
+		t.reply(session, ports.Reply{Code: ports.Busy, Text: "this node stops; another takes the session at once", State: ports.Idle}, true)
 		return nil
 	case needsRoute(kind) && !t.mayRoute():
-		code, text := t.noTable()
-		t.local(s, code, text)
+		code, text := t.unconfirmedTable()
+		t.answerLocally(session, code, text)
 		return nil
 	}
 	if needsRoute(kind) {
-		t.routed()
+		t.checkRouted()
 	}
-	return rt
+	return route
 }
 
-func (t *Table) asked(e Asked) {
-	s := t.sess[e.Session]
-	if s == nil || s.request != nil {
+func (t *Table) receiveStatement(e StatementReceived) {
+	session := t.sessions[e.Session]
+	if session == nil || session.request != nil {
 		return
 	}
-	t.disarm(&s.rest)
-	st := e.St
-	if s.state == ports.Broken {
-		t.broken(s, st)
+	t.disarm(&session.idleTimer)
+	statement := e.Statement
+	if session.state == ports.TransactionFailed {
+		t.answerInFailedTransaction(session, statement)
 		return
 	}
-	rt := t.routeOf(s, st.Kind)
-	if rt == nil {
+	route := t.routeOf(session, statement.Kind)
+	if route == nil {
 		return // it was refused
 	}
-	switch st.Kind {
+	switch statement.Kind {
 	case ports.SetValue:
-		s.vals = s.vals.with(st.Name, st.Text)
-		t.local(s, ports.Done, "")
+		session.values = session.values.with(statement.Name, statement.Text)
+		t.answerLocally(session, ports.Done, "")
 	case ports.Prepare:
-		if s.prepared == nil {
-			s.prepared = map[string]*shape{}
+		if session.prepared == nil {
+			session.prepared = map[string]*preparedShape{}
 		}
-		s.prepared[st.Name] = t.shape(shapeKey{st.Writes, st.Text})
-		t.local(s, ports.Done, "")
-	case ports.Drop:
-		if s.prepared[st.Name] == nil {
-			t.local(s, ports.NoStatement, "no such prepared name")
+		session.prepared[statement.Name] = t.shapeFor(shapeKey{statement.Writes, statement.Text})
+		t.answerLocally(session, ports.Done, "")
+	case ports.Deallocate:
+		if session.prepared[statement.Name] == nil {
+			t.answerLocally(session, ports.UnknownPreparedStatement, "no such prepared name")
 			return
 		}
-		delete(s.prepared, st.Name)
-		t.local(s, ports.Done, "")
+		delete(session.prepared, statement.Name)
+		t.answerLocally(session, ports.Done, "")
 	case ports.Begin, ports.BeginRead:
-		if s.tx != nil {
-			t.local(s, ports.Malformed, "already inside a transaction")
+		if session.tx != nil {
+			t.answerLocally(session, ports.Malformed, "already inside a transaction")
 			return
 		}
-		s.tx = &tx{s: s, begin: st, readOnly: st.Kind == ports.BeginRead, route: rt, g: t.group(rt.Group), atUs: t.now}
-		t.open++
-		t.counts.Local++
-		t.say(s, ports.Reply{State: ports.Open}, false)
+		session.tx = &transaction{session: session, begin: statement, readOnly: statement.Kind == ports.BeginRead, route: route, group: t.group(route.Group), arrivedUs: t.now}
+		t.openTransactions++
+		t.counts.AnsweredLocally++
+		t.reply(session, ports.Reply{State: ports.InTransaction}, false)
 	case ports.Rollback:
-		if s.tx == nil {
-			t.local(s, ports.Malformed, "no transaction is open")
+		if session.tx == nil {
+			t.answerLocally(session, ports.Malformed, "no transaction is open")
 			return
 		}
-		t.endTx(s)
-		t.counts.Local++
-		t.say(s, ports.Reply{State: ports.Idle}, false)
+		t.endTransaction(session)
+		t.counts.AnsweredLocally++
+		t.reply(session, ports.Reply{State: ports.Idle}, false)
 	case ports.Commit:
-		if s.tx == nil {
-			t.local(s, ports.Malformed, "no transaction is open")
+		if session.tx == nil {
+			t.answerLocally(session, ports.Malformed, "no transaction is open")
 			return
 		}
-		t.run(s, &request{st: st, commit: true}, rt)
+		t.startRequest(session, &request{statement: statement, commit: true}, route)
 	case ports.Read:
-		t.run(s, &request{st: st}, rt)
+		t.startRequest(session, &request{statement: statement}, route)
 	case ports.Write:
-		t.run(s, &request{st: st, write: true}, rt)
-	case ports.Run:
-		p := s.prepared[st.Name]
-		if p == nil {
-			t.local(s, ports.NoStatement, "no such prepared name")
+		t.startRequest(session, &request{statement: statement, writes: true}, route)
+	case ports.Execute:
+		shape := session.prepared[statement.Name]
+		if shape == nil {
+			t.answerLocally(session, ports.UnknownPreparedStatement, "no such prepared name")
 			return
 		}
-		t.run(s, &request{st: st, shape: p, write: p.writes}, rt)
-	case ports.Bad:
-		t.local(s, ports.Malformed, st.Text)
+		t.startRequest(session, &request{statement: statement, shape: shape, writes: shape.writes}, route)
+	case ports.BadStatement:
+		t.answerLocally(session, ports.Malformed, statement.Text)
 	default:
-		t.local(s, ports.Malformed, "not a caller's statement")
+		t.answerLocally(session, ports.Malformed, "not a caller's statement")
 	}
 }
 
-// broken takes a statement in a transaction that failed: only its end is taken.
-func (t *Table) broken(s *session, st ports.Statement) {
-	r := ports.Reply{State: ports.Idle}
-	switch st.Kind {
+// answerInFailedTransaction takes a statement in a transaction that failed: only its end is taken.
+func (t *Table) answerInFailedTransaction(session *session, statement ports.Statement) {
+	reply := ports.Reply{State: ports.Idle}
+	switch statement.Kind {
 	case ports.Rollback:
 	case ports.Commit:
-		r.Code, r.Text = ports.RolledBack, "the transaction had failed"
+		reply.Code, reply.Text = ports.RolledBack, "the transaction had failed"
 	default:
-		t.counts.Local++
-		t.say(s, ports.Reply{Code: ports.Malformed, Text: "the transaction failed; only its end is taken", State: ports.Broken}, false)
+		t.counts.AnsweredLocally++
+		t.reply(session, ports.Reply{Code: ports.Malformed, Text: "the transaction failed; only its end is taken", State: ports.TransactionFailed}, false)
 		return
 	}
-	t.endTx(s)
-	t.counts.Local++
-	t.say(s, r, false)
+	t.endTransaction(session)
+	t.counts.AnsweredLocally++
+	t.reply(session, reply, false)
 }
 
-// run sets a statement on its way to a database.
-func (t *Table) run(s *session, a *request, rt *ports.Route) {
+// startRequest sets a statement on its way to a database.
+func (t *Table) startRequest(session *session, req *request, route *ports.Route) {
 	t.seq++
-	a.s, a.tx, a.route, a.seq, a.atUs = s, s.tx, rt, t.seq, t.now
-	a.aimUs = rt.AimUs
-	if a.aimUs <= 0 {
-		a.aimUs = rt.ExpiryUs / 4
-	}
-	a.deadline, a.aim = t.now+rt.ExpiryUs, t.now+a.aimUs
-	a.due.owner = a
-	s.request = a
-	if x := s.tx; x != nil {
-		a.g = x.g
-		a.aim -= min(x.spent, a.aimUs)
-		if x.over {
-			t.end(a, ports.Reply{Code: ports.RolledBack, Text: "the transaction was ended"})
+	req.session, req.tx, req.route, req.seq, req.arrivedUs = session, session.tx, route, t.seq, t.now
+	req.latencyTargetUs = route.LatencyTargetUs
+	if req.latencyTargetUs <= 0 {
+		req.latencyTargetUs = route.TimeoutUs / 4
+	}
+	req.deadline, req.latencyTarget = t.now+route.TimeoutUs, t.now+req.latencyTargetUs
+	req.timer.owner = req
+	session.request = req
+	if tx := session.tx; tx != nil {
+		req.group = tx.group
+		req.latencyTarget -= min(tx.spentUs, req.latencyTargetUs)
+		if tx.ended {
+			t.finish(req, ports.Reply{Code: ports.RolledBack, Text: "the transaction was ended"})
 			return
 		}
-		if a.write {
-			x.wrote = true
+		if req.writes {
+			tx.wrote = true
 		}
 	} else {
-		a.g = t.group(rt.Group)
+		req.group = t.group(route.Group)
 	}
-	t.place(a)
+	t.assign(req)
 }
 
-// end replies to a request and settles its session and transaction. The request runs
+// finish replies to a request and settles its session and transaction. The request runs
 // nowhere any more, or its connection was dropped.
-func (t *Table) end(a *request, r ports.Reply) {
-	a.unsure = nil
-	t.unplace(a)
-	t.disarm(&a.due)
-	s, x := a.s, a.tx
-	s.request = nil
+func (t *Table) finish(req *request, reply ports.Reply) {
+	req.unconfirmed = nil
+	t.dequeue(req)
+	t.disarm(&req.timer)
+	session, tx := req.session, req.tx
+	session.request = nil
 	switch {
-	case x == nil:
-		r.State = ports.Idle
-	case a.commit:
-		t.endTx(s)
-		r.State = ports.Idle
-	case r.Code == ports.Done:
-		x.ran = true
-		x.spent += t.now - a.atUs
-		r.State = ports.Open
+	case tx == nil:
+		reply.State = ports.Idle
+	case req.commit:
+		t.endTransaction(session)
+		reply.State = ports.Idle
+	case reply.Code == ports.Done:
+		tx.ran = true
+		tx.spentUs += t.now - req.arrivedUs
+		reply.State = ports.InTransaction
 	default:
-		t.release(x)
-		x.over = true
-		r.State = ports.Broken
+		t.release(tx)
+		tx.ended = true
+		reply.State = ports.TransactionFailed
 	}
-	if s.gone && s.tx != nil {
-		t.endTx(s)
+	if session.closed && session.tx != nil {
+		t.endTransaction(session)
 	}
-	t.say(s, r, false)
+	t.reply(session, reply, false)
 }
--- a/sessiontable/state.go
+++ b/sessiontable/state.go
@@ -3,38 +3,38 @@
 import "stoneford/fleetstate"
 
 // State is what operators are told of the table.
-func (t *Table) State(now int64) fleetstate.Pool {
-	g, n := t.Gauges(), t.Counts()
-	s := fleetstate.Pool{Nodes: t.nodes, Sessions: g.Sessions, Connections: g.Connections, Running: g.Running, Waiting: g.Waiting, Open: g.Open,
-		Ended: fleetstate.Results(n.Ended), Local: n.Local, Held: n.Held, Again: n.Again, Connects: n.Connects, Resets: n.Resets,
-		Follower: n.Follower, Primary: n.Primary, Groups: []fleetstate.PoolGroup{}}
-	for _, g := range t.gs {
-		s.Groups = append(s.Groups, t.groupState(now, g))
+func (t *Table) State(now int64) fleetstate.PoolState {
+	group, counts := t.Gauges(), t.Counts()
+	state := fleetstate.PoolState{Nodes: t.nodes, Sessions: group.Sessions, Connections: group.Connections, Running: group.Running, Waiting: group.Waiting, OpenTransactions: group.OpenTransactions,
+		StatementsByResult: fleetstate.CountsByResult(counts.Results), AnsweredLocally: counts.AnsweredLocally, Rejected: counts.Rejected, Retried: counts.Retries, Connects: counts.Connects, Resets: counts.Resets,
+		PlacedAtReplicas: counts.AtReplica, PlacedAtPrimaries: counts.AtPrimary, Groups: []fleetstate.PoolGroup{}}
+	for _, group := range t.groupsByName {
+		state.Groups = append(state.Groups, t.groupState(now, group))
 	}
-	return s
+	return state
 }
 
-func (t *Table) groupState(now int64, g *group) fleetstate.PoolGroup {
-	s := fleetstate.PoolGroup{Group: g.name, Phase: "none", Waiting: g.wait.len(), Acked: g.acked, Master: fleetstate.Never,
-		Pending: g.q.Len(), Databases: []fleetstate.PoolDatabase{}}
-	if g.has {
-		v := g.view
-		s.Revision, s.Doubt, s.Term, s.Primary, s.Phase, s.SureUs = v.Revision, v.Doubt, v.Term, v.Primary, fleetstate.PhaseName(v.Phase), g.sure-now
+func (t *Table) groupState(now int64, group *databaseGroup) fleetstate.PoolGroup {
+	state := fleetstate.PoolGroup{Group: group.name, Phase: "none", Waiting: group.waiting.len(), Acknowledged: group.acknowledged, PrimaryPosition: fleetstate.Unknown,
+		PendingCommits: group.commits.Len(), Databases: []fleetstate.PoolDatabase{}}
+	if group.known {
+		view := group.state
+		state.Revision, state.Unconfirmed, state.Term, state.Primary, state.Phase, state.ConfirmedForUs = view.Revision, view.Unconfirmed, view.Term, view.Primary, fleetstate.PhaseName(view.Phase), group.confirmedUntil-now
 	}
-	if g.q.Known() {
-		s.Master = g.q.Master()
+	if group.commits.Known() {
+		state.PrimaryPosition = group.commits.PrimaryPosition()
 	}
-	for _, in := range g.ins {
-		d := fleetstate.PoolDatabase{ID: in.ID, Address: in.Address, Zone: in.Zone, Leaving: in.Leaving, Conns: len(in.conns), Most: t.most(in),
-			Opening: in.opening, Idle: len(in.idle), Running: in.running, Slots: in.slots, Waiting: in.line.len(), Open: in.txs,
-			FailingUs: fleetstate.Never, Level: fleetstate.Never, Named: in.pos}
-		if in.failing > 0 {
-			d.FailingUs = max(now-in.failing, 0)
+	for _, db := range group.databases {
+		dbState := fleetstate.PoolDatabase{ID: db.ID, Address: db.Address, Zone: db.Zone, Draining: db.Draining, Connections: len(db.connections), MaxConnections: t.connectionLimit(db),
+			Opening: db.opening, Idle: len(db.idle), Running: db.running, Slots: db.slots, Waiting: db.queue.len(), OpenTransactions: db.openTransactions,
+			FailingUs: fleetstate.Unknown, AppliedPosition: fleetstate.Unknown, HighestNamed: db.position}
+		if db.failingSince > 0 {
+			dbState.FailingUs = max(now-db.failingSince, 0)
 		}
-		if l, ok := g.q.Level(in.ID); ok {
-			d.Level = l
+		if limit, ok := group.commits.AppliedPosition(db.ID); ok {
+			dbState.AppliedPosition = limit
 		}
-		s.Databases = append(s.Databases, d)
+		state.Databases = append(state.Databases, dbState)
 	}
-	return s
+	return state
 }
--- a/sessiontable/vouched.go
+++ b/sessiontable/vouched.go
@@ -12,47 +12,47 @@
 // rules out; a route that it knows may have been taken out or moved, which may take
 // the time that a change has to be in force everywhere.
 
-// leased reports whether a majority vouches for the routing table at this moment.
-func (t *Table) leased() bool { return t.now < t.until }
+// tableConfirmed reports whether a majority vouches for the routing table at this moment.
+func (t *Table) tableConfirmed() bool { return t.now < t.leaseUntil }
 
 // mayRoute reports whether statements may be routed by the routing table.
-func (t *Table) mayRoute() bool { return t.now < t.until+t.o.RouteUs }
+func (t *Table) mayRoute() bool { return t.now < t.leaseUntil+t.options.RoutingGraceUs }
 
-// noRoute is the refusal of a name that the routing table does not hold.
-func (t *Table) noRoute() (ports.Code, string) {
-	if !t.leased() {
-		t.countRefusedFor("unknown names, the routing table's lease is over")
-		return unvouched()
+// unknownName is the refusal of a name that the routing table does not hold.
+func (t *Table) unknownName() (ports.Code, string) {
+	if !t.tableConfirmed() {
+		t.countRejectionCause("unknown names, the routing table's lease is over")
+		return unconfirmedReply()
 	}
-	t.countRefusedFor("unknown names")
-	if t.now >= t.until {
-		t.checks.Broken(invariant.RoutedUnvouched, "a name was refused %d ms after the lease", (t.now-t.until)/1000)
+	t.countRejectionCause("unknown names")
+	if t.now >= t.leaseUntil {
+		t.checks.Violated(invariant.RoutedUnconfirmed, "a name was refused %d ms after the lease", (t.now-t.leaseUntil)/1000)
 	}
-	return ports.NoDatabase, "no such database"
+	return ports.DatabaseUnavailable, "no such database"
 }
 
-// noTable is the refusal of a statement that cannot be routed now.
-func (t *Table) noTable() (ports.Code, string) {
-	t.countRefusedFor("no majority vouches for the routing table")
-	return unvouched()
+// unconfirmedTable is the refusal of a statement that cannot be routed now.
+func (t *Table) unconfirmedTable() (ports.Code, string) {
+	t.countRejectionCause("no majority vouches for the routing table")
+	return unconfirmedReply()
 }
 
-func unvouched() (ports.Code, string) {
+func unconfirmedReply() (ports.Code, string) {
 	return ports.Busy, "no majority vouches for this node's routing table; retry after 500 ms"
 }
 
-// routed holds that what is routed now is routed by a table that is vouched for.
-func (t *Table) routed() {
-	if t.now >= t.until+t.o.RouteUs {
-		t.checks.Broken(invariant.RoutedUnvouched, "a statement was routed %d ms after the lease", (t.now-t.until)/1000)
+// checkRouted holds that what is routed now is routed by a table that is vouched for.
+func (t *Table) checkRouted() {
+	if t.now >= t.leaseUntil+t.options.RoutingGraceUs {
+		t.checks.Violated(invariant.RoutedUnconfirmed, "a statement was routed %d ms after the lease", (t.now-t.leaseUntil)/1000)
 	}
 }
 
 // needsRoute reports whether a statement outside a transaction begins something by its
 // route, rather than being this node's own to answer.
-func needsRoute(k ports.Kind) bool {
+func needsRoute(k ports.StatementKind) bool {
 	switch k {
-	case ports.Begin, ports.BeginRead, ports.Read, ports.Write, ports.Run:
+	case ports.Begin, ports.BeginRead, ports.Read, ports.Write, ports.Execute:
 		return true
 	}
 	return false
--- a/sessiontable/vouched_test.go
+++ b/sessiontable/vouched_test.go
@@ -10,113 +10,113 @@
 
 const routeForTest = 1_500_000
 
-// opens is the reply to a new session's opening.
-func (x *bench) opens(session uint64, host string) ports.Reply {
-	x.t.Helper()
-	x.step(Opened{Session: session, Host: host})
-	return x.reply().Reply
+// expectOpened is the reply to a new session's opening.
+func (b *bench) expectOpened(session uint64, host string) ports.Reply {
+	b.t.Helper()
+	b.step(SessionOpened{Session: session, Host: host})
+	return b.reply().Reply
 }
 
-// TestUnknownNamesAreRefusedUnderALeaseOnly: a name that a node does not know may
+// TestUnknownNamesNeedLease: a name that a node does not know may
 // have been added since a majority last vouched for its table, so it is told to come
 // back and not that there is no such database.
-func TestUnknownNamesAreRefusedUnderALeaseOnly(t *testing.T) {
-	x := newBench(t, Options{RouteUs: routeForTest})
-	if r := x.opens(1, "added"); r.Code != ports.NoDatabase {
-		t.Fatalf("under a lease: %+v", r)
+func TestUnknownNamesNeedLease(t *testing.T) {
+	bench := newBench(t, Options{RoutingGraceUs: routeForTest})
+	if reply := bench.expectOpened(1, "added"); reply.Code != ports.DatabaseUnavailable {
+		t.Fatalf("under a lease: %+v", reply)
 	}
-	x.open(2, "c")
-	x.pass(1_000_000)
-	if r := x.opens(3, "added"); r.Code != ports.Busy {
-		t.Errorf("after the lease: %+v", r)
+	bench.open(2, "c")
+	bench.pass(1_000_000)
+	if reply := bench.expectOpened(3, "added"); reply.Code != ports.Busy {
+		t.Errorf("after the lease: %+v", reply)
 	}
 	// It is there now, and a name that was taken out is not.
-	x.tab.Revision++
-	x.tab.Routes = append(slices.Clone(x.tab.Routes[1:]), ports.Route{Name: "added", Host: "added", Kind: ports.Current, Group: "g", ExpiryUs: 2_000_000})
-	x.look(1_000_000)
-	x.open(4, "added")
-	x.ask(2, ports.Read, "thing")
-	if r := x.reply(); r.Code != ports.NoDatabase {
-		t.Errorf("a name that was taken out: %+v", r)
+	bench.routes.Revision++
+	bench.routes.Routes = append(slices.Clone(bench.routes.Routes[1:]), ports.Route{Name: "added", Host: "added", Class: ports.CurrentRead, Group: "g", TimeoutUs: 2_000_000})
+	bench.renewLease(1_000_000)
+	bench.open(4, "added")
+	bench.send(2, ports.Read, "thing")
+	if reply := bench.reply(); reply.Code != ports.DatabaseUnavailable {
+		t.Errorf("a name that was taken out: %+v", reply)
 	}
-	if broken := x.b.Checks().Counts(); len(broken) > 0 {
+	if broken := bench.table.Checks().Counts(); len(broken) > 0 {
 		t.Error(broken)
 	}
 }
 
-// TestNothingIsRoutedByAnOldTable: a node without a lease routes for as long as a
+// TestNoRoutingByOldTable: a node without a lease routes for as long as a
 // change may take to be in force, and no longer; what has begun goes on.
-func TestNothingIsRoutedByAnOldTable(t *testing.T) {
-	for _, kind := range []ports.Kind{ports.Read, ports.Write, ports.Begin, ports.BeginRead} {
-		x := newBench(t, Options{RouteUs: routeForTest})
-		x.open(1, "c")
-		x.open(2, "c")
-		x.ask(2, ports.Begin)
-		x.pass(1_000_000 + routeForTest - 100_000)
-		if r := x.opens(3, "c"); r.Code != ports.Done {
-			t.Errorf("within the time: %+v", r)
+func TestNoRoutingByOldTable(t *testing.T) {
+	for _, kind := range []ports.StatementKind{ports.Read, ports.Write, ports.Begin, ports.BeginRead} {
+		bench := newBench(t, Options{RoutingGraceUs: routeForTest})
+		bench.open(1, "c")
+		bench.open(2, "c")
+		bench.send(2, ports.Begin)
+		bench.pass(1_000_000 + routeForTest - 100_000)
+		if reply := bench.expectOpened(3, "c"); reply.Code != ports.Done {
+			t.Errorf("within the time: %+v", reply)
 		}
-		x.pass(200_000)
-		if r := x.opens(4, "c"); r.Code != ports.Busy {
-			t.Errorf("a session opens by an old table: %+v", r)
+		bench.pass(200_000)
+		if reply := bench.expectOpened(4, "c"); reply.Code != ports.Busy {
+			t.Errorf("a session opens by an old table: %+v", reply)
 		}
-		x.ask(1, kind, "thing", "new")
-		if r := x.reply(); r.Code != ports.Busy || r.State != ports.Idle {
-			t.Errorf("%d was routed by an old table: %+v", kind, r)
+		bench.send(1, kind, "thing", "new")
+		if reply := bench.reply(); reply.Code != ports.Busy || reply.State != ports.Idle {
+			t.Errorf("%d was routed by an old table: %+v", kind, reply)
 		}
-		x.ask(1, ports.SetValue, "name", "text")
-		if r := x.reply(); r.Code != ports.Done {
-			t.Errorf("a value needs no route: %+v", r)
+		bench.send(1, ports.SetValue, "name", "text")
+		if reply := bench.reply(); reply.Code != ports.Done {
+			t.Errorf("a value needs no route: %+v", reply)
 		}
-		x.ask(2, ports.Rollback)
-		if r := x.reply(); r.Code != ports.Done || r.State != ports.Idle {
-			t.Errorf("the end of a transaction: %+v", r)
+		bench.send(2, ports.Rollback)
+		if reply := bench.reply(); reply.Code != ports.Done || reply.State != ports.Idle {
+			t.Errorf("the end of a transaction: %+v", reply)
 		}
-		if broken := x.b.Checks().Counts(); len(broken) > 0 {
+		if broken := bench.table.Checks().Counts(); len(broken) > 0 {
 			t.Error(broken)
 		}
 	}
 }
 
-// TestCheckSeesAnUnvouchedRoute: where the guard is skipped the check counts it.
-func TestCheckSeesAnUnvouchedRoute(t *testing.T) {
-	x := newBench(t, Options{RouteUs: routeForTest})
-	x.pass(1_000_000 + routeForTest)
-	x.b.routed()
-	if n := x.b.Checks().Counts()[string(invariant.RoutedUnvouched)]; n != 1 {
+// TestCheckSeesUnconfirmedRoute: where the guard is skipped the check counts it.
+func TestCheckSeesUnconfirmedRoute(t *testing.T) {
+	bench := newBench(t, Options{RoutingGraceUs: routeForTest})
+	bench.pass(1_000_000 + routeForTest)
+	bench.table.checkRouted()
+	if n := bench.table.Checks().Counts()[string(invariant.RoutedUnconfirmed)]; n != 1 {
 		t.Errorf("counted %d times", n)
 	}
-	if fresh := x.b.Checks().Take(); len(fresh) != 1 {
+	if fresh := bench.table.Checks().TakeNew(); len(fresh) != 1 {
 		t.Errorf("said %v", fresh)
 	}
 }
 
-// TestAnInstanceThatComesBackLeavesOn: an instance that leaves, is taken for gone for
+// TestReturningInstanceKeepsDraining: an instance that leaves, is taken for gone for
 // a moment and is announced again does not get its time to leave anew.
-func TestAnInstanceThatComesBackLeavesOn(t *testing.T) {
-	x := newBench(t, Options{DrainUs: 3_000_000})
-	x.ins[1].Leaving = true
-	x.look(10_000_000)
-	x.pass(2_000_000)
-	all := slices.Clone(x.ins)
-	x.ins = slices.Delete(x.ins, 1, 2)
-	x.look(10_000_000)
-	x.pass(100_000)
-	x.ins = all
-	x.look(10_000_000)
-	x.pass(1_000_000)
-	if in := x.b.ins["y"]; in == nil || !x.b.drained(in) {
-		t.Errorf("%+v is given something new", in)
+func TestReturningInstanceKeepsDraining(t *testing.T) {
+	bench := newBench(t, Options{DrainTimeoutUs: 3_000_000})
+	bench.instances[1].Draining = true
+	bench.renewLease(10_000_000)
+	bench.pass(2_000_000)
+	all := slices.Clone(bench.instances)
+	bench.instances = slices.Delete(bench.instances, 1, 2)
+	bench.renewLease(10_000_000)
+	bench.pass(100_000)
+	bench.instances = all
+	bench.renewLease(10_000_000)
+	bench.pass(1_000_000)
+	if db := bench.table.databases["y"]; db == nil || !bench.table.drained(db) {
+		t.Errorf("%+v is given something new", db)
 	}
 }
 
-// TestAnInstanceFirstHeardOfAsLeaving: a node that starts, and hears of an instance that
+// TestInstanceFirstSeenDraining: a node that starts, and hears of an instance that
 // leaves, does not know since when; its time may be over already.
-func TestAnInstanceFirstHeardOfAsLeaving(t *testing.T) {
-	x := newBench(t, Options{DrainUs: 3_000_000})
-	x.ins = append(x.ins, ports.Instance{ID: "w", Group: "g", Address: "w", Zone: "a", Capacity: 4, Call: 1, Leaving: true})
-	x.look(10_000_000)
-	if in := x.b.ins["w"]; in == nil || !x.b.drained(in) {
-		t.Errorf("%+v is given something new", in)
+func TestInstanceFirstSeenDraining(t *testing.T) {
+	bench := newBench(t, Options{DrainTimeoutUs: 3_000_000})
+	bench.instances = append(bench.instances, ports.Instance{ID: "w", Group: "g", Address: "w", Zone: "a", Capacity: 4, AnnouncementNumber: 1, Draining: true})
+	bench.renewLease(10_000_000)
+	if db := bench.table.databases["w"]; db == nil || !bench.table.drained(db) {
+		t.Errorf("%+v is given something new", db)
 	}
 }
--- a/sessiontable/world_test.go
+++ b/sessiontable/world_test.go
@@ -21,174 +21,174 @@
 
 type events []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	x := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (q events) Len() int { return len(q) }
+func (q events) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+}
+func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *events) Pop() any {
+	x := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return x
 }
 
 // entry is one commit in a log.
 type entry struct {
-	pos ports.Position
-	ids []string // the writes it keeps
+	position ports.Position
+	ids      []string // the writes it keeps
 }
 
 // fakeConn is a connection as its database sees it.
 type fakeConn struct {
-	id       uint64
-	d        *fakeDB
-	closed   bool
-	values   map[string]string
-	prepared map[string]shapeKey
-	tx       string // id of the beginning, "" for none
-	plain    bool
-	writes   []string
-	broken   bool
-	ops      []ports.Op
-	running  bool
-	silent   bool              // its answers are lost
-	before   map[string]string // values before the transaction
-	inAt     int64
-	outAt    int64
+	id           uint64
+	db           *fakeDB
+	closed       bool
+	values       map[string]string
+	prepared     map[string]shapeKey
+	tx           string // id of the beginning, "" for none
+	plain        bool
+	writes       []string
+	broken       bool
+	ops          []ports.Op
+	running      bool
+	unresponsive bool              // its answers are lost
+	before       map[string]string // values before the transaction
+	inAt         int64
+	outAt        int64
 }
 
 // inOrder is the delay of the next on a connection, which keeps the order.
-func (w *world) inOrder(at *int64) int64 {
-	*at = max(*at, w.now+w.between(200, 900))
-	return *at - w.now
+func (env *environment) inOrder(at *int64) int64 {
+	*at = max(*at, env.now+env.between(200, 900))
+	return *at - env.now
 }
 
 // fakeDB is one database.
 type fakeDB struct {
-	w       *world
-	id      string
-	zone    string
-	log     []entry
-	applied int
-	term    uint64 // it leads in, 0 for none
-	held    bool
-	alive   bool
-	dark    bool
-	leaving bool
-	slots   int
-	busy    int
-	lag     int64
-	conns   map[uint64]*fakeConn
-	call    uint64
-}
-
-func (d *fakeDB) position() ports.Position {
-	if d.applied == 0 {
+	env          *environment
+	id           string
+	zone         string
+	log          []entry
+	applied      int
+	term         uint64 // it leads in, 0 for none
+	frozen       bool
+	alive        bool
+	unresponsive bool
+	draining     bool
+	slots        int
+	busy         int
+	lag          int64
+	conns        map[uint64]*fakeConn
+	call         uint64
+}
+
+func (db *fakeDB) position() ports.Position {
+	if db.applied == 0 {
 		return ports.Position{}
 	}
-	return d.log[d.applied-1].pos
+	return db.log[db.applied-1].position
 }
 
-func (d *fakeDB) has(p ports.Position) bool {
+func (db *fakeDB) has(p ports.Position) bool {
 	if !p.Known() {
 		return true
 	}
 	n := int(p.Number)
-	return d.applied >= n && (d.log[n-1].pos.Term == p.Term || d.position().Term > p.Term && d.log[n-1].pos.Term >= p.Term)
-}
-
-// truth is a statement as its caller asked it.
-type truth struct {
-	c      *client
-	kind   ports.Kind
-	tx     string // its transaction's beginning
-	at     int64  // its arrival, or its transaction's
-	values map[string]string
-	shape  shapeKey
-	route  ports.Route
-	floor  ports.Position
-	ran    int
-	told   bool
-	void   bool // its caller was told that nothing is kept
-	code   ports.Code
-}
-
-type ack struct {
-	at  int64
-	pos ports.Position
+	return db.applied >= n && (db.log[n-1].position.Term == p.Term || db.position().Term > p.Term && db.log[n-1].position.Term >= p.Term)
+}
+
+// oracle is a statement as its caller asked it.
+type oracle struct {
+	client           *client
+	kind             ports.StatementKind
+	tx               string // its transaction's beginning
+	at               int64  // its arrival, or its transaction's
+	values           map[string]string
+	shape            shapeKey
+	route            ports.Route
+	floor            ports.Position
+	ran              int
+	answered         bool
+	nothingCommitted bool // its caller was told that nothing is kept
+	code             ports.Code
+}
+
+type acknowledgement struct {
+	at       int64
+	position ports.Position
 }
 
 // client is one caller.
 type client struct {
-	session  uint64
-	host     string
-	values   map[string]string
-	prepared map[string]shapeKey
-	tx       string
-	txAt     int64
-	state    ports.State
-	asked    string // statement under way
-	kind     ports.Kind
-	pend     func() // what is in force once it is done
-	floor    ports.Position
-	left     bool
-	writes   []string // of its transaction
-	readOnly bool
-}
-
-// plan says what may go wrong in a world.
-type plan struct {
-	busy, lose, cut, silent, crash, changes, leave, cutOff, apart, brokenBegin bool
-	forgets                                                                    bool // a rollback undoes values set in its transaction
-	alone                                                                      bool // no other node commits
-}
-
-// world is a table among fake databases, callers and voters.
-type world struct {
-	t      testing.TB
-	b      *Table
-	r      *rand.Rand
-	p      plan
-	now    int64
-	evs    events
-	seq    int
-	dbs    []*fakeDB
-	fconns map[uint64]*fakeConn
-	tr     map[string]*truth
-	acks   []ack
-	byID   map[uint64]*client
-	next   uint64
-	ids    int
-	lead   ports.Leadership
-	frozen bool // a change is under way
-	cut    bool // looks get no returns
-	leaseU int64
-	given  int64 // newest lease given
-	codes  map[ports.Code]int
-	routes []ports.Route
-	trace  []string
-	follow int
-	stopAt int64
-	looked bool
-	shuts  int
-}
-
-func (w *world) after(us int64, f func()) {
-	w.seq++
-	binheap.Push(&w.evs, event{w.now + max(us, 0), w.seq, f})
-}
-
-func (w *world) between(a, b int64) int64 { return a + w.r.Int64N(b-a+1) }
-func (w *world) odds(n int) bool          { return w.r.IntN(n) == 0 }
-
-func (w *world) note(f string, a ...any) {
-	w.trace = append(w.trace, fmt.Sprintf("%d ", w.now)+fmt.Sprintf(f, a...))
-}
-
-func (w *world) fatal(f string, a ...any) {
-	w.t.Helper()
-	w.t.Fatalf("at %d: %s\n%s", w.now, fmt.Sprintf(f, a...), joined(w.trace))
+	session     uint64
+	host        string
+	values      map[string]string
+	prepared    map[string]shapeKey
+	tx          string
+	txAt        int64
+	state       ports.TransactionState
+	statementID string // statement under way
+	kind        ports.StatementKind
+	onDone      func() // what is in force once it is done
+	floor       ports.Position
+	closed      bool
+	writes      []string // of its transaction
+	readOnly    bool
+}
+
+// faultPlan says what may go wrong in a world.
+type faultPlan struct {
+	busy, loseAnswers, cutConnections, unresponsive, crash, primaryChanges, drain, partitioned, separateBegin, brokenBegin bool
+	rollbackRestoresValues                                                                                                 bool // a rollback undoes values set in its transaction
+	onlyThisNode                                                                                                           bool // no other node commits
+}
+
+// environment is a table among fake databases, callers and voters.
+type environment struct {
+	t               testing.TB
+	table           *Table
+	rand            *rand.Rand
+	faults          faultPlan
+	now             int64
+	events          events
+	seq             int
+	dbs             []*fakeDB
+	connections     map[uint64]*fakeConn
+	oracles         map[string]*oracle
+	acks            []acknowledgement
+	clients         map[uint64]*client
+	lastSession     uint64
+	ids             int
+	leadership      ports.Leadership
+	primaryChanging bool // a change is under way
+	partitioned     bool // looks get no returns
+	leaseUs         int64
+	leaseGivenUntil int64 // newest lease given
+	codes           map[ports.Code]int
+	routes          []ports.Route
+	trace           []string
+	replicaReads    int
+	stopAt          int64
+	leaseRequested  bool
+	sessionsClosed  int
+}
+
+func (env *environment) after(durationUs int64, f func()) {
+	env.seq++
+	binheap.Push(&env.events, event{env.now + max(durationUs, 0), env.seq, f})
+}
+
+func (env *environment) between(a, b int64) int64 { return a + env.rand.Int64N(b-a+1) }
+func (env *environment) odds(n int) bool          { return env.rand.IntN(n) == 0 }
+
+func (env *environment) logf(f string, a ...any) {
+	env.trace = append(env.trace, fmt.Sprintf("%d ", env.now)+fmt.Sprintf(f, a...))
+}
+
+func (env *environment) fatal(f string, a ...any) {
+	env.t.Helper()
+	env.t.Fatalf("at %d: %s\n%s", env.now, fmt.Sprintf(f, a...), joined(env.trace))
 }
 
 func joined(l []string) (s string) {
@@ -198,149 +198,149 @@
 	return s
 }
 
-func newWorld(t testing.TB, seed uint64, p plan) *world {
-	w := &world{
-		t: t, r: rand.New(rand.NewPCG(seed, 7)), p: p, fconns: map[uint64]*fakeConn{}, tr: map[string]*truth{},
-		byID: map[uint64]*client{}, codes: map[ports.Code]int{}, leaseU: 400_000, now: 1_000_000,
+func newEnvironment(t testing.TB, seed uint64, p faultPlan) *environment {
+	env := &environment{
+		t: t, rand: rand.New(rand.NewPCG(seed, 7)), faults: p, connections: map[uint64]*fakeConn{}, oracles: map[string]*oracle{},
+		clients: map[uint64]*client{}, codes: map[ports.Code]int{}, leaseUs: 400_000, now: 1_000_000,
 	}
-	w.b = New(seed, "a", Options{LeaseUs: w.leaseU, BeginApart: p.apart})
+	env.table = New(seed, "a", Options{LeaseUs: env.leaseUs, SeparateBegin: p.separateBegin})
 	for i, id := range []string{"x", "y", "z"} {
-		d := &fakeDB{w: w, id: id, zone: []string{"a", "b", "c"}[i], alive: true, slots: 4, lag: w.between(1_000, 40_000), conns: map[uint64]*fakeConn{}, call: 1}
-		w.dbs = append(w.dbs, d)
+		db := &fakeDB{env: env, id: id, zone: []string{"a", "b", "c"}[i], alive: true, slots: 4, lag: env.between(1_000, 40_000), conns: map[uint64]*fakeConn{}, call: 1}
+		env.dbs = append(env.dbs, db)
 	}
-	w.dbs[0].term = 1
-	w.lead = ports.Leadership{Revision: 1, Term: 1, Primary: "x", Phase: ports.PhaseOpen, ExpectUs: 600_000}
-	w.routes = []ports.Route{
-		{Name: "c", Host: "c", Prefix: "/", Kind: ports.Current, Group: "g", ExpiryUs: 2_000_000, AimUs: 300_000, Rank: 1},
-		{Name: "b", Host: "b", Prefix: "/", Kind: ports.Bounded, Group: "g", ExpiryUs: 3_000_000, AimUs: 500_000, StaleUs: 500_000, Rank: 2},
-		{Name: "p", Host: "p", Prefix: "/", Kind: ports.Pinned, Group: "g", ExpiryUs: 2_000_000, AimUs: 300_000, StaleUs: 900_000, Rank: 2},
+	env.dbs[0].term = 1
+	env.leadership = ports.Leadership{Revision: 1, Term: 1, Primary: "x", Phase: ports.PhaseServing, LastFailoverUs: 600_000}
+	env.routes = []ports.Route{
+		{Name: "c", Host: "c", Prefix: "/", Class: ports.CurrentRead, Group: "g", TimeoutUs: 2_000_000, LatencyTargetUs: 300_000, Rank: 1},
+		{Name: "b", Host: "b", Prefix: "/", Class: ports.BoundedStaleness, Group: "g", TimeoutUs: 3_000_000, LatencyTargetUs: 500_000, MaxStalenessUs: 500_000, Rank: 2},
+		{Name: "p", Host: "p", Prefix: "/", Class: ports.ReadYourWrites, Group: "g", TimeoutUs: 2_000_000, LatencyTargetUs: 300_000, MaxStalenessUs: 900_000, Rank: 2},
 	}
-	return w
+	return env
 }
 
-func (w *world) db(id string) *fakeDB {
-	for _, d := range w.dbs {
-		if d.id == id {
-			return d
+func (env *environment) db(id string) *fakeDB {
+	for _, db := range env.dbs {
+		if db.id == id {
+			return db
 		}
 	}
 	return nil
 }
 
 // step gives the table events and does what it says.
-func (w *world) step(evs ...any) {
-	for _, e := range w.b.Step(w.now, evs...) {
-		w.effect(e)
+func (env *environment) step(events ...any) {
+	for _, e := range env.table.Step(env.now, events...) {
+		env.effect(e)
 	}
-	checkAll(w.t, w.b)
+	checkAll(env.t, env.table)
 }
 
 // runUntil plays the world up to a moment.
-func (w *world) runUntil(end int64) {
+func (env *environment) runUntil(end int64) {
 	ticks := 0
 	for {
 		at := int64(math.MaxInt64)
-		if len(w.evs) > 0 {
-			at = w.evs[0].at
+		if len(env.events) > 0 {
+			at = env.events[0].at
 		}
-		if d := w.b.Due(); d < at {
-			at = max(d, w.now)
+		if d := env.table.Due(); d < at {
+			at = max(d, env.now)
 			if at > end {
 				break
 			}
-			if at == w.now {
+			if at == env.now {
 				if ticks++; ticks > 1000 {
-					w.fatal("it is due again and again")
+					env.fatal("it is due again and again")
 				}
 			} else {
 				ticks = 0
 			}
-			w.now = at
-			w.step(Tick{})
+			env.now = at
+			env.step(Tick{})
 			continue
 		}
 		if at > end {
 			break
 		}
-		w.now = at
-		e := binheap.Pop(&w.evs).(event)
+		env.now = at
+		e := binheap.Pop(&env.events).(event)
 		e.do()
 	}
-	w.now = end
+	env.now = end
 }
 
-func (w *world) effect(e Effect) {
+func (env *environment) effect(e Effect) {
 	switch e := e.(type) {
 	case Reply:
-		w.reply(e)
-	case Shut:
-		w.shuts++
-		c := w.byID[e.Session]
+		env.reply(e)
+	case CloseSession:
+		env.sessionsClosed++
+		c := env.clients[e.Session]
 		if c == nil {
-			w.fatal("session %d is shut and is none", e.Session)
+			env.fatal("session %d is shut and is none", e.Session)
 		}
-		if c.asked != "" {
-			w.fatal("session %d is shut in the middle of a statement", e.Session)
+		if c.statementID != "" {
+			env.fatal("session %d is shut in the middle of a statement", e.Session)
 		}
-		delete(w.byID, e.Session)
-		c.left = true
+		delete(env.clients, e.Session)
+		c.closed = true
 	case Connect:
-		w.connect(e)
+		env.connect(e)
 	case Send:
-		fc := w.fconns[e.Conn]
-		if fc == nil || fc.closed {
+		conn := env.connections[e.Conn]
+		if conn == nil || conn.closed {
 			return // broken, and the table is yet to learn it
 		}
 		if len(e.Ops) == 0 {
-			w.fatal("nothing is sent")
+			env.fatal("nothing is sent")
 		}
 		for _, op := range e.Ops {
-			if !op.Own {
-				w.note("conn %d at %s: %s %d after %v", e.Conn, fc.d.id, op.St.ID, op.St.Kind, op.After)
+			if !op.Internal {
+				env.logf("conn %d at %s: %s %d after %v", e.Conn, conn.db.id, op.Statement.ID, op.Statement.Kind, op.After)
 			} else {
-				w.note("conn %d at %s: own %d %s", e.Conn, fc.d.id, op.St.Kind, op.St.Name)
+				env.logf("conn %d at %s: own %d %s", e.Conn, conn.db.id, op.Statement.Kind, op.Statement.Name)
 			}
 		}
-		w.after(w.inOrder(&fc.inAt), func() {
-			if fc.closed {
+		env.after(env.inOrder(&conn.inAt), func() {
+			if conn.closed {
 				return
 			}
-			fc.ops = append(fc.ops, e.Ops...)
-			fc.next()
+			conn.ops = append(conn.ops, e.Ops...)
+			conn.next()
 		})
-	case Close:
-		fc := w.fconns[e.Conn]
-		if fc != nil {
-			w.note("conn %d is closed", e.Conn)
-			w.after(w.between(200, 900), func() { fc.close() })
-			delete(w.fconns, e.Conn)
+	case CloseConnection:
+		conn := env.connections[e.Conn]
+		if conn != nil {
+			env.logf("conn %d is closed", e.Conn)
+			env.after(env.between(200, 900), func() { conn.close() })
+			delete(env.connections, e.Conn)
 		}
-	case Look:
-		if !w.looked {
-			w.looked = true
-			w.after(0, w.look)
+	case RenewLease:
+		if !env.leaseRequested {
+			env.leaseRequested = true
+			env.after(0, env.renewLease)
 		}
 	}
 }
 
-func (w *world) connect(e Connect) {
-	d := w.db(e.ID)
-	w.after(w.between(1_000, 12_000), func() {
+func (env *environment) connect(e Connect) {
+	db := env.db(e.ID)
+	env.after(env.between(1_000, 12_000), func() {
 		switch {
-		case d == nil || !d.alive:
-			w.step(Connected{Conn: e.Conn, Err: "not there", NotThere: true})
-		case d.dark:
-			w.after(e.WaitUs, func() { w.step(Connected{Conn: e.Conn, Err: "silent"}) })
-		case w.p.busy && w.odds(20):
-			w.step(Connected{Conn: e.Conn, Err: "too many", Code: ports.TooMany})
+		case db == nil || !db.alive:
+			env.step(ConnectEnded{Conn: e.Conn, Err: "not there", ConnectionRefused: true})
+		case db.unresponsive:
+			env.after(e.WaitUs, func() { env.step(ConnectEnded{Conn: e.Conn, Err: "silent"}) })
+		case env.faults.busy && env.odds(20):
+			env.step(ConnectEnded{Conn: e.Conn, Err: "too many", Code: ports.TooManyConnections})
 		default:
-			fc := &fakeConn{id: e.Conn, d: d, values: map[string]string{}, prepared: map[string]shapeKey{}}
-			if w.p.silent && w.odds(30) {
-				w.after(w.between(10_000, 400_000), func() { fc.silent = true })
+			conn := &fakeConn{id: e.Conn, db: db, values: map[string]string{}, prepared: map[string]shapeKey{}}
+			if env.faults.unresponsive && env.odds(30) {
+				env.after(env.between(10_000, 400_000), func() { conn.unresponsive = true })
 			}
-			d.conns[e.Conn] = fc
-			w.fconns[e.Conn] = fc
-			w.step(Connected{Conn: e.Conn, Position: d.position()})
+			db.conns[e.Conn] = conn
+			env.connections[e.Conn] = conn
+			env.step(ConnectEnded{Conn: e.Conn, Position: db.position()})
 		}
 	})
 }
@@ -349,19 +349,19 @@
 func (c *fakeConn) close() {
 	c.closed = true
 	c.tx, c.writes = "", nil
-	delete(c.d.conns, c.id)
+	delete(c.db.conns, c.id)
 }
 
-// cutNow breaks a connection from the database's side.
-func (c *fakeConn) cutNow() {
+// disconnect breaks a connection from the database's side.
+func (c *fakeConn) disconnect() {
 	if c.closed {
 		return
 	}
-	w := c.d.w
+	env := c.db.env
 	c.close()
-	if w.fconns[c.id] == c {
-		delete(w.fconns, c.id)
-		w.after(w.between(200, 900), func() { w.step(Lost{Conn: c.id, Err: "cut", Cut: true}) })
+	if env.connections[c.id] == c {
+		delete(env.connections, c.id)
+		env.after(env.between(200, 900), func() { env.step(ConnectionLost{Conn: c.id, Err: "cut", Disconnected: true}) })
 	}
 }
 
@@ -369,169 +369,169 @@
 	if c.running || len(c.ops) == 0 || c.closed {
 		return
 	}
-	d, w := c.d, c.d.w
-	if d.dark {
-		w.after(50_000, c.next)
+	db, env := c.db, c.db.env
+	if db.unresponsive {
+		env.after(50_000, c.next)
 		return
 	}
 	op := c.ops[0]
 	c.ops = c.ops[1:]
-	slot := op.St.Kind == ports.Read || op.St.Kind == ports.Write || op.St.Kind == ports.Run || op.St.Kind == ports.Commit
+	slot := op.Statement.Kind == ports.Read || op.Statement.Kind == ports.Write || op.Statement.Kind == ports.Execute || op.Statement.Kind == ports.Commit
 	if !slot {
 		c.answer(op, c.do(op))
 		c.next()
 		return
 	}
-	if d.busy >= d.slots || w.p.busy && w.odds(30) {
-		an := ports.Answer{Code: ports.Busy, Text: "busy", Position: d.position(), State: c.state()}
+	if db.busy >= db.slots || env.faults.busy && env.odds(30) {
+		answer := ports.Response{Code: ports.Busy, Text: "busy", Position: db.position(), State: c.state()}
 		if c.broken {
-			an.Code = ports.Malformed
+			answer.Code = ports.Malformed
 		}
-		if c.tx != "" && w.odds(2) {
+		if c.tx != "" && env.odds(2) {
 			c.broken = true
-			an.State = ports.Broken
+			answer.State = ports.TransactionFailed
 		}
-		c.answer(op, an)
+		c.answer(op, answer)
 		c.next()
 		return
 	}
-	d.busy++
+	db.busy++
 	c.running = true
-	w.after(w.between(1_000, 9_000), func() {
-		d.busy--
+	env.after(env.between(1_000, 9_000), func() {
+		db.busy--
 		c.running = false
-		if !d.alive {
+		if !db.alive {
 			return
 		}
-		if tr := w.tr[op.St.ID]; c.closed && tr != nil && tr.tx != "" {
+		if expected := env.oracles[op.Statement.ID]; c.closed && expected != nil && expected.tx != "" {
 			return // its transaction is gone
 		}
-		if d.dark {
+		if db.unresponsive {
 			return
 		}
-		an := c.do(op)
-		if w.p.lose && w.odds(150) {
-			if w.odds(2) {
-				c.silent = true
+		answer := c.do(op)
+		if env.faults.loseAnswers && env.odds(150) {
+			if env.odds(2) {
+				c.unresponsive = true
 			} else {
-				c.cutNow()
+				c.disconnect()
 				return
 			}
 		}
-		if an.Code == ports.Code(200) {
+		if answer.Code == ports.Code(200) {
 			return // never ends: no follower receives it
 		}
-		c.answer(op, an)
+		c.answer(op, answer)
 		c.next()
 	})
 }
 
-func (c *fakeConn) state() ports.State {
+func (c *fakeConn) state() ports.TransactionState {
 	switch {
 	case c.broken:
-		return ports.Broken
+		return ports.TransactionFailed
 	case c.tx != "":
-		return ports.Open
+		return ports.InTransaction
 	}
 	return ports.Idle
 }
 
-func (c *fakeConn) answer(op ports.Op, an ports.Answer) {
-	w := c.d.w
-	if c.silent || c.closed {
+func (c *fakeConn) answer(op ports.Op, answer ports.Response) {
+	env := c.db.env
+	if c.unresponsive || c.closed {
 		return
 	}
-	w.after(w.inOrder(&c.outAt), func() {
-		if !c.closed && w.fconns[c.id] == c {
-			w.step(Answered{Conn: c.id, Answer: an})
+	env.after(env.inOrder(&c.outAt), func() {
+		if !c.closed && env.connections[c.id] == c {
+			env.step(AnswerReceived{Conn: c.id, Answer: answer})
 		}
 	})
 }
 
 // do runs an op at the database.
-func (c *fakeConn) do(op ports.Op) ports.Answer {
-	d, w := c.d, c.d.w
-	ok := func(stamped bool) ports.Answer {
-		return ports.Answer{Stamped: stamped, Body: []byte(op.St.ID), State: c.state(), Position: d.position()}
-	}
-	bad := func(code ports.Code) ports.Answer {
-		if c.tx != "" || op.St.Kind == ports.Begin || op.St.Kind == ports.BeginRead {
-			if c.tx != "" || w.p.brokenBegin {
+func (c *fakeConn) do(op ports.Op) ports.Response {
+	db, env := c.db, c.db.env
+	ok := func(stamped bool) ports.Response {
+		return ports.Response{Stamped: stamped, Body: []byte(op.Statement.ID), State: c.state(), Position: db.position()}
+	}
+	bad := func(code ports.Code) ports.Response {
+		if c.tx != "" || op.Statement.Kind == ports.Begin || op.Statement.Kind == ports.BeginRead {
+			if c.tx != "" || env.faults.brokenBegin {
 				c.broken = true
 			}
 		}
-		return ports.Answer{Code: code, Text: "no", Body: []byte(op.St.ID), State: c.state(), Position: d.position()}
+		return ports.Response{Code: code, Text: "no", Body: []byte(op.Statement.ID), State: c.state(), Position: db.position()}
 	}
-	st := op.St
-	if op.Own {
-		switch st.Kind {
+	statement := op.Statement
+	if op.Internal {
+		switch statement.Kind {
 		case ports.Reset:
 			c.values, c.prepared = map[string]string{}, map[string]shapeKey{}
 		case ports.SetValue:
-			c.values[st.Name] = st.Text
+			c.values[statement.Name] = statement.Text
 		case ports.Prepare:
-			c.prepared[st.Name] = shapeKey{st.Writes, st.Text}
+			c.prepared[statement.Name] = shapeKey{statement.Writes, statement.Text}
 		case ports.Rollback:
 			c.tx, c.writes, c.broken = "", nil, false
-			if w.p.forgets && c.before != nil {
+			if env.faults.rollbackRestoresValues && c.before != nil {
 				c.values = c.before
 			}
 			c.before = nil
 		default:
-			w.fatal("own op %d", st.Kind)
+			env.fatal("own op %d", statement.Kind)
 		}
 		return ok(false)
 	}
 	if c.broken {
-		if st.Kind == ports.Commit {
+		if statement.Kind == ports.Commit {
 			c.tx, c.writes, c.broken = "", nil, false
-			if w.p.forgets && c.before != nil {
+			if env.faults.rollbackRestoresValues && c.before != nil {
 				c.values = c.before
 			}
 			c.before = nil
-			return ports.Answer{Code: ports.RolledBack, Text: "failed before", State: ports.Idle, Position: d.position()}
+			return ports.Response{Code: ports.RolledBack, Text: "failed before", State: ports.Idle, Position: db.position()}
 		}
-		return ports.Answer{Code: ports.Malformed, Text: "failed before", State: ports.Broken, Position: d.position()}
+		return ports.Response{Code: ports.Malformed, Text: "failed before", State: ports.TransactionFailed, Position: db.position()}
 	}
-	tr := w.tr[st.ID]
-	if tr == nil {
-		w.fatal("a statement runs that nobody asked: %s", st.ID)
+	expected := env.oracles[statement.ID]
+	if expected == nil {
+		env.fatal("a statement runs that nobody asked: %s", statement.ID)
 	}
-	if op.After.Known() && !d.has(op.After) {
+	if op.After.Known() && !db.has(op.After) {
 		return bad(ports.Lagging)
 	}
-	if st.Kind == ports.Begin || st.Kind == ports.BeginRead {
+	if statement.Kind == ports.Begin || statement.Kind == ports.BeginRead {
 		if c.tx != "" {
-			w.fatal("%s begins inside %s", st.ID, c.tx)
+			env.fatal("%s begins inside %s", statement.ID, c.tx)
 		}
-		if st.Kind == ports.Begin && d.term == 0 {
+		if statement.Kind == ports.Begin && db.term == 0 {
 			return bad(ports.ReadOnly)
 		}
-		c.tx, c.plain, c.writes, c.before = st.ID, st.Kind == ports.Begin, nil, maps.Clone(c.values)
+		c.tx, c.plain, c.writes, c.before = statement.ID, statement.Kind == ports.Begin, nil, maps.Clone(c.values)
 		return ok(false)
 	}
-	if c.tx != tr.tx {
-		w.fatal("%s of transaction %q runs in %q on %d", st.ID, tr.tx, c.tx, c.id)
+	if c.tx != expected.tx {
+		env.fatal("%s of transaction %q runs in %q on %d", statement.ID, expected.tx, c.tx, c.id)
 	}
-	if c.tx != "" && c.plain && d.term == 0 && !(st.Kind == ports.Commit && len(c.writes) == 0) {
+	if c.tx != "" && c.plain && db.term == 0 && !(statement.Kind == ports.Commit && len(c.writes) == 0) {
 		return bad(ports.ReadOnly)
 	}
-	if st.Kind != ports.Commit && !maps.Equal(c.values, tr.values) {
-		w.fatal("%s runs with %v and not %v on %d", st.ID, c.values, tr.values, c.id)
+	if statement.Kind != ports.Commit && !maps.Equal(c.values, expected.values) {
+		env.fatal("%s runs with %v and not %v on %d", statement.ID, c.values, expected.values, c.id)
 	}
-	write := st.Kind == ports.Write
-	if st.Kind == ports.Run {
+	write := statement.Kind == ports.Write
+	if statement.Kind == ports.Execute {
 		sh, is := c.prepared[op.Name]
-		if !is || sh != tr.shape {
-			w.fatal("%s runs %q as %v and not %v", st.ID, op.Name, sh, tr.shape)
+		if !is || sh != expected.shape {
+			env.fatal("%s runs %q as %v and not %v", statement.ID, op.Name, sh, expected.shape)
 		}
 		write = sh.writes
 	}
-	if w.p.lose && w.odds(200) && st.Kind != ports.Commit {
+	if env.faults.loseAnswers && env.odds(200) && statement.Kind != ports.Commit {
 		return bad(ports.Failed)
 	}
 	switch {
-	case st.Kind == ports.Commit:
+	case statement.Kind == ports.Commit:
 		ids := c.writes
 		c.tx, c.writes, c.before = "", nil, nil
 		if len(ids) == 0 {
@@ -542,46 +542,46 @@
 		if !c.plain {
 			return bad(ports.ReadOnly)
 		}
-		c.writes = append(c.writes, st.ID)
+		c.writes = append(c.writes, statement.ID)
 		return ok(true)
 	case write:
-		if d.term == 0 {
+		if db.term == 0 {
 			return bad(ports.ReadOnly)
 		}
-		return c.commit(op, []string{st.ID})
+		return c.commit(op, []string{statement.ID})
 	}
-	w.fresh(d, st.ID, tr)
+	env.checkFreshness(db, statement.ID, expected)
 	return ok(true)
 }
 
 // commit keeps writes. It is acknowledged if a follower received it.
-func (c *fakeConn) commit(op ports.Op, ids []string) ports.Answer {
-	d, w := c.d, c.d.w
-	if d.term == 0 {
-		return ports.Answer{Code: ports.ReadOnly, Text: "no", State: c.state(), Position: d.position()}
+func (c *fakeConn) commit(op ports.Op, ids []string) ports.Response {
+	db, env := c.db, c.db.env
+	if db.term == 0 {
+		return ports.Response{Code: ports.ReadOnly, Text: "no", State: c.state(), Position: db.position()}
 	}
-	if !d.append(ids) {
-		return ports.Answer{Code: ports.Code(200)}
+	if !db.append(ids) {
+		return ports.Response{Code: ports.Code(200)}
 	}
 	for _, id := range ids {
-		if w.tr[id].ran++; w.tr[id].ran > 1 || w.tr[id].void {
-			w.fatal("%s takes effect twice", id)
+		if env.oracles[id].ran++; env.oracles[id].ran > 1 || env.oracles[id].nothingCommitted {
+			env.fatal("%s takes effect twice", id)
 		}
 	}
-	return ports.Answer{Stamped: true, Body: []byte(op.St.ID), State: c.state(), Position: d.position()}
+	return ports.Response{Stamped: true, Body: []byte(op.Statement.ID), State: c.state(), Position: db.position()}
 }
 
 // append adds a commit to the primary's log and to a follower's.
-func (d *fakeDB) append(ids []string) (received bool) {
-	w := d.w
-	e := entry{ports.Position{Term: d.term, Number: int64(len(d.log) + 1)}, ids}
-	d.log = append(d.log[:len(d.log):len(d.log)], e)
-	d.applied = len(d.log)
-	for _, f := range w.dbs {
-		if f == d || !f.alive || f.dark || f.held || f.term > d.term || len(f.log) > len(d.log) {
+func (db *fakeDB) append(ids []string) (received bool) {
+	env := db.env
+	e := entry{ports.Position{Term: db.term, Number: int64(len(db.log) + 1)}, ids}
+	db.log = append(db.log[:len(db.log):len(db.log)], e)
+	db.applied = len(db.log)
+	for _, f := range env.dbs {
+		if f == db || !f.alive || f.unresponsive || f.frozen || f.term > db.term || len(f.log) > len(db.log) {
 			continue
 		}
-		if f.follows(d) {
+		if f.follows(db) {
 			received = true
 		}
 	}
@@ -589,153 +589,155 @@
 }
 
 // follows has a follower receive the primary's log, and apply it later.
-func (f *fakeDB) follows(d *fakeDB) bool {
-	w := f.w
-	if len(f.log) > 0 && !d.has(f.log[len(f.log)-1].pos) && len(f.log) > f.common(d) {
+func (replica *fakeDB) follows(db *fakeDB) bool {
+	env := replica.env
+	if len(replica.log) > 0 && !db.has(replica.log[len(replica.log)-1].position) && len(replica.log) > replica.common(db) {
 		return false
 	}
-	f.log = d.log
-	n := len(d.log)
-	w.after(w.between(f.lag/2, f.lag+1), func() {
-		if f.alive && f.term == 0 && len(f.log) >= n && f.applied < n {
-			f.applied = n
+	replica.log = db.log
+	n := len(db.log)
+	env.after(env.between(replica.lag/2, replica.lag+1), func() {
+		if replica.alive && replica.term == 0 && len(replica.log) >= n && replica.applied < n {
+			replica.applied = n
 		}
 	})
 	return true
 }
 
 // common is how far two logs are the same.
-func (f *fakeDB) common(d *fakeDB) int {
-	n := min(len(f.log), len(d.log))
-	for n > 0 && f.log[n-1].pos != d.log[n-1].pos {
+func (replica *fakeDB) common(db *fakeDB) int {
+	n := min(len(replica.log), len(db.log))
+	for n > 0 && replica.log[n-1].position != db.log[n-1].position {
 		n--
 	}
 	return n
 }
 
-// fresh holds a read to what its route promises.
-func (w *world) fresh(d *fakeDB, id string, tr *truth) {
-	lim := tr.at
-	if tr.route.Kind != ports.Current {
-		lim -= tr.route.StaleUs
+// checkFreshness holds a read to what its route promises.
+func (env *environment) checkFreshness(db *fakeDB, id string, expected *oracle) {
+	lim := expected.at
+	if expected.route.Class != ports.CurrentRead {
+		lim -= expected.route.MaxStalenessUs
 	}
-	if w.lead.Primary != d.id {
-		w.follow++
+	if env.leadership.Primary != db.id {
+		env.replicaReads++
 	}
-	need := tr.floor
-	if tr.route.Kind != ports.Pinned {
+	need := expected.floor
+	if expected.route.Class != ports.ReadYourWrites {
 		need = ports.Position{}
 	}
-	for i := len(w.acks) - 1; i >= 0; i-- {
-		if a := w.acks[i]; a.at < lim {
-			if need.Before(a.pos) {
-				need = a.pos
+	for i := len(env.acks) - 1; i >= 0; i-- {
+		if a := env.acks[i]; a.at < lim {
+			if need.Before(a.position) {
+				need = a.position
 			}
 		}
 	}
-	if need.Known() && (d.applied < int(need.Number) || d.log[need.Number-1].pos != need) {
-		w.fatal("%s (kind %d, came %d) reads stale at %s: it stands at %v and %v was acknowledged", id, tr.route.Kind, tr.at, d.id, d.position(), need)
+	if need.Known() && (db.applied < int(need.Number) || db.log[need.Number-1].position != need) {
+		env.fatal("%s (kind %d, came %d) reads stale at %s: it stands at %v and %v was acknowledged", id, expected.route.Class, expected.at, db.id, db.position(), need)
 	}
 }
 
-func (w *world) acked(pos ports.Position) { w.acks = append(w.acks, ack{w.now, pos}) }
+func (env *environment) recordAcknowledged(pos ports.Position) {
+	env.acks = append(env.acks, acknowledgement{env.now, pos})
+}
 
-// others commits for the other nodes.
-func (w *world) others() {
-	w.after(w.between(1_000, 15_000), w.others)
-	d := w.db(w.lead.Primary)
-	if w.frozen || d == nil || !d.alive || d.dark || d.term != w.lead.Term || w.lead.Phase != ports.PhaseOpen {
+// commitOfOtherNodes commits for the other nodes.
+func (env *environment) commitOfOtherNodes() {
+	env.after(env.between(1_000, 15_000), env.commitOfOtherNodes)
+	db := env.db(env.leadership.Primary)
+	if env.primaryChanging || db == nil || !db.alive || db.unresponsive || db.term != env.leadership.Term || env.leadership.Phase != ports.PhaseServing {
 		return
 	}
-	if d.append([]string{}) {
-		pos := d.position()
-		w.after(w.between(200, 3_000), func() { w.acked(pos) })
+	if db.append([]string{}) {
+		pos := db.position()
+		env.after(env.between(200, 3_000), func() { env.recordAcknowledged(pos) })
 	}
 }
 
-// look asks the voters.
-func (w *world) look() {
-	sent := w.now
-	w.after(w.between(500, 5_000), func() {
-		if w.cut {
-			w.looked = false
+// renewLease asks the voters.
+func (env *environment) renewLease() {
+	sent := env.now
+	env.after(env.between(500, 5_000), func() {
+		if env.partitioned {
+			env.leaseRequested = false
 			return
 		}
-		l := w.lead
-		until := sent + w.leaseU
-		w.given = max(w.given, until)
-		ins := []ports.Instance{}
-		for _, d := range w.dbs {
-			ins = append(ins, ports.Instance{ID: d.id, Group: "g", Address: d.id, Zone: d.zone, Capacity: d.slots, Leaving: d.leaving, Primary: d.term > 0, Call: d.call})
-		}
-		doubt := w.odds(20)
-		w.after(w.between(500, 5_000), func() {
-			w.looked = false
-			w.step(View{
-				Groups: map[string]GroupView{"g": {Leadership: l, Doubt: doubt}}, Instances: ins, LeaseUntil: until, Nodes: 3,
+		l := env.leadership
+		until := sent + env.leaseUs
+		env.leaseGivenUntil = max(env.leaseGivenUntil, until)
+		instances := []ports.Instance{}
+		for _, db := range env.dbs {
+			instances = append(instances, ports.Instance{ID: db.id, Group: "g", Address: db.id, Zone: db.zone, Capacity: db.slots, Draining: db.draining, Primary: db.term > 0, AnnouncementNumber: db.call})
+		}
+		doubt := env.odds(20)
+		env.after(env.between(500, 5_000), func() {
+			env.leaseRequested = false
+			env.step(Update{
+				Groups: map[string]GroupState{"g": {Leadership: l, Unconfirmed: doubt}}, Instances: instances, LeaseUntil: until, Nodes: 3,
 			})
 		})
 	})
 }
 
-func (w *world) looks() {
-	w.after(w.between(100_000, 300_000), w.looks)
-	w.look()
+func (env *environment) renewLeasePeriodically() {
+	env.after(env.between(100_000, 300_000), env.renewLeasePeriodically)
+	env.renewLease()
 }
 
-// change replaces the primary as the voters do (design 14.6).
-func (w *world) change(crash bool) {
-	if w.frozen {
+// changePrimary replaces the primary as the voters do (design 14.6).
+func (env *environment) changePrimary(crash bool) {
+	if env.primaryChanging {
 		return
 	}
-	w.frozen = true
-	if w.p.cutOff && w.odds(2) {
+	env.primaryChanging = true
+	if env.faults.partitioned && env.odds(2) {
 		// This node hears nothing of it.
-		w.cut = true
-		w.after(w.between(600_000, 2_500_000), func() { w.cut = false })
+		env.partitioned = true
+		env.after(env.between(600_000, 2_500_000), func() { env.partitioned = false })
 	}
-	old := w.db(w.lead.Primary)
+	old := env.db(env.leadership.Primary)
 	agree := func(p ports.Phase) {
-		w.lead.Revision++
-		w.lead.Phase = p
-		w.note("phase %d of term %d", p, w.lead.Term)
+		env.leadership.Revision++
+		env.leadership.Phase = p
+		env.logf("phase %d of term %d", p, env.leadership.Term)
 	}
 	seal := func() {
-		agree(ports.PhaseSealing)
-		sealed := w.now
-		w.after(w.between(5_000, 50_000), func() {
+		agree(ports.PhaseFreezing)
+		sealed := env.now
+		env.after(env.between(5_000, 50_000), func() {
 			var best *fakeDB
-			for _, d := range w.dbs {
-				if d == old {
+			for _, db := range env.dbs {
+				if db == old {
 					continue
 				}
-				d.held = true
-				if best == nil || len(d.log) > len(best.log) {
-					best = d
+				db.frozen = true
+				if best == nil || len(db.log) > len(best.log) {
+					best = db
 				}
 			}
 			agree(ports.PhasePromoting)
-			w.after(w.between(50_000, 300_000), func() {
-				best.term = w.lead.Term + 1
+			env.after(env.between(50_000, 300_000), func() {
+				best.term = env.leadership.Term + 1
 				best.applied = len(best.log)
-				best.held = false
-				w.after(max(sealed+w.leaseU*11/10-w.now, 1_000), func() {
-					w.lead.Term, w.lead.Primary = best.term, best.id
-					agree(ports.PhaseOpen)
-					w.note("%s leads term %d", best.id, best.term)
-					w.after(w.between(1_000, 30_000), func() {
-						for _, d := range w.dbs {
-							if d != best {
-								d.held, d.term = false, 0
-								n := d.common(best)
-								d.log = d.log[:n:n]
-								d.applied = min(d.applied, n)
-								if d.alive {
-									d.follows(best)
+				best.frozen = false
+				env.after(max(sealed+env.leaseUs*11/10-env.now, 1_000), func() {
+					env.leadership.Term, env.leadership.Primary = best.term, best.id
+					agree(ports.PhaseServing)
+					env.logf("%s leads term %d", best.id, best.term)
+					env.after(env.between(1_000, 30_000), func() {
+						for _, db := range env.dbs {
+							if db != best {
+								db.frozen, db.term = false, 0
+								n := db.common(best)
+								db.log = db.log[:n:n]
+								db.applied = min(db.applied, n)
+								if db.alive {
+									db.follows(best)
 								}
 							}
 						}
-						w.frozen = false
+						env.primaryChanging = false
 					})
 				})
 			})
@@ -745,52 +747,52 @@
 		seal()
 		return
 	}
-	agree(ports.PhaseClosing)
-	w.after(w.between(50_000, 200_000), seal)
+	agree(ports.PhaseDraining)
+	env.after(env.between(50_000, 200_000), seal)
 }
 
-func (d *fakeDB) crash() {
-	w := d.w
-	if !d.alive || w.frozen {
+func (db *fakeDB) crash() {
+	env := db.env
+	if !db.alive || env.primaryChanging {
 		return
 	}
-	for _, o := range w.dbs {
-		if !o.alive || o.dark {
+	for _, o := range env.dbs {
+		if !o.alive || o.unresponsive {
 			return
 		}
 	}
-	w.note("%s crashes", d.id)
-	d.alive = false
-	if w.odds(2) {
-		d.dark = true
+	env.logf("%s crashes", db.id)
+	db.alive = false
+	if env.odds(2) {
+		db.unresponsive = true
 	}
-	for _, id := range slices.Sorted(maps.Keys(d.conns)) {
-		c := d.conns[id]
-		if d.dark {
+	for _, id := range slices.Sorted(maps.Keys(db.conns)) {
+		c := db.conns[id]
+		if db.unresponsive {
 			c.close()
-			fc := c
-			w.after(w.between(1_000_000, 3_000_000), func() {
-				if w.fconns[fc.id] == fc {
-					delete(w.fconns, fc.id)
-					w.step(Lost{Conn: fc.id, Err: "silent"})
+			conn := c
+			env.after(env.between(1_000_000, 3_000_000), func() {
+				if env.connections[conn.id] == conn {
+					delete(env.connections, conn.id)
+					env.step(ConnectionLost{Conn: conn.id, Err: "silent"})
 				}
 			})
 		} else {
-			c.cutNow()
+			c.disconnect()
 		}
 	}
-	if w.lead.Primary == d.id {
-		w.after(w.between(100_000, 700_000), func() { w.change(true) })
+	if env.leadership.Primary == db.id {
+		env.after(env.between(100_000, 700_000), func() { env.changePrimary(true) })
 	}
-	w.after(w.between(1_500_000, 3_000_000), func() {
-		d.alive, d.dark, d.busy = true, false, 0
-		w.note("%s is back", d.id)
-		if d.term == 0 {
-			if p := w.db(w.lead.Primary); p != nil && p.alive && !d.held && p.term > 0 {
-				n := d.common(p)
-				d.log = d.log[:n:n]
-				d.applied = min(d.applied, n)
-				d.follows(p)
+	env.after(env.between(1_500_000, 3_000_000), func() {
+		db.alive, db.unresponsive, db.busy = true, false, 0
+		env.logf("%s is back", db.id)
+		if db.term == 0 {
+			if p := env.db(env.leadership.Primary); p != nil && p.alive && !db.frozen && p.term > 0 {
+				n := db.common(p)
+				db.log = db.log[:n:n]
+				db.applied = min(db.applied, n)
+				db.follows(p)
 			}
 		}
 	})
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -32,15 +32,15 @@
 func (p Problem) String() string { return p.Field + ": " + p.Text }
 
 // problems collects all errors of one reading; it is looked at once.
-type problems struct{ ps []Problem }
+type problems struct{ list []Problem }
 
 func (p *problems) add(field, text string, args ...any) {
-	p.ps = append(p.ps, Problem{Field: field, Text: fmt.Sprintf(text, args...)})
+	p.list = append(p.list, Problem{Field: field, Text: fmt.Sprintf(text, args...)})
 }
 
 // Read fills m from JSON text and returns every error found.
 func Read(text []byte, m proto.Message) []Problem {
-	var ps problems
+	var problems problems
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	var v any
@@ -50,27 +50,27 @@
 	if d.More() {
 		return []Problem{{Field: "", Text: "more than one JSON value"}}
 	}
-	message(&ps, "", v, m.ProtoReflect())
-	return ps.ps
+	readMessage(&problems, "", v, m.ProtoReflect())
+	return problems.list
 }
 
-// Meta is a field's line in its table.
-func Meta(f protoreflect.FieldDescriptor) *schema.Setting {
+// FieldSetting is a field's line in its table.
+func FieldSetting(f protoreflect.FieldDescriptor) *schema.Setting {
 	s, _ := proto.GetExtension(f.Options(), schema.E_Setting).(*schema.Setting)
 	return s
 }
 
-func join(p, k string) string {
+func joinPath(p, k string) string {
 	if p == "" {
 		return k
 	}
 	return p + "." + k
 }
 
-func message(ps *problems, path string, v any, m protoreflect.Message) {
+func readMessage(problems *problems, path string, v any, m protoreflect.Message) {
 	o, ok := v.(map[string]any)
 	if !ok {
-		ps.add(path, "must be an object")
+		problems.add(path, "must be an object")
 		return
 	}
 	fs := m.Descriptor().Fields()
@@ -80,17 +80,17 @@
 	}
 	for _, k := range slices.Sorted(maps.Keys(o)) {
 		if !slices.Contains(ns, k) {
-			ps.add(join(path, k), "unknown; known here: %s", strings.Join(ns, ", "))
+			problems.add(joinPath(path, k), "unknown; known here: %s", strings.Join(ns, ", "))
 		}
 	}
 	for i := range fs.Len() {
 		f := fs.Get(i)
-		t := Meta(f)
-		p := join(path, ns[i])
+		t := FieldSetting(f)
+		p := joinPath(path, ns[i])
 		w, ok := o[ns[i]]
 		if !ok {
 			if t.GetRequired() {
-				ps.add(p, "required")
+				problems.add(p, "required")
 				continue
 			}
 			if t.GetDefault() == "" {
@@ -102,64 +102,64 @@
 				panic("settings: default of " + string(f.FullName()) + ": " + err.Error())
 			}
 		}
-		field(ps, p, w, m, f, t)
+		readField(problems, p, w, m, f, t)
 	}
 }
 
-func field(ps *problems, p string, v any, m protoreflect.Message, f protoreflect.FieldDescriptor, t *schema.Setting) {
+func readField(problems *problems, p string, v any, m protoreflect.Message, f protoreflect.FieldDescriptor, t *schema.Setting) {
 	switch {
 	case f.IsMap():
 		o, ok := v.(map[string]any)
 		if !ok {
-			ps.add(p, "must be an object")
+			problems.add(p, "must be an object")
 			return
 		}
 		mp := m.Mutable(f).Map()
 		for _, k := range slices.Sorted(maps.Keys(o)) {
-			if !matches(t.GetPattern(), k) {
-				ps.add(join(p, k), "a name must match %s", t.Pattern)
+			if !matchesPattern(t.GetPattern(), k) {
+				problems.add(joinPath(p, k), "a name must match %s", t.Pattern)
 			}
 			key := protoreflect.ValueOfString(k).MapKey()
 			if f.MapValue().Kind() == protoreflect.MessageKind {
-				message(ps, join(p, k), o[k], mp.Mutable(key).Message())
-			} else if w, ok := scalar(ps, join(p, k), o[k], f.MapValue(), &schema.Setting{}); ok {
+				readMessage(problems, joinPath(p, k), o[k], mp.Mutable(key).Message())
+			} else if w, ok := readScalar(problems, joinPath(p, k), o[k], f.MapValue(), &schema.Setting{}); ok {
 				mp.Set(key, w)
 			}
 		}
 	case f.IsList():
 		a, ok := v.([]any)
 		if !ok {
-			ps.add(p, "must be a list")
+			problems.add(p, "must be a list")
 			return
 		}
 		if len(a) < int(t.GetMinItems()) || t.GetMaxItems() > 0 && len(a) > int(t.GetMaxItems()) {
-			ps.add(p, "must have %d to %d items, has %d", t.GetMinItems(), t.GetMaxItems(), len(a))
+			problems.add(p, "must have %d to %d items, has %d", t.GetMinItems(), t.GetMaxItems(), len(a))
 		}
 		l := m.Mutable(f).List()
 		for i, w := range a {
-			if s, ok := scalar(ps, fmt.Sprintf("%s[%d]", p, i), w, f, t); ok {
+			if s, ok := readScalar(problems, fmt.Sprintf("%s[%d]", p, i), w, f, t); ok {
 				l.Append(s)
 			}
 		}
 	default:
-		if w, ok := scalar(ps, p, v, f, t); ok {
+		if w, ok := readScalar(problems, p, v, f, t); ok {
 			m.Set(f, w)
 		}
 	}
 }
 
-func scalar(ps *problems, p string, v any, f protoreflect.FieldDescriptor, t *schema.Setting) (protoreflect.Value, bool) {
+func readScalar(problems *problems, p string, v any, f protoreflect.FieldDescriptor, t *schema.Setting) (protoreflect.Value, bool) {
 	var no protoreflect.Value
 	switch f.Kind() {
 	case protoreflect.StringKind:
 		s, ok := v.(string)
 		switch {
 		case !ok:
-			ps.add(p, "must be a text")
-		case !matches(t.GetPattern(), s):
-			ps.add(p, "must match %s", t.Pattern)
+			problems.add(p, "must be a text")
+		case !matchesPattern(t.GetPattern(), s):
+			problems.add(p, "must match %s", t.Pattern)
 		case len(t.GetOneOf()) > 0 && !slices.Contains(t.OneOf, s):
-			ps.add(p, "must be one of %s", strings.Join(t.OneOf, ", "))
+			problems.add(p, "must be one of %s", strings.Join(t.OneOf, ", "))
 		default:
 			return protoreflect.ValueOfString(s), true
 		}
@@ -167,7 +167,7 @@
 		if b, ok := v.(bool); ok {
 			return protoreflect.ValueOfBool(b), true
 		}
-		ps.add(p, "must be true or false")
+		problems.add(p, "must be true or false")
 	case protoreflect.Int32Kind, protoreflect.Int64Kind:
 		j, ok := v.(json.Number)
 		n, err := j.Int64()
@@ -177,9 +177,9 @@
 		}
 		switch {
 		case !ok || err != nil:
-			ps.add(p, "must be a whole number")
+			problems.add(p, "must be a whole number")
 		case n < t.GetMin() || n > hi:
-			ps.add(p, "must be from %d to %d", t.GetMin(), hi)
+			problems.add(p, "must be from %d to %d", t.GetMin(), hi)
 		case f.Kind() == protoreflect.Int32Kind:
 			return protoreflect.ValueOfInt32(int32(n)), true
 		default:
@@ -189,15 +189,15 @@
 	return no, false
 }
 
-var patterns sync.Map
+var compiledPatterns sync.Map
 
-func matches(pat, s string) bool {
-	if pat == "" {
+func matchesPattern(pattern, s string) bool {
+	if pattern == "" {
 		return true
 	}
-	r, ok := patterns.Load(pat)
+	r, ok := compiledPatterns.Load(pattern)
 	if !ok {
-		r, _ = patterns.LoadOrStore(pat, regexp.MustCompile("^(?:"+pat+")$"))
+		r, _ = compiledPatterns.LoadOrStore(pattern, regexp.MustCompile("^(?:"+pattern+")$"))
 	}
 	return r.(*regexp.Regexp).MatchString(s)
 }
@@ -206,56 +206,56 @@
 // single field can: that names lead somewhere.
 func ReadConfiguration(text []byte) (*schema.Configuration, []Problem) {
 	c := &schema.Configuration{}
-	ps := problems{ps: Read(text, c)}
-	if len(ps.ps) == 1 && ps.ps[0].Field == "" {
-		return c, ps.ps
+	problems := problems{list: Read(text, c)}
+	if len(problems.list) == 1 && problems.list[0].Field == "" {
+		return c, problems.list
 	}
-	in := map[string]string{}
-	at := map[string]string{}
+	memberOf := map[string]string{}
+	databaseAt := map[string]string{}
 	for _, n := range slices.Sorted(maps.Keys(c.Databases)) {
 		a := c.Databases[n].Address
-		if o, ok := at[a]; ok && a != "" {
-			ps.add("databases."+n+".address", "is also that of %s", o)
+		if o, ok := databaseAt[a]; ok && a != "" {
+			problems.add("databases."+n+".address", "is also that of %s", o)
 		}
-		at[a] = n
+		databaseAt[a] = n
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.Groups)) {
 		g := c.Groups[n]
 		for i, m := range g.Members {
 			p := fmt.Sprintf("groups.%s.members[%d]", n, i)
 			if c.Databases[m] == nil {
-				ps.add(p, "no such database: %s", m)
+				problems.add(p, "no such database: %s", m)
 			}
-			if o, ok := in[m]; ok {
-				ps.add(p, "%s is already a member of %s", m, o)
+			if o, ok := memberOf[m]; ok {
+				problems.add(p, "%s is already a member of %s", m, o)
 			}
-			in[m] = n
+			memberOf[m] = n
 		}
 		if g.Primary != "" && !slices.Contains(g.Members, g.Primary) {
-			ps.add("groups."+n+".primary", "%s is not a member", g.Primary)
+			problems.add("groups."+n+".primary", "%s is not a member", g.Primary)
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.Routes)) {
 		r := c.Routes[n]
 		if r.Group != "" && c.Groups[r.Group] == nil {
-			ps.add("routes."+n+".group", "no such group: %s", r.Group)
+			problems.add("routes."+n+".group", "no such group: %s", r.Group)
 		}
 		for i, k := range r.Classes {
 			if c.Classes[k] == nil {
-				ps.add(fmt.Sprintf("routes.%s.classes[%d]", n, i), "no such class: %s", k)
+				problems.add(fmt.Sprintf("routes.%s.classes[%d]", n, i), "no such class: %s", k)
 			}
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(c.Classes)) {
 		k := c.Classes[n]
 		if k.Kind != "current" && k.MarginUs >= k.StaleUs {
-			ps.add("classes."+n+".margin_us", "must be less than stale_us")
+			problems.add("classes."+n+".margin_us", "must be less than stale_us")
 		}
 	}
 	if _, err := time.LoadLocation(c.TimeZone); err != nil {
-		ps.add("time_zone", "unknown: %s", c.TimeZone)
+		problems.add("time_zone", "unknown: %s", c.TimeZone)
 	}
-	return c, ps.ps
+	return c, problems.list
 }
 
 // Write gives a configuration's JSON text, names as in the schema.
@@ -265,7 +265,7 @@
 		return nil, err
 	}
 	// Whole numbers of 64 bits are texts there; here they are numbers.
-	return wholeNumbers.ReplaceAll(b, []byte(`$1$2`)), nil
+	return quotedMicroseconds.ReplaceAll(b, []byte(`$1$2`)), nil
 }
 
-var wholeNumbers = regexp.MustCompile(`("[a-z_]+_us": ?)"(\d+)"`)
+var quotedMicroseconds = regexp.MustCompile(`("[a-z_]+_us": ?)"(\d+)"`)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,15 +9,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestEveryErrorIsTold: one reading lists all errors, by field.
-func TestEveryErrorIsTold(t *testing.T) {
-	_, ps := ReadConfiguration([]byte(`{
+// TestAllErrorsAreReported: one reading lists all errors, by field.
+func TestAllErrorsAreReported(t *testing.T) {
+	_, problems := ReadConfiguration([]byte(`{
 		"databases": {"a": {"address": "10.0.0.1:1", "zone": "cluj", "connections": 0}, "b": {"address": "10.0.0.1:1", "zone": "Cluj!"}, "C?": {}},
 		"groups": {"stock": {"members": ["a", "b", "nope"], "primary": "z"}, "two": {"members": ["a"], "primary": "a"}},
 		"classes": {"x": {"kind": "fresh", "stale_us": "1s"}, "y": {"kind": "stale", "stale_us": 1000, "margin_us": 1000}},
 		"routes": {"r": {"group": "none", "classes": ["y", "zz"], "line": 1.5, "colour": "red"}},
 		"time_zone": "Mars/Olympus", "extra": 1}`))
-	b, err := json.MarshalIndent(ps, "", "  ")
+	b, err := json.MarshalIndent(problems, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,15 +26,15 @@
 
 // TestDefaults: what is left out has its default.
 func TestDefaults(t *testing.T) {
-	c, ps := ReadConfiguration([]byte(`{"classes": {"lookup": {"kind": "stale"}}}`))
-	if len(ps) > 0 {
-		t.Fatal(ps)
+	c, problems := ReadConfiguration([]byte(`{"classes": {"lookup": {"kind": "stale"}}}`))
+	if len(problems) > 0 {
+		t.Fatal(problems)
 	}
 	if k := c.Classes["lookup"]; k.StaleUs != 1_500_000 || k.ExpiryUs != 5_000_000 || c.TimeZone != "UTC" {
 		t.Fatalf("%v", c)
 	}
 	for _, bad := range []string{"", "{", "[]", `{} {}`, `{"classes": 3}`} {
-		if _, ps := ReadConfiguration([]byte(bad)); len(ps) == 0 {
+		if _, problems := ReadConfiguration([]byte(bad)); len(problems) == 0 {
 			t.Errorf("%q is taken", bad)
 		}
 	}
@@ -48,9 +48,9 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c, ps := ReadConfiguration(b)
-		if len(ps) > 0 {
-			for _, p := range ps {
+		c, problems := ReadConfiguration(b)
+		if len(problems) > 0 {
+			for _, p := range problems {
 				if p.Text == "" {
 					t.Errorf("%q: a problem without a text at %q", b, p.Field)
 				}
@@ -61,8 +61,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, ps := ReadConfiguration(w); len(ps) > 0 || !proto.Equal(again, c) {
-			t.Errorf("%q reads back as %v %v", b, again, ps)
+		if reread, problems := ReadConfiguration(w); len(problems) > 0 || !proto.Equal(reread, c) {
+			t.Errorf("%q reads back as %v %v", b, reread, problems)
 		}
 	})
 }
--- a/settings/stored_test.go
+++ b/settings/stored_test.go
@@ -46,8 +46,8 @@
 				t.Fatal(err)
 			}
 			got := x.want.ProtoReflect().New().Interface()
-			if ps := Read(b, got); len(ps) > 0 || !proto.Equal(got, x.want) {
-				t.Errorf("read as %v, not %v: %v", got, x.want, ps)
+			if problems := Read(b, got); len(problems) > 0 || !proto.Equal(got, x.want) {
+				t.Errorf("read as %v, not %v: %v", got, x.want, problems)
 			}
 			text, err := Write(got)
 			if err != nil {
--- a/simulation/behaviour_test.go
+++ b/simulation/behaviour_test.go
@@ -31,7 +31,7 @@
 		n /= slower
 	}
 	rows := make([]behaviourhash.Row, n)
-	each(n, 0, func(seed uint64) {
+	runSeeds(n, 0, func(seed uint64) {
 		p := plan(seed)
 		p.Observe = behaviourhash.New()
 		f, v := faulty(p)
@@ -64,7 +64,7 @@
 	a, _ := faulty(p)
 	p.Observe = behaviourhash.New()
 	b, _ := faulty(p)
-	if strings.Join(a.Says, "\n") != strings.Join(b.Says, "\n") || a.Now != b.Now || a.R.Uint64() != b.R.Uint64() {
+	if strings.Join(a.Log, "\n") != strings.Join(b.Log, "\n") || a.Now != b.Now || a.Random.Uint64() != b.Random.Uint64() {
 		t.Errorf("the runs end at %d and %d or say different things", a.Now, b.Now)
 	}
 }
--- a/simulation/bookings_test.go
+++ b/simulation/bookings_test.go
@@ -14,10 +14,10 @@
 )
 
 // booked types a sentence until a control process replies, and returns that.
-func booked(f *simulation.Fleet, who, text string) control.Told {
+func booked(f *simulation.Fleet, who, text string) control.CommandResult {
 	for i := 0; ; i++ {
-		var got *control.Told
-		f.Type(f.Controls[i%3], who, text, func(a control.Told) { got = &a })
+		var got *control.CommandResult
+		f.RunOperatorCommand(f.Controls[i%3], who, text, func(a control.CommandResult) { got = &a })
 		for end := f.Now + 6_000_000; got == nil && f.Now < end; {
 			f.Run(f.Now + 10_000)
 		}
@@ -36,9 +36,9 @@
 // switched and a machine stopped, all from the calendar, under burden; on odd
 // seeds the control process that carries the move out is killed in its midst.
 func TestPlannedMoves(t *testing.T) {
-	each(12, 0, func(seed uint64) {
+	runSeeds(12, 0, func(seed uint64) {
 		p := plan(seed)
-		p.With, p.ThinkUs = nil, 400_000
+		p.MorePartners, p.ThinkUs = nil, 400_000
 		f := simulation.NewFleet(p)
 		f.PutConfiguration(nil)
 		f.Run(3_000_000)
@@ -62,14 +62,14 @@
 			state, killed := "", false
 			for end := f.Now + 200_000_000; f.Now < end && state != bookings.Done; {
 				f.Run(f.Now + 100_000)
-				for _, b := range f.Calendar().Bookings {
+				for _, b := range f.Calendar().Windows {
 					if b.Id != id {
 						continue
 					}
 					state = b.State
-					if seed%2 == 1 && bookings.Begun(b) && !killed {
+					if seed%2 == 1 && bookings.InProgress(b) && !killed {
 						killed = true
-						k := f.Holder("pharmacies/inventory-1")
+						k := f.RoleOwner("pharmacies/inventory-1")
 						f.KillControl(k)
 						f.After(8_000_000, func() { f.StartControl(k) })
 					}
@@ -79,7 +79,7 @@
 				}
 			}
 			if state != bookings.Done {
-				t.Errorf("seed %d: move %d is %s\n%s", seed, i, state, strings.Join(f.Says, "\n"))
+				t.Errorf("seed %d: move %d is %s\n%s", seed, i, state, strings.Join(f.Log, "\n"))
 				return
 			}
 			f.Run(f.Now + 12_000_000)
@@ -87,7 +87,7 @@
 				t.Errorf("seed %d: %s is the primary still", seed, was.Name())
 			}
 		}
-		ss := f.Truth.Samples
+		ss := f.Oracle.Samples
 		if s := simulation.Served(ss); s < 0.99 {
 			t.Errorf("seed %d: %.4f of %d queries were served through planned moves", seed, s, len(ss))
 		}
@@ -98,12 +98,12 @@
 	})
 }
 
-// TestCalendarKeepsItsRules: overlapping moves of a group, too many machines at
+// TestCalendarInvariants: overlapping moves of a group, too many machines at
 // once, past times and moves that have begun are bounced, and two who book at
 // once do not both get the time.
-func TestCalendarKeepsItsRules(t *testing.T) {
+func TestCalendarInvariants(t *testing.T) {
 	p := plan(3)
-	p.With, p.Sessions, p.Machines = nil, 0, 6
+	p.MorePartners, p.Sessions, p.Machines = nil, 0, 6
 	f := simulation.NewFleet(p)
 	f.PutConfiguration(nil)
 	f.Run(4_000_000)
@@ -112,20 +112,20 @@
 		want      result.Code
 	}{
 		{"pharmacies", "book inventory-1-b for replacement at " + clock(f, 60), result.OK},
-		{"pharmacies", "book inventory-1-c for replacement at " + clock(f, 65), result.Overlaps},
+		{"pharmacies", "book inventory-1-c for replacement at " + clock(f, 65), result.MaintenanceOverlaps},
 		{"pharmacies", "book inventory-1-c for replacement at " + clock(f, 70), result.OK},
-		{"pharmacies", "move booking 2 to " + clock(f, 62), result.Overlaps},
+		{"pharmacies", "move booking 2 to " + clock(f, 62), result.MaintenanceOverlaps},
 		{"pharmacies", "book pool-1 for stop at " + clock(f, 60), result.OK},
 		{"pharmacies", "book pool-2 for stop at " + clock(f, 60), result.OK},
 		{"pharmacies", "book pool-3 for stop at " + clock(f, 60), result.TooMuchAtOnce},
 		{"pharmacies", "book inventory-1-a for replacement at 1969-12-31 10:00", result.PastTime},
 		{"pharmacies", "book the replica for replacement at " + clock(f, 200), result.Ambiguous},
-		{"pharmacies", "book inventory-9-a for replacement at " + clock(f, 200), result.NoSuchThing},
+		{"pharmacies", "book inventory-9-a for replacement at " + clock(f, 200), result.NotFound},
 		{"lender", "cancel booking 1", result.NotOwner},
 		{"lender", "confirm booking 1", result.NotOwner},
 		{"pharmacies", "cancel booking 1", result.OK},
 		{"pharmacies", "confirm booking 1", result.WrongState},
-		{"pharmacies", "confirm booking 99", result.NoSuchThing},
+		{"pharmacies", "confirm booking 99", result.NotFound},
 		{"pharmacies", "book inventory-1-c dinner", result.NotUnderstood},
 	} {
 		if a := booked(f, c.who, c.text); a.Code != c.want {
@@ -138,7 +138,7 @@
 	var mu sync.Mutex
 	codes := map[result.Code]int{}
 	for i := range 3 {
-		f.Type(f.Controls[i], "pharmacies", "book inventory-1-b for replacement at "+clock(f, 300), func(a control.Told) {
+		f.RunOperatorCommand(f.Controls[i], "pharmacies", "book inventory-1-b for replacement at "+clock(f, 300), func(a control.CommandResult) {
 			mu.Lock()
 			codes[a.Code]++
 			mu.Unlock()
@@ -168,9 +168,9 @@
 	}{
 		{"pharmacies", "why is read " + read + " on its copy", result.OK, []string{read, "least burden, run time and wait together", "inventory-1-b: burden", "inventory-1-c: burden", "needed"}},
 		{"pharmacies", "why are reads of inventory-1 where they are", result.OK, []string{"reserve", "lookup", "pickup", "by pool-"}},
-		{"lender", "why is read " + read + " on its copy", result.NoSuchThing, nil},
-		{"lender", "why are reads of inventory-1", result.NoSuchThing, []string{"lender/ledger-1"}},
-		{"pharmacies", "why is read nothing-such on its copy", result.NoSuchThing, nil},
+		{"lender", "why is read " + read + " on its copy", result.NotFound, nil},
+		{"lender", "why are reads of inventory-1", result.NotFound, []string{"lender/ledger-1"}},
+		{"pharmacies", "why is read nothing-such on its copy", result.NotFound, nil},
 	} {
 		a := booked(f, c.who, c.text)
 		if a.Code != c.want {
--- a/simulation/callers.go
+++ b/simulation/callers.go
@@ -15,79 +15,79 @@
 
 // Sample is one query for the figures.
 type Sample struct {
-	Kind    string
-	AtUs    int64
-	TookUs  int64
-	Outcome result.Outcome
-	Code    result.Code
-	Tries   int
-	Copy    string
-	Replica bool
-	Group   string
-}
-
-// Truth is what the simulation knows beside what callers are told.
-type Truth struct {
-	f *Fleet
+	Kind       string
+	AtUs       int64
+	DurationUs int64
+	Outcome    result.Outcome
+	Code       result.Code
+	Attempts   int
+	Database   string
+	Replica    bool
+	Group      string
+}
+
+// Oracle is what the simulation knows beside what callers are told.
+type Oracle struct {
+	fleet *Fleet
 	*checker.Checker
-	Samples            []Sample
-	RefusedConnections int                       // connections refused by a database for its limit
-	Held               map[result.Code][]int64   // how long nodes held what they did not do, by code
-	Again              map[result.Code][]Again   // how it went on after a first bounce, by its code
-	accepted           map[string]control.Return // newest configuration told accepted, by partner
-	InForce            []int64                   // how long accepted configurations took to be in force on all plain nodes
+	Samples               []Sample
+	RefusedConnections    int                                    // connections refused by a database for its limit
+	RejectionDelays       map[result.Code][]int64                // how long nodes held what they did not do, by code
+	RetriesAfterRejection map[result.Code][]RetryAfterRejection  // how it went on after a first bounce, by its code
+	accepted              map[string]control.ConfigurationResult // newest configuration told accepted, by partner
+	ConfigurationDelays   []int64                                // how long accepted configurations took to be in force on all plain nodes
 }
 
-// heldMost is how long a node that nothing ails may hold a query that it gives
+// maxGiveUpUs is how long a node that nothing ails may hold a query that it gives
 // up: a bounce, and whatever had left for a database.
 const (
-	refuseMost = 3_500_000
-	heldMost   = 4_000_000
+	maxRejectionUs = 3_500_000
+	maxGiveUpUs    = 4_000_000
 )
 
-func newTruth(f *Fleet) *Truth {
-	return &Truth{f: f, Checker: checker.New(), Held: map[result.Code][]int64{}, Again: map[result.Code][]Again{}, accepted: map[string]control.Return{}}
+func newOracle(f *Fleet) *Oracle {
+	return &Oracle{fleet: f, Checker: checker.New(), RejectionDelays: map[result.Code][]int64{}, RetriesAfterRejection: map[result.Code][]RetryAfterRejection{}, accepted: map[string]control.ConfigurationResult{}}
 }
 
-func (t *Truth) bad(s string) { t.Odd("%s", s) }
+func (t *Oracle) violation(s string) { t.RecordViolation("%s", s) }
 
-// inForceMost is how long an accepted configuration may take to be in force on
+// maxConfigurationUs is how long an accepted configuration may take to be in force on
 // every node that nothing ails.
-const inForceMost = 3_000_000
+const maxConfigurationUs = 3_000_000
 
-func (t *Truth) configured(partner string, r control.Return) {
+func (t *Oracle) configured(partner string, r control.ConfigurationResult) {
 	if r.Revision <= t.accepted[partner].Revision {
 		return
 	}
 	t.accepted[partner] = r
-	f, at := t.f, t.f.Now
+	f, at := t.fleet, t.fleet.Now
 	behind := func() string {
 		for _, n := range f.Nodes {
-			if n.up && n.trouble < at && n.core.InForce()[control.ConfigPrefix+partner] < r.Revision {
+			if n.up && n.lastFaultUs < at && n.core.AppliedRevisions()[control.ConfigurationKeyPrefix+partner] < r.Revision {
 				return n.boot.Name
 			}
 		}
 		return ""
 	}
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		n := behind()
 		switch {
-		case f.fewControls >= at:
+		case f.noMajorityUs >= at:
 		case n == "":
-			t.InForce = append(t.InForce, f.Now-at)
-		case f.Now-at > inForceMost:
-			f.Bad("%s does not work by revision %d of %s, accepted %d us ago", n, r.Revision, partner, f.Now-at)
+			t.ConfigurationDelays = append(t.ConfigurationDelays, f.Now-at)
+		case f.Now-at > maxConfigurationUs:
+			f.Violation("%s does not work by revision %d of %s, accepted %d us ago", n, r.Revision, partner, f.Now-at)
 		default:
-			f.After(20_000, look)
+			f.After(20_000, poll)
 		}
 	}
-	look()
+	poll()
 }
 
 // Callers starts the sessions and each group's ticks.
 func (f *Fleet) Callers() {
-	f.watchTrouble()
+	f.watchFaults()
 	for _, g := range f.Plan.Groups {
 		s := f.session("tick-"+g, g)
 		var tick func()
@@ -95,18 +95,18 @@
 			if f.halted {
 				return
 			}
-			s.send(querytable.Query{Class: s.class("current"), Statements: stmts("add ticks t 1")}, func(r querytable.Return) {
+			s.send(querytable.Query{Class: s.class("current"), Statements: statements("add ticks t 1")}, func(r querytable.Reply) {
 				if r.Outcome == result.Done {
-					f.Truth.Ticked(s.route)
+					f.Oracle.RecordTick(s.route)
 				}
-				f.After(f.Plan.TickUs+r.RetryAfterUs, tick)
+				f.After(f.Plan.TickIntervalUs+r.RetryAfterUs, tick)
 			})
 		}
 		f.After(f.Between(0, 50_000), tick)
 	}
 	for i := range f.Plan.Sessions {
 		s := f.session(fmt.Sprintf("s%d", i), f.Plan.Groups[i%len(f.Plan.Groups)])
-		s.bare = i%4 == 3
+		s.setsNoValues = i%4 == 3
 		f.After(f.Between(0, f.Plan.ThinkUs), s.loop)
 	}
 }
@@ -114,10 +114,10 @@
 // Crowd has so many times the sessions come within a second, each three times
 // as busy, and go again.
 func (f *Fleet) Crowd(times int, forUs int64) {
-	f.crowds++
+	f.crowdCount++
 	for i := range times * f.Plan.Sessions {
-		s := f.session(fmt.Sprintf("c%d-%d", f.crowds, i), f.Plan.Groups[i%len(f.Plan.Groups)])
-		s.until = f.Now + forUs
+		s := f.session(fmt.Sprintf("c%d-%d", f.crowdCount, i), f.Plan.Groups[i%len(f.Plan.Groups)])
+		s.endsAtUs = f.Now + forUs
 		f.After(f.Between(0, 1_000_000), s.loop)
 	}
 }
@@ -127,7 +127,7 @@
 func (f *Fleet) MoveCallers(from string, share float64) {
 	for _, s := range f.sessions {
 		if (from == "" || s.zone == from) && f.Chance(share) {
-			z := f.Plan.Zones[f.R.IntN(len(f.Plan.Zones))]
+			z := f.Plan.Zones[f.Random.IntN(len(f.Plan.Zones))]
 			s.moved, s.zone = s.zone != z, z
 		}
 	}
@@ -135,8 +135,8 @@
 
 // route is the first route that leads to a group.
 func (f *Fleet) route(group string) string {
-	for _, n := range slices.Sorted(maps.Keys(f.Cf.Routes)) {
-		if f.Cf.Routes[n].Group == group {
+	for _, n := range slices.Sorted(maps.Keys(f.Configuration.Routes)) {
+		if f.Configuration.Routes[n].Group == group {
 			return n
 		}
 	}
@@ -145,7 +145,7 @@
 
 func (f *Fleet) session(name, group string) *session {
 	p := f.owner[group]
-	s := &session{f: f, name: name, partner: p, group: p + "/" + group, route: p + "/" + f.route(group), zone: f.Plan.Zones[len(f.sessions)%len(f.Plan.Zones)]}
+	s := &session{fleet: f, name: name, partner: p, group: p + "/" + group, route: p + "/" + f.route(group), zone: f.Plan.Zones[len(f.sessions)%len(f.Plan.Zones)]}
 	f.sessions = append(f.sessions, s)
 	return s
 }
@@ -153,14 +153,14 @@
 // Halt lets the sessions end what they are at and begin nothing new.
 func (f *Fleet) Halt() { f.halted = true }
 
-func (n *nodeProc) stopping() bool { return n.leaving }
+func (n *nodeProcess) stopping() bool { return n.draining }
 
 // Primary is a group's primary, as agreed and as it is itself.
-func (f *Fleet) Primary(group string) *DB {
+func (f *Fleet) Primary(group string) *Database {
 	for _, c := range f.Controls {
-		if st := control.GroupState(c.core.Held(control.GroupPrefix + f.owner[group] + "/" + group)); st.Primary != "" {
-			d := f.DBs[st.Primary]
-			if d != nil && d.up && d.c.Primary && d.c.Epoch == st.Epoch {
+		if st := control.GroupState(c.core.Committed(control.GroupKeyPrefix + f.owner[group] + "/" + group)); st.Primary != "" {
+			d := f.Databases[st.Primary]
+			if d != nil && d.up && d.state.Primary && d.state.Epoch == st.Epoch {
 				return d
 			}
 		}
@@ -184,40 +184,40 @@
 	var ts []int64
 	for _, s := range ss {
 		if s.Outcome == result.Done {
-			ts = append(ts, s.TookUs)
+			ts = append(ts, s.DurationUs)
 		}
 	}
 	slices.Sort(ts)
 	return ts
 }
 
-// InForce is the least revision of a partner's configuration that any living
+// ConfigurationInForce is the least revision of a partner's configuration that any living
 // node works by.
-func (f *Fleet) InForce(p string) uint64 {
+func (f *Fleet) ConfigurationInForce(p string) uint64 {
 	least := ^uint64(0)
 	for _, n := range f.Nodes {
 		if n.up {
-			least = min(least, n.core.InForce()[control.ConfigPrefix+p])
+			least = min(least, n.core.AppliedRevisions()[control.ConfigurationKeyPrefix+p])
 		}
 	}
 	return least
 }
 
 // Calendar is the newest calendar any control process knows.
-func (f *Fleet) Calendar() *schema.Calendar {
+func (f *Fleet) Calendar() *schema.MaintenanceCalendar {
 	var v *schema.Value
 	for _, c := range f.Controls {
-		if h := c.core.Held(control.BookingsKey); h.GetRevision() > v.GetRevision() {
+		if h := c.core.Committed(control.MaintenanceKey); h.GetRevision() > v.GetRevision() {
 			v = h
 		}
 	}
 	return bookings.Read(v.GetData())
 }
 
-// Holder is the number of the control process that holds a group's duty.
-func (f *Fleet) Holder(group string) int {
+// RoleOwner is the number of the control process that holds a group's duty.
+func (f *Fleet) RoleOwner(group string) int {
 	for i, c := range f.Controls {
-		if c.up && c.core.Groups()[group] == c.boot.Listen {
+		if c.up && c.core.GroupLeaders()[group] == c.boot.Listen {
 			return i
 		}
 	}
@@ -228,7 +228,7 @@
 func (f *Fleet) LastRead(route string) string { return f.lastRead[route] }
 
 // Name is the database's own.
-func (d *DB) Name() string { return d.name }
+func (d *Database) Name() string { return d.name }
 
 // Counts sums the counters of all living nodes' tables.
 func (f *Fleet) Counts() querytable.Counts {
--- a/simulation/control_process.go
+++ b/simulation/control_process.go
@@ -11,153 +11,153 @@
 	"stoneford/takeover"
 )
 
-type controlProc struct {
+type controlProcess struct {
 	boot     *schema.Boot
 	core     *control.Core
-	disk     []*schema.VoterLog
-	unsynced []*schema.VoterLog
+	disk     []*schema.WALEntry
+	unsynced []*schema.WALEntry
 	syncUs   int64 // a sync of the disk takes so long
-	leaving  bool
-	life
+	draining bool
+	processState
 }
 
-func (f *Fleet) startControl(c *controlProc) {
+func (f *Fleet) startControl(c *controlProcess) {
 	c.begin()
-	c.unsynced, c.syncUs, c.leaving = nil, 0, false
-	c.core = control.NewCore(c.boot, f.runNumber(), f.R.Uint64()|1)
+	c.unsynced, c.syncUs, c.draining = nil, 0, false
+	c.core = control.NewCore(c.boot, f.runNumber(), f.Random.Uint64()|1)
 	for _, l := range c.disk {
 		c.core.Restore(l)
 	}
-	f.ticks(&c.life, 20_000, func() { f.stepControl(c, control.Wall{Us: f.Now}) })
+	f.ticks(&c.processState, 20_000, func() { f.stepControl(c, control.WallClock{UnixMicro: f.Now}) })
 }
 
-func (f *Fleet) stepControl(c *controlProc, evs ...any) {
-	fx := c.core.Step(f.Now, evs...)
-	if c.syncUs == 0 || len(fx.Log) == 0 {
-		f.synced(c, fx)
+func (f *Fleet) stepControl(c *controlProcess, events ...any) {
+	effects := c.core.Step(f.Now, events...)
+	if c.syncUs == 0 || len(effects.Log) == 0 {
+		f.afterSync(c, effects)
 		return
 	}
 	// Nothing leaves before the sync has ended, and no other step begins.
 	took := f.Between(c.syncUs/2, c.syncUs*3/2)
-	c.free, c.unsynced = f.Now+took, fx.Log
-	gen := c.gen
+	c.freeAtUs, c.unsynced = f.Now+took, effects.Log
+	gen := c.generation
 	var end func()
 	end = func() {
 		switch {
-		case !c.up || c.gen != gen:
+		case !c.up || c.generation != gen:
 		case c.paused:
-			c.held = append(c.held, end)
+			c.pending = append(c.pending, end)
 		default:
 			c.unsynced = nil
-			f.synced(c, fx)
+			f.afterSync(c, effects)
 		}
 	}
 	f.After(took, end)
 }
 
-// synced keeps what a step logged and does what it asked for.
-func (f *Fleet) synced(c *controlProc, fx control.Effects) {
-	c.disk = append(c.disk, fx.Log...)
+// afterSync keeps what a step logged and does what it asked for.
+func (f *Fleet) afterSync(c *controlProcess, effects control.Effects) {
+	c.disk = append(c.disk, effects.Log...)
 	if len(c.disk) > 300 {
-		c.disk = []*schema.VoterLog{c.core.Snapshot()}
+		c.disk = []*schema.WALEntry{c.core.Snapshot()}
 	}
-	for _, s := range fx.Send {
-		f.Net.Send(c.boot.Listen, s)
+	for _, s := range effects.Send {
+		f.Network.Send(c.boot.Listen, s)
 	}
-	for _, d := range fx.Do {
+	for _, d := range effects.Do {
 		f.observeControl(c, d)
 		switch d := d.(type) {
-		case control.Return:
-			if r := f.returns[d.ID]; r != nil {
-				delete(f.returns, d.ID)
+		case control.ConfigurationResult:
+			if r := f.pendingReturns[d.ID]; r != nil {
+				delete(f.pendingReturns, d.ID)
 				r(d)
 			}
-		case control.AskDatabase:
-			f.askDatabase(c, d)
-		case control.Platform:
+		case control.DatabaseCall:
+			f.callDatabase(c, d)
+		case control.FailoverRequest:
 			f.platform(d)
-		case control.Told:
-			if r := f.told[d.ID]; r != nil {
-				delete(f.told, d.ID)
+		case control.CommandResult:
+			if r := f.pendingNotifications[d.ID]; r != nil {
+				delete(f.pendingNotifications, d.ID)
 				r(d)
 			}
-		case control.Replace:
-			f.After(f.Between(500, f.PlatformUs), func() {
-				if f.Chance(f.PlatformFails) {
+		case control.ReplaceDatabase:
+			f.After(f.Between(500, f.MaxPlatformUs), func() {
+				if f.Chance(f.PlatformFailureShare) {
 					return
 				}
-				if o := f.DBs[d.Database]; o.c.Identity == d.Identity {
-					f.LoseDB(d.Database)
+				if o := f.Databases[d.Database]; o.state.Identity == d.Identity {
+					f.LoseDatabase(d.Database)
 				}
 			})
 		case control.StopMachine:
 			for i, n := range f.Nodes {
 				if n.boot.Name == d.Machine {
-					f.After(f.Between(500, f.PlatformUs), func() {
-						if !f.Chance(f.PlatformFails) {
+					f.After(f.Between(500, f.MaxPlatformUs), func() {
+						if !f.Chance(f.PlatformFailureShare) {
 							f.StopNode(i)
 						}
 					})
 				}
 			}
-		case control.Say:
-			f.say("%s %d %s", c.boot.Name, d.Code, d.Text)
+		case control.LogEntry:
+			f.logf("%s %d %s", c.boot.Name, d.Code, d.Text)
 		}
 	}
 }
 
-// unasked has the platform replace what a booking drains, if that is planted.
-func (f *Fleet) unasked() {
-	for _, b := range f.Calendar().Bookings {
+// replaceUnrequested has the platform replace what a booking drains, if that is planted.
+func (f *Fleet) replaceUnrequested() {
+	for _, b := range f.Calendar().Windows {
 		n := strings.TrimPrefix(b.Target, b.Owner+"/")
-		if b.State == bookings.Draining && f.DBs[n] != nil && f.DBs[n].c.Identity == b.Identity {
-			f.LoseDB(n)
+		if b.State == bookings.Draining && f.Databases[n] != nil && f.Databases[n].state.Identity == b.Identity {
+			f.LoseDatabase(n)
 		}
 	}
-	f.After(100_000, f.unasked)
+	f.After(100_000, f.replaceUnrequested)
 }
 
 // toControl hands an event to a control process, later where it is frozen or
 // slow.
-func (f *Fleet) toControl(c *controlProc, gen int, e any) {
-	f.enter(&c.life, gen, func() { f.stepControl(c, e) })
+func (f *Fleet) toControl(c *controlProcess, gen int, e any) {
+	f.enter(&c.processState, gen, func() { f.stepControl(c, e) })
 }
 
 // Operate puts an operator's event to a control process; done is called unless
 // the process dies first.
-func (f *Fleet) Operate(c *controlProc, e func(id uint64) any, done func(control.Return)) {
-	f.ids++
-	id := f.ids
-	f.returns[id] = done
-	f.toControl(c, c.gen, e(id))
+func (f *Fleet) Operate(c *controlProcess, e func(id uint64) any, done func(control.ConfigurationResult)) {
+	f.lastID++
+	id := f.lastID
+	f.pendingReturns[id] = done
+	f.toControl(c, c.generation, e(id))
 }
 
-// Type has a partner type a sentence at a control process.
-func (f *Fleet) Type(c *controlProc, who, text string, done func(control.Told)) {
-	f.ids++
-	id := f.ids
-	f.told[id] = done
-	f.toControl(c, c.gen, control.Ask{ID: id, Partner: who, Text: text})
+// RunOperatorCommand has a partner type a sentence at a control process.
+func (f *Fleet) RunOperatorCommand(c *controlProcess, who, text string, done func(control.CommandResult)) {
+	f.lastID++
+	id := f.lastID
+	f.pendingNotifications[id] = done
+	f.toControl(c, c.generation, control.Command{ID: id, Partner: who, Text: text})
 }
 
-func (f *Fleet) askDatabase(c *controlProc, d control.AskDatabase) {
-	gen := c.gen
+func (f *Fleet) callDatabase(c *controlProcess, d control.DatabaseCall) {
+	gen := c.generation
 	back := func(err bool, s databasecopy.Status) {
-		f.toControl(c, gen, control.DatabaseSaid{Group: d.Group, ID: d.ID, Err: err, Status: takeover.Status{Identity: s.Identity, Role: s.Role,
-			Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Leaving: s.Leaving}})
+		f.toControl(c, gen, control.DatabaseReply{Group: d.Group, ID: d.ID, Failed: err, Status: takeover.Status{Identity: s.Identity, Role: s.Role,
+			Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Leaving}})
 	}
-	f.call(c.boot.Listen, d.Address, 500_000, func(db *DB, reply func(any)) {
-		if d.Seal > 0 && f.Plan.Plant == UnsealedTakeover {
-			s := db.c.Status()
-			s.Epoch, s.Role = d.Seal, "sealed"
+	f.call(c.boot.Listen, d.Address, 500_000, func(db *Database, reply func(any)) {
+		if d.SealEpoch > 0 && f.Plan.Mutation == UnsealedTakeover {
+			s := db.state.Status()
+			s.Epoch, s.Role = d.SealEpoch, "sealed"
 			reply(s)
 			return
 		}
-		if d.Seal > 0 {
-			db.c.Seal(d.Seal)
+		if d.SealEpoch > 0 {
+			db.state.Seal(d.SealEpoch)
 			db.changed()
 		}
-		reply(db.c.Status())
+		reply(db.state.Status())
 	}, func(v any, _ bool) {
 		if s, ok := v.(databasecopy.Status); ok {
 			back(false, s)
@@ -168,64 +168,64 @@
 }
 
 // platform carries a takeover out as the stand-in does.
-func (f *Fleet) platform(d control.Platform) {
-	f.After(f.Between(500, f.PlatformUs), func() {
-		if f.Chance(f.PlatformFails) || d.Epoch < f.plat[d.Group] || d.Epoch == f.plat[d.Group] && f.platT[d.Group] != d.Target {
+func (f *Fleet) platform(d control.FailoverRequest) {
+	f.After(f.Between(500, f.MaxPlatformUs), func() {
+		if f.Chance(f.PlatformFailureShare) || d.Epoch < f.platformEpochs[d.Group] || d.Epoch == f.platformEpochs[d.Group] && f.platformTargets[d.Group] != d.Target {
 			return
 		}
-		f.plat[d.Group], f.platT[d.Group] = d.Epoch, d.Target
-		t := f.DBs[d.Target]
-		if t == nil || !t.talks() {
+		f.platformEpochs[d.Group], f.platformTargets[d.Group] = d.Epoch, d.Target
+		t := f.Databases[d.Target]
+		if t == nil || !t.responds() {
 			return
 		}
-		if f.Plan.Plant == UnmeantPromotion {
+		if f.Plan.Mutation == UnmeantPromotion {
 			d.Identity = ""
 		}
-		if !t.c.Promote(d.Epoch, d.Identity, f.Now) {
+		if !t.state.Promote(d.Epoch, d.Identity, f.Now) {
 			return
 		}
 		t.changed()
 		for _, m := range d.Members {
-			if o := f.DBs[m.Name]; o != nil && m.Name != d.Target && o.talks() {
-				o.c.Follow(d.Epoch, t.addr)
+			if o := f.Databases[m.Name]; o != nil && m.Name != d.Target && o.responds() {
+				o.state.Follow(d.Epoch, t.address)
 				o.changed()
 			}
 		}
 	})
 }
 
-func (f *Fleet) take(to string, e *schema.Envelope) {
-	switch f.Plan.Plant {
-	case LateNews:
-		if e.GetNews() != nil && f.Now > 3_400_000 {
+func (f *Fleet) receive(to string, e *schema.Envelope) {
+	switch f.Plan.Mutation {
+	case LateUpdates:
+		if e.GetRegisterUpdate() != nil && f.Now > 3_400_000 {
 			f.After(4_000_000, func() { f.arrive(to, e) })
 			return
 		}
 	case SlippingBack:
-		f.slip(to, e)
+		f.mutateOldRevision(to, e)
 	}
 	f.arrive(to, e)
 }
 
-// slip has a node that started lately be told the first revision there was of
+// mutateOldRevision has a node that started lately be told the first revision there was of
 // each configuration, by news and by voters.
-func (f *Fleet) slip(to string, e *schema.Envelope) {
-	young := slices.ContainsFunc(f.Nodes, func(n *nodeProc) bool {
-		return n.boot.Listen == to && n.gen > 1 && f.Now-int64(n.run) < 2_000_000
+func (f *Fleet) mutateOldRevision(to string, e *schema.Envelope) {
+	young := slices.ContainsFunc(f.Nodes, func(n *nodeProcess) bool {
+		return n.boot.Listen == to && n.generation > 1 && f.Now-int64(n.run) < 2_000_000
 	})
 	old := func(key string, v *schema.Value) *schema.Value {
-		if !strings.HasPrefix(key, control.ConfigPrefix) || v == nil {
+		if !strings.HasPrefix(key, control.ConfigurationKeyPrefix) || v == nil {
 			return v
 		}
-		if f.firsts[key] == nil {
-			f.firsts[key] = v
+		if f.firstConfigurations[key] == nil {
+			f.firstConfigurations[key] = v
 		}
 		if young {
-			return f.firsts[key]
+			return f.firstConfigurations[key]
 		}
 		return v
 	}
-	for _, r := range e.GetNews().GetRegisters() {
+	for _, r := range e.GetRegisterUpdate().GetRegisters() {
 		r.Value = old(r.Key, r.Value)
 	}
 	if p := e.GetPromise(); p != nil {
@@ -236,13 +236,13 @@
 func (f *Fleet) arrive(to string, e *schema.Envelope) {
 	for _, c := range f.Controls {
 		if c.boot.Listen == to {
-			f.toControl(c, c.gen, e)
+			f.toControl(c, c.generation, e)
 			return
 		}
 	}
 	for _, n := range f.Nodes {
 		if n.boot.Listen == to {
-			f.toNode(n, n.gen, func() { f.stepNode(n, e) })
+			f.toNode(n, n.generation, func() { f.stepNode(n, e) })
 			return
 		}
 	}
@@ -259,17 +259,17 @@
 	b := f.texts[partner]
 	var try func()
 	try = func() {
-		c := f.Controls[f.R.IntN(3)]
+		c := f.Controls[f.Random.IntN(3)]
 		if !c.up {
 			f.After(200_000, try)
 			return
 		}
-		f.Operate(c, func(id uint64) any { return control.PutConfiguration{ID: id, Partner: partner, Text: b} }, func(r control.Return) {
+		f.Operate(c, func(id uint64) any { return control.PutConfiguration{ID: id, Partner: partner, Text: b} }, func(r control.ConfigurationResult) {
 			if r.Revision == 0 {
 				f.After(200_000, try)
 				return
 			}
-			f.Truth.configured(partner, r)
+			f.Oracle.configured(partner, r)
 			if done != nil {
 				done()
 			}
--- a/simulation/day_test.go
+++ b/simulation/day_test.go
@@ -29,7 +29,7 @@
 	f.Callers()
 	f.RandomFaults(f.Now+lengthUs, faultUs)
 	f.Run(f.Now + lengthUs)
-	f.DayEnds()
+	f.CheckEndOfDay()
 	return f, f.Finish()
 }
 
@@ -43,18 +43,18 @@
 	if *dayHours > 0 {
 		n, length, faults = 1, int64(*dayHours*3600e6), 60_000_000
 		change = func(p *simulation.Plan) {
-			p.Machines, p.Sessions, p.ThinkUs, p.TickUs, p.StepUs = 3, 12, 5_000_000, 500_000, 50_000
+			p.Machines, p.Sessions, p.ThinkUs, p.TickIntervalUs, p.StepIntervalUs = 3, 12, 5_000_000, 500_000, 50_000
 		}
 	}
 	var mu sync.Mutex
 	queries, acked, unsure, served, moves := 0, 0, 0, 0.0, map[string]int{}
-	each(n, *from, func(seed uint64) {
+	runSeeds(n, *from, func(seed uint64) {
 		f, v := day(seed, length, faults, change)
 		mu.Lock()
 		defer mu.Unlock()
-		queries, acked, unsure = queries+len(f.Truth.Samples), acked+v.Acked, unsure+v.Unsure
-		served += simulation.Served(f.Truth.Samples) / float64(n)
-		for _, b := range f.Calendar().Bookings {
+		queries, acked, unsure = queries+len(f.Oracle.Samples), acked+v.Acknowledged, unsure+v.InDoubt
+		served += simulation.Served(f.Oracle.Samples) / float64(n)
+		for _, b := range f.Calendar().Windows {
 			moves[b.State]++
 		}
 		if len(v.Violations) > 0 {
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -14,7 +14,7 @@
 // KillControl ends a control process.
 func (f *Fleet) KillControl(i int) {
 	c := f.Controls[i]
-	if f.Plan.Plant == UnsyncedDisk {
+	if f.Plan.Mutation == UnsyncedDisk {
 		c.disk = c.disk[:max(1, len(c.disk)-12)]
 	}
 	if f.Chance(0.5) { // what was being synced may have reached the disk
@@ -37,11 +37,11 @@
 // StopControl stops a control process as its daemon does on SIGTERM.
 func (f *Fleet) StopControl(i int) {
 	c := f.Controls[i]
-	f.toControl(c, c.gen, control.Stop{})
-	c.leaving = true
-	g := c.gen
+	f.toControl(c, c.generation, control.Stop{})
+	c.draining = true
+	g := c.generation
 	f.After(1_000_000, func() {
-		if c.gen == g {
+		if c.generation == g {
 			c.up = false
 		}
 	})
@@ -51,28 +51,28 @@
 func (f *Fleet) KillNode(i int) { f.Nodes[i].up = false }
 
 // StartNode starts it again.
-func (f *Fleet) StartNode(i int) { f.Nodes[i].leaving = false; f.startNode(f.Nodes[i]) }
+func (f *Fleet) StartNode(i int) { f.Nodes[i].draining = false; f.startNode(f.Nodes[i]) }
 
 // StopNode stops a pool node with its grace, then ends it.
 func (f *Fleet) StopNode(i int) {
 	n := f.Nodes[i]
-	if !n.up || n.paused || n.leaving {
+	if !n.up || n.paused || n.draining {
 		return
 	}
-	n.leaving = true
+	n.draining = true
 	grace := int64(3_500_000)
-	if f.Plan.Plant == DroppedAtStop {
+	if f.Plan.Mutation == DroppedAtStop {
 		grace = 1_000
 	}
 	for _, k := range slices.Sorted(maps.Keys(n.tables)) {
 		f.stepTable(n, k, querytable.Stop{GraceUs: 3_000_000})
 	}
 	f.stepNode(n, pool.Stop{})
-	g := n.gen
+	g := n.generation
 	f.After(grace, func() {
-		if n.gen == g {
+		if n.generation == g {
 			if len(n.waiters) > 0 && !n.paused {
-				f.Bad("%s stopped and dropped %d queries halfway", n.boot.Name, len(n.waiters))
+				f.Violation("%s stopped and dropped %d queries halfway", n.boot.Name, len(n.waiters))
 			}
 			n.up = false
 		}
@@ -91,32 +91,36 @@
 // ResumeControl lets a frozen control process go on.
 func (f *Fleet) ResumeControl(i int) { f.Controls[i].resume(f) }
 
-// KillDB ends a database's process.
-func (f *Fleet) KillDB(n string) {
-	if f.DBs[n].up {
-		f.DBs[n].crash()
+// KillDatabase ends a database's process.
+func (f *Fleet) KillDatabase(n string) {
+	if f.Databases[n].up {
+		f.Databases[n].crash()
 	}
 }
 
-// StartDB starts a database on its disk.
-func (f *Fleet) StartDB(n string) {
-	if !f.DBs[n].up {
-		f.DBs[n].start()
+// StartDatabase starts a database on its disk.
+func (f *Fleet) StartDatabase(n string) {
+	if !f.Databases[n].up {
+		f.Databases[n].start()
 	}
 }
 
-// LoseDB starts a database on an empty disk.
-func (f *Fleet) LoseDB(n string) { f.KillDB(n); f.DBs[n].fresh(); f.DBs[n].start() }
+// LoseDatabase starts a database on an empty disk.
+func (f *Fleet) LoseDatabase(n string) {
+	f.KillDatabase(n)
+	f.Databases[n].emptyDisk()
+	f.Databases[n].start()
+}
 
-// PauseDB freezes a database.
-func (f *Fleet) PauseDB(n string) { f.DBs[n].paused = true }
+// PauseDatabase freezes a database.
+func (f *Fleet) PauseDatabase(n string) { f.Databases[n].paused = true }
 
-// ResumeDB lets a frozen database go on.
-func (f *Fleet) ResumeDB(n string) {
-	d := f.DBs[n]
+// ResumeDatabase lets a frozen database go on.
+func (f *Fleet) ResumeDatabase(n string) {
+	d := f.Databases[n]
 	d.paused = false
-	hs := d.held
-	d.held = nil
+	hs := d.pending
+	d.pending = nil
 	for _, h := range hs {
 		f.After(0, h)
 	}
@@ -127,9 +131,9 @@
 func (f *Fleet) Isolate(addr string, both bool) {
 	for _, o := range f.Addresses() {
 		if o != addr {
-			f.Net.Cut(addr, o, true)
+			f.Network.SetPartition(addr, o, true)
 			if both {
-				f.Net.Cut(o, addr, true)
+				f.Network.SetPartition(o, addr, true)
 			}
 		}
 	}
@@ -145,14 +149,14 @@
 	for _, n := range f.Nodes {
 		as = append(as, n.boot.Listen)
 	}
-	return append(as, slices.Sorted(maps.Keys(f.byAddr))...)
+	return append(as, slices.Sorted(maps.Keys(f.databaseAt))...)
 }
 
-// Deaf has a group's replicas receive nothing, or again.
-func (f *Fleet) Deaf(group string, deaf bool) {
-	for _, n := range f.Cf.Groups[group].Members {
-		if !f.DBs[n].c.Primary {
-			f.DBs[n].Deaf(deaf)
+// SetReplicasReceiveNothing has a group's replicas receive nothing, or again.
+func (f *Fleet) SetReplicasReceiveNothing(group string, deaf bool) {
+	for _, n := range f.Configuration.Groups[group].Members {
+		if !f.Databases[n].state.Primary {
+			f.Databases[n].SetReceivesNothing(deaf)
 		}
 	}
 }
@@ -164,47 +168,47 @@
 	}
 }
 
-// Well says whether a group could bear the loss of a copy.
-func (f *Fleet) Well(group string) bool { return f.groupWell(group) }
+// HasRedundancy says whether a group could bear the loss of a copy.
+func (f *Fleet) HasRedundancy(group string) bool { return f.groupHasRedundancy(group) }
 
-// Chosen is the primary that a takeover has agreed on and not yet seen.
-func (f *Fleet) Chosen(group string) string {
+// ElectedPrimary is the primary that a takeover has agreed on and not yet seen.
+func (f *Fleet) ElectedPrimary(group string) string {
 	for _, c := range f.Controls {
-		if st := control.GroupState(c.core.Held(control.GroupPrefix + f.owner[group] + "/" + group)); st.Phase == schema.Phase_PROMOTING {
+		if st := control.GroupState(c.core.Committed(control.GroupKeyPrefix + f.owner[group] + "/" + group)); st.Phase == schema.Phase_PROMOTING {
 			return st.Primary
 		}
 	}
 	return ""
 }
 
-// Still has a copy apply nothing, or again.
-func (f *Fleet) Still(n string, still bool) { f.DBs[n].noApply = still }
+// SetAppliesNothing has a copy apply nothing, or again.
+func (f *Fleet) SetAppliesNothing(n string, still bool) { f.Databases[n].appliesNothing = still }
 
-// LoseReturns has so many runs be run and never returned.
-func (d *DB) LoseReturns(n int) { d.lose = n }
+// LoseResponses has so many runs be run and never returned.
+func (d *Database) LoseResponses(n int) { d.lostResponses = n }
 
-// Deaf has one copy receive nothing, or again.
-func (d *DB) Deaf(deaf bool) { d.noTake = deaf }
+// SetReceivesNothing has one copy receive nothing, or again.
+func (d *Database) SetReceivesNothing(deaf bool) { d.receivesNothing = deaf }
 
-// Leave has the primary of a group announce that it leaves.
-func (f *Fleet) Leave(group string) {
+// DrainPrimary has the primary of a group announce that it leaves.
+func (f *Fleet) DrainPrimary(group string) {
 	if p := f.Primary(group); p != nil {
-		p.c.Leaving = true
+		p.state.Draining = true
 	}
 }
 
-// LoseLeases has no permit reach any node from now on: a plant.
-func (f *Fleet) LoseLeases() {
-	take := f.Net.Take
-	f.Net.Take = func(to string, e *schema.Envelope) {
-		if e.GetPermitGive() == nil {
+// DropConnectionLeases has no permit reach any node from now on: a plant.
+func (f *Fleet) DropConnectionLeases() {
+	take := f.Network.Receive
+	f.Network.Receive = func(to string, e *schema.Envelope) {
+		if e.GetConnectionLeaseResponse() == nil {
 			take(to, e)
 		}
 	}
 }
 
-// ZoneGone ends everything that stands in a zone.
-func (f *Fleet) ZoneGone(zone string) {
+// CrashZone ends everything that stands in a zone.
+func (f *Fleet) CrashZone(zone string) {
 	for i, c := range f.Controls {
 		if c.boot.Zone == zone {
 			f.KillControl(i)
@@ -215,27 +219,27 @@
 			f.KillNode(i)
 		}
 	}
-	for _, a := range slices.Sorted(maps.Keys(f.byAddr)) {
-		if d := f.byAddr[a]; d.zone == zone {
-			f.KillDB(d.name)
+	for _, a := range slices.Sorted(maps.Keys(f.databaseAt)) {
+		if d := f.databaseAt[a]; d.zone == zone {
+			f.KillDatabase(d.name)
 		}
 	}
 }
 
-// Lag has every replica apply a commit so much later.
-func (f *Fleet) Lag(us int64) {
-	for _, d := range f.DBs {
-		d.lag = us
+// SetLag has every replica apply a commit so much later.
+func (f *Fleet) SetLag(us int64) {
+	for _, d := range f.Databases {
+		d.lagUs = us
 	}
 }
 
 // Address is where the database is reached.
-func (d *DB) Address() string { return d.addr }
+func (d *Database) Address() string { return d.address }
 
 // Heal mends the network and brings every process back.
 func (f *Fleet) Heal() {
-	f.Net.Mend()
-	f.Net.Drop, f.Net.Double, f.PlatformUs, f.PlatformFails = 0, 0, 5_000, 0
+	f.Network.Repair()
+	f.Network.LossShare, f.Network.DuplicateShare, f.MaxPlatformUs, f.PlatformFailureShare = 0, 0, 5_000, 0
 	for i, c := range f.Controls {
 		if !c.up {
 			f.StartControl(i)
@@ -253,28 +257,28 @@
 		n.slowUs = 0
 	}
 	for _, g := range f.Plan.Groups {
-		for _, n := range f.Cf.Groups[g].Members {
-			d := f.DBs[n]
-			d.dark, d.noTake, d.noApply, d.slow, d.lag, d.lose, d.c.Leaving = false, false, false, 0, f.Plan.LagUs, 0, false
+		for _, n := range f.Configuration.Groups[g].Members {
+			d := f.Databases[n]
+			d.unresponsive, d.receivesNothing, d.appliesNothing, d.extraServiceUs, d.lagUs, d.lostResponses, d.state.Draining = false, false, false, 0, f.Plan.LagUs, 0, false
 			if !d.up {
-				f.StartDB(n)
+				f.StartDatabase(n)
 			} else if d.paused {
-				f.ResumeDB(n)
+				f.ResumeDatabase(n)
 			}
 		}
 	}
 }
 
-// Slow has each run of a database take so much longer.
-func (f *Fleet) Slow(n string, us int64) { f.DBs[n].slow = us }
+// SetSlow has each run of a database take so much longer.
+func (f *Fleet) SetSlow(n string, us int64) { f.Databases[n].extraServiceUs = us }
 
-// Places are the databases, as the language names them.
-func (f *Fleet) Places() []language.Place {
-	var ps []language.Place
+// DatabasePlacements are the databases, as the language names them.
+func (f *Fleet) DatabasePlacements() []language.Target {
+	var ps []language.Target
 	for _, g := range f.Plan.Groups {
 		p := f.Primary(g)
-		for _, n := range f.Cf.Groups[g].Members {
-			ps = append(ps, language.Place{Name: n, Partner: f.owner[g], Group: f.owner[g] + "/" + g, Zone: f.DBs[n].zone, Primary: p == f.DBs[n]})
+		for _, n := range f.Configuration.Groups[g].Members {
+			ps = append(ps, language.Target{Name: n, Partner: f.owner[g], Group: f.owner[g] + "/" + g, Zone: f.Databases[n].zone, Primary: p == f.Databases[n]})
 		}
 	}
 	return ps
--- a/simulation/fleet.go
+++ b/simulation/fleet.go
@@ -17,160 +17,160 @@
 
 // Plan is what a simulated fleet is made of and what it has to bear.
 type Plan struct {
-	Seed          uint64
-	Partner       string // default pharmacies
-	Configuration []byte // a configuration as operators send it; without one it is made of Groups, Zones and Connections
-	With          []Part // further partners on the same pool
-	Machines      int
-	Groups        []string
-	Zones         []string
-	Connections   int32
-	Sessions      int
-	TickUs        int64   // pause between two ticks of a group, 0 for 50 ms
-	StepUs        int64   // pause between two steps of a node that hears nothing, 0 for 10 ms
-	DayUs         int64   // length of a day whose curve the callers follow, 0 for none
-	ThinkUs       int64   // mean pause of a session between two things it does
-	ServiceUs     int64   // mean time of a run
-	Servers       int     // runs a database works on at once
-	Left          float64 // share of transactions that callers leave as they are
-	LagUs         int64   // replicas apply a commit this much late
-	Choice        string
-	Position      bool
-	DelayUs       int64 // greatest delay of one way, 0 for 1500
-	BetweenUs     int64 // added to each way between two zones
-	Plant         Plant
+	Seed                      uint64
+	Partner                   string        // default pharmacies
+	Configuration             []byte        // a configuration as operators send it; without one it is made of Groups, Zones and Connections
+	MorePartners              []PartnerPlan // further partners on the same pool
+	Machines                  int
+	Groups                    []string
+	Zones                     []string
+	Connections               int32
+	Sessions                  int
+	TickIntervalUs            int64   // pause between two ticks of a group, 0 for 50 ms
+	StepIntervalUs            int64   // pause between two steps of a node that hears nothing, 0 for 10 ms
+	DayUs                     int64   // length of a day whose curve the callers follow, 0 for none
+	ThinkUs                   int64   // mean pause of a session between two things it does
+	ServiceUs                 int64   // mean time of a run
+	DatabaseServers           int     // runs a database works on at once
+	AbandonedTransactionShare float64 // share of transactions that callers leave as they are
+	LagUs                     int64   // replicas apply a commit this much late
+	Choice                    string
+	Position                  bool
+	MaxDelayUs                int64 // greatest delay of one way, 0 for 1500
+	CrossZoneDelayUs          int64 // added to each way between two zones
+	Mutation                  Mutation
 	// Observe, where it is set, records what the cores do at their edge: envelopes,
 	// calls to databases and to the platform, and answers. It changes nothing.
 	Observe *behaviourhash.Recorder
 }
 
-// Part is one more partner and its groups, whose names must be its own.
-type Part struct {
+// PartnerPlan is one more partner and its groups, whose names must be its own.
+type PartnerPlan struct {
 	Partner string
 	Groups  []string
 }
 
-// Plant is a fault put into the harness around the cores, to show that the
+// Mutation is a fault put into the harness around the cores, to show that the
 // checks see it.
-type Plant int
+type Mutation int
 
 // The plants.
 const (
-	NoPlant           Plant = iota
-	WriteTwice              // some runs are passed on twice
-	NothingKeptSaid         // a lost return is taken for a run that never left
-	AckBeforeMajority       // replicas are said to hold what they do not hold
-	UnsealedTakeover        // a seal is confirmed without sealing
-	SkippedEntry            // polls of the primary leave its newest commits out
-	ClaimedApplied          // replicas are said to have applied all they hold
-	TokenForgotten          // a session is opened without its token
-	TornSession             // a connection is said to be reset and is not
-	ForeignPrepared         // a prepared name keeps the text it first had on a connection
-	ChangedText             // some statements are sent with another text
-	UnheardLeaving          // tables are not told that a database leaves
-	DroppedAtStop           // a node that is stopped ends at once
-	LateNews                // nodes hear news 4 s late
-	SlippingBack            // a node is told the first revision there was as the newest
-	UncheckedChange         // an invalid change passes for a valid one
-	RebasedChange           // a losing change is based anew on the newest revision
-	UnsyncedDisk            // a control process that dies loses what it logged last
-	HeldBack                // bounces reach callers only when the query expires
-	UnmeantPromotion        // the platform promotes whatever copy stands at the target's place, and nodes take it for the agreed one
-	PlatformUnasked         // the platform replaces a copy as soon as it is drained
+	NoMutation         Mutation = iota
+	WriteTwice                  // some runs are passed on twice
+	NotExecutedClaimed          // a lost return is taken for a run that never left
+	AckBeforeMajority           // replicas are said to hold what they do not hold
+	UnsealedTakeover            // a seal is confirmed without sealing
+	SkippedEntry                // polls of the primary leave its newest commits out
+	ClaimedApplied              // replicas are said to have applied all they hold
+	TokenForgotten              // a session is opened without its token
+	TornSession                 // a connection is said to be reset and is not
+	ForeignPrepared             // a prepared name keeps the text it first had on a connection
+	ChangedText                 // some statements are sent with another text
+	UnheardDraining             // tables are not told that a database leaves
+	DroppedAtStop               // a node that is stopped ends at once
+	LateUpdates                 // nodes hear news 4 s late
+	SlippingBack                // a node is told the first revision there was as the newest
+	UncheckedChange             // an invalid change passes for a valid one
+	RebasedChange               // a losing change is based anew on the newest revision
+	UnsyncedDisk                // a control process that dies loses what it logged last
+	DelayedRejections           // bounces reach callers only when the query expires
+	UnmeantPromotion            // the platform promotes whatever copy stands at the target's place, and nodes take it for the agreed one
+	PlatformUnasked             // the platform replaces a copy as soon as it is drained
 )
 
 // Fleet is a whole simulated fleet.
 type Fleet struct {
-	*World
-	Plan     Plan
-	Cf       *schema.Configuration        // all partners' together
-	owner    map[string]string            // a group's partner
-	texts    map[string][]byte            // configurations as operators send them, by partner
-	class    map[string]map[string]string // a class's name by partner and kind
-	zones    map[string]string            // by address
-	Net      *Network
-	Controls []*controlProc
-	Nodes    []*nodeProc
-	DBs      map[string]*DB // by name
-	byAddr   map[string]*DB
-	ids      uint64
-	returns  map[uint64]func(control.Return)
-	told     map[uint64]func(control.Told)
-	plat     map[string]uint64 // platform: highest epoch by group
-	platT    map[string]string
-	Truth    *Truth
-	Says     []string
-	Quiet    bool
-	sessions []*session
-	halted   bool
-	applied  map[string]uint64 // per node and key, over restarts
-	// PlatformUs is the longest the platform takes to carry out what it is asked
-	// for, PlatformFails how often it does nothing.
-	PlatformUs    int64
-	PlatformFails float64
-	fewControls   int64 // when fewer than two control processes were last plain
-	crowds        int
-	waiting       int                      // queries whose callers wait for a return
-	rolling       bool                     // all nodes, or all control processes, are restarted in turn
-	lastTag       map[string]string        // newest acknowledged tag by route
-	lastRead      map[string]string        // newest read by route
-	firsts        map[string]*schema.Value // of each configuration, for a plant
+	*Scheduler
+	Plan                 Plan
+	Configuration        *schema.Configuration        // all partners' together
+	owner                map[string]string            // a group's partner
+	texts                map[string][]byte            // configurations as operators send them, by partner
+	classNames           map[string]map[string]string // a class's name by partner and kind
+	zones                map[string]string            // by address
+	Network              *Network
+	Controls             []*controlProcess
+	Nodes                []*nodeProcess
+	Databases            map[string]*Database // by name
+	databaseAt           map[string]*Database
+	lastID               uint64
+	pendingReturns       map[uint64]func(control.ConfigurationResult)
+	pendingNotifications map[uint64]func(control.CommandResult)
+	platformEpochs       map[string]uint64 // platform: highest epoch by group
+	platformTargets      map[string]string
+	Oracle               *Oracle
+	Log                  []string
+	Quiet                bool
+	sessions             []*session
+	halted               bool
+	applied              map[string]uint64 // per node and key, over restarts
+	// MaxPlatformUs is the longest the platform takes to carry out what it is asked
+	// for, PlatformFailureShare how often it does nothing.
+	MaxPlatformUs        int64
+	PlatformFailureShare float64
+	noMajorityUs         int64 // when fewer than two control processes were last plain
+	crowdCount           int
+	waiting              int                      // queries whose callers wait for a return
+	rolling              bool                     // all nodes, or all control processes, are restarted in turn
+	lastTag              map[string]string        // newest acknowledged tag by route
+	lastRead             map[string]string        // newest read by route
+	firstConfigurations  map[string]*schema.Value // of each configuration, for a plant
 }
 
-// Bad notes something that must never happen.
-func (f *Fleet) Bad(s string, a ...any) {
-	f.Truth.bad(fmt.Sprintf("at %.3f s: ", float64(f.Now)/1e6) + fmt.Sprintf(s, a...))
+// Violation notes something that must never happen.
+func (f *Fleet) Violation(s string, a ...any) {
+	f.Oracle.violation(fmt.Sprintf("at %.3f s: ", float64(f.Now)/1e6) + fmt.Sprintf(s, a...))
 }
 
-func (f *Fleet) say(s string, a ...any) {
+func (f *Fleet) logf(s string, a ...any) {
 	if !f.Quiet {
-		f.Says = append(f.Says, fmt.Sprintf("%.3f ", float64(f.Now)/1e6)+fmt.Sprintf(s, a...))
+		f.Log = append(f.Log, fmt.Sprintf("%.3f ", float64(f.Now)/1e6)+fmt.Sprintf(s, a...))
 	}
 }
 
 // NewFleet lays a fleet out and starts it.
 func NewFleet(p Plan) *Fleet {
-	w := NewWorld(p.Seed)
+	w := NewScheduler(p.Seed)
 	if p.Partner == "" {
 		p.Partner = "pharmacies"
 	}
-	p.TickUs, p.StepUs = cmp.Or(p.TickUs, 50_000), cmp.Or(p.StepUs, 10_000)
-	f := &Fleet{World: w, Cf: &schema.Configuration{}, owner: map[string]string{}, texts: map[string][]byte{}, class: map[string]map[string]string{}, zones: map[string]string{},
-		Net: newObservedNetwork(w, p.Observe), DBs: map[string]*DB{}, byAddr: map[string]*DB{}, returns: map[uint64]func(control.Return){}, told: map[uint64]func(control.Told){},
-		plat: map[string]uint64{}, platT: map[string]string{}, applied: map[string]uint64{}, lastTag: map[string]string{}, lastRead: map[string]string{}, firsts: map[string]*schema.Value{}, PlatformUs: 5_000}
-	parts := append([]Part{{Partner: p.Partner, Groups: p.Groups}}, p.With...)
+	p.TickIntervalUs, p.StepIntervalUs = cmp.Or(p.TickIntervalUs, 50_000), cmp.Or(p.StepIntervalUs, 10_000)
+	f := &Fleet{Scheduler: w, Configuration: &schema.Configuration{}, owner: map[string]string{}, texts: map[string][]byte{}, classNames: map[string]map[string]string{}, zones: map[string]string{},
+		Network: newObservedNetwork(w, p.Observe), Databases: map[string]*Database{}, databaseAt: map[string]*Database{}, pendingReturns: map[uint64]func(control.ConfigurationResult){}, pendingNotifications: map[uint64]func(control.CommandResult){},
+		platformEpochs: map[string]uint64{}, platformTargets: map[string]string{}, applied: map[string]uint64{}, lastTag: map[string]string{}, lastRead: map[string]string{}, firstConfigurations: map[string]*schema.Value{}, MaxPlatformUs: 5_000}
+	parts := append([]PartnerPlan{{Partner: p.Partner, Groups: p.Groups}}, p.MorePartners...)
 	p.Groups = nil
-	for i, pt := range parts {
+	for i, partner := range parts {
 		text := p.Configuration
 		if i > 0 || text == nil {
-			text = p.configuration(pt, 3*len(p.Groups))
+			text = p.configuration(partner, 3*len(p.Groups))
 		}
-		cf, ps := settings.ReadConfiguration(text)
+		configuration, ps := settings.ReadConfiguration(text)
 		if len(ps) > 0 {
 			panic(fmt.Sprint("simulation: ", ps))
 		}
-		f.texts[pt.Partner], f.class[pt.Partner] = text, map[string]string{}
-		for _, k := range slices.Sorted(maps.Keys(cf.Classes)) {
-			f.class[pt.Partner][cf.Classes[k].Kind] = k
+		f.texts[partner.Partner], f.classNames[partner.Partner] = text, map[string]string{}
+		for _, k := range slices.Sorted(maps.Keys(configuration.Classes)) {
+			f.classNames[partner.Partner][configuration.Classes[k].Kind] = k
 		}
-		for _, g := range slices.Sorted(maps.Keys(cf.Groups)) {
-			f.owner[g] = pt.Partner
+		for _, g := range slices.Sorted(maps.Keys(configuration.Groups)) {
+			f.owner[g] = partner.Partner
 			p.Groups = append(p.Groups, g)
 		}
-		proto.Merge(f.Cf, cf)
+		proto.Merge(f.Configuration, configuration)
 	}
 	f.Plan = p
-	if p.DelayUs > 0 {
-		f.Net.DelayLo, f.Net.DelayHi = p.DelayUs/10, p.DelayUs
+	if p.MaxDelayUs > 0 {
+		f.Network.MinDelayUs, f.Network.MaxDelayUs = p.MaxDelayUs/10, p.MaxDelayUs
 	}
-	f.Truth = newTruth(f)
-	f.Net.Take = f.take
+	f.Oracle = newOracle(f)
+	f.Network.Receive = f.receive
 	var seeds []string
 	for i := range 3 {
 		seeds = append(seeds, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
 	for i, a := range seeds {
-		c := &controlProc{boot: &schema.Boot{Name: fmt.Sprintf("control-%d", i+1), Zone: f.zone(i), Partner: parts[i%len(parts)].Partner, Listen: a, Http: a, Seeds: seeds, DataFolder: "x"}}
+		c := &controlProcess{boot: &schema.Boot{Name: fmt.Sprintf("control-%d", i+1), Zone: f.zone(i), Partner: parts[i%len(parts)].Partner, Listen: a, Http: a, Seeds: seeds, DataFolder: "x"}}
 		f.Controls = append(f.Controls, c)
 		f.zones[a] = c.boot.Zone
 		f.startControl(c)
@@ -178,20 +178,20 @@
 	for range p.Machines {
 		f.Join()
 	}
-	if p.Plant == PlatformUnasked {
-		f.After(0, f.unasked)
+	if p.Mutation == PlatformUnasked {
+		f.After(0, f.replaceUnrequested)
 	}
 	for _, g := range p.Groups {
-		for _, m := range f.Cf.Groups[g].Members {
-			f.addDB(m, g, f.Cf.Databases[m].Address, f.Cf.Databases[m].Zone, int(f.Cf.Databases[m].Connections))
-			f.zones[f.DBs[m].addr] = f.DBs[m].zone
+		for _, m := range f.Configuration.Groups[g].Members {
+			f.addDatabase(m, g, f.Configuration.Databases[m].Address, f.Configuration.Databases[m].Zone, int(f.Configuration.Databases[m].Connections))
+			f.zones[f.Databases[m].address] = f.Databases[m].zone
 		}
 	}
-	f.Net.Extra = func(a, b string) int64 {
+	f.Network.ExtraDelayUs = func(a, b string) int64 {
 		if f.zones[a] == f.zones[b] {
 			return 0
 		}
-		return p.BetweenUs
+		return p.CrossZoneDelayUs
 	}
 	return f
 }
@@ -206,7 +206,7 @@
 func (f *Fleet) Join() {
 	i := len(f.Nodes)
 	a := fmt.Sprintf("10.0.1.%d:1", i+1)
-	n := &nodeProc{f: f, boot: &schema.Boot{Name: fmt.Sprintf("pool-%d", i+1), Zone: f.zone(i), Partner: f.Partners()[i%len(f.texts)], Listen: a, Http: a, Seeds: f.Controls[0].boot.Seeds}}
+	n := &nodeProcess{fleet: f, boot: &schema.Boot{Name: fmt.Sprintf("pool-%d", i+1), Zone: f.zone(i), Partner: f.Partners()[i%len(f.texts)], Listen: a, Http: a, Seeds: f.Controls[0].boot.Seeds}}
 	f.Nodes = append(f.Nodes, n)
 	f.zones[a] = n.boot.Zone
 	f.startNode(n)
@@ -217,13 +217,13 @@
 
 // configuration is one of a partner's groups; its databases are numbered from
 // the number given.
-func (p Plan) configuration(pt Part, from int) []byte {
-	ns, ok := classNames[pt.Partner]
+func (p Plan) configuration(partner PartnerPlan, from int) []byte {
+	ns, ok := classNames[partner.Partner]
 	if !ok {
 		ns = [3]string{"reserve", "lookup", "pickup"}
 	}
 	dbs, gs, rs := map[string]any{}, map[string]any{}, map[string]any{}
-	for i, g := range pt.Groups {
+	for i, g := range partner.Groups {
 		var ms []string
 		for j := range 3 {
 			n := fmt.Sprintf("%s-%c", g, 'a'+j)
--- a/simulation/fleet_test.go
+++ b/simulation/fleet_test.go
@@ -14,14 +14,14 @@
 )
 
 var (
-	seeds = flag.Uint64("seeds", 0, "how many seeds of the whole fleet to run (default: CI's)")
-	from  = flag.Uint64("from", 0, "first seed")
-	tell  = flag.Bool("tell", false, "print what happened in each seed")
+	seeds  = flag.Uint64("seeds", 0, "how many seeds of the whole fleet to run (default: CI's)")
+	from   = flag.Uint64("from", 0, "first seed")
+	notify = flag.Bool("tell", false, "print what happened in each seed")
 )
 
 func plan(seed uint64) simulation.Plan {
-	return simulation.Plan{Seed: seed, Machines: 4, Groups: []string{"inventory-1"}, With: []simulation.Part{{Partner: "lender", Groups: []string{"ledger-1"}}}, Zones: []string{"cluj", "iasi", "brasov"}, Connections: 20,
-		Sessions: 16, ThinkUs: 120_000, ServiceUs: 1_000, Servers: 8, LagUs: 5_000, Left: 0.03}
+	return simulation.Plan{Seed: seed, Machines: 4, Groups: []string{"inventory-1"}, MorePartners: []simulation.PartnerPlan{{Partner: "lender", Groups: []string{"ledger-1"}}}, Zones: []string{"cluj", "iasi", "brasov"}, Connections: 20,
+		Sessions: 16, ThinkUs: 120_000, ServiceUs: 1_000, DatabaseServers: 8, LagUs: 5_000, AbandonedTransactionShare: 0.03}
 }
 
 // faulty runs one seed under random faults.
@@ -33,13 +33,13 @@
 	f.RandomFaults(f.Now+30_000_000, 1_500_000)
 	f.Run(f.Now + 30_000_000)
 	if p.Seed%3 == 0 {
-		f.DayEnds()
+		f.CheckEndOfDay()
 	}
 	return f, f.Finish()
 }
 
-// each runs seeds on a few threads; every seed is its own world.
-func each(n, first uint64, do func(seed uint64)) {
+// runSeeds runs seeds on a few threads; every seed is its own world.
+func runSeeds(n, first uint64, do func(seed uint64)) {
 	var wg sync.WaitGroup
 	ch := make(chan uint64)
 	for range 8 {
@@ -65,52 +65,52 @@
 	}
 	var mu sync.Mutex
 	acked, served, all, unsure := 0, 0.0, 0, 0
-	held, forced, moves, again := map[result.Code][]int64{}, []int64{}, map[string]int{}, map[result.Code][]simulation.Again{}
-	each(n, *from, func(seed uint64) {
+	pending, forced, moves, retry := map[result.Code][]int64{}, []int64{}, map[string]int{}, map[result.Code][]simulation.RetryAfterRejection{}
+	runSeeds(n, *from, func(seed uint64) {
 		f, v := faulty(plan(seed))
 		mu.Lock()
 		defer mu.Unlock()
-		acked, unsure, all = acked+v.Acked, unsure+v.Unsure, all+len(f.Truth.Samples)
-		served += simulation.Served(f.Truth.Samples) / float64(n)
-		forced = append(forced, f.Truth.InForce...)
-		for c, hs := range f.Truth.Held {
-			held[c] = append(held[c], hs...)
+		acked, unsure, all = acked+v.Acknowledged, unsure+v.InDoubt, all+len(f.Oracle.Samples)
+		served += simulation.Served(f.Oracle.Samples) / float64(n)
+		forced = append(forced, f.Oracle.ConfigurationDelays...)
+		for c, hs := range f.Oracle.RejectionDelays {
+			pending[c] = append(pending[c], hs...)
 		}
-		for c, as := range f.Truth.Again {
-			again[c] = append(again[c], as...)
+		for c, as := range f.Oracle.RetriesAfterRejection {
+			retry[c] = append(retry[c], as...)
 		}
-		for _, b := range f.Calendar().Bookings {
+		for _, b := range f.Calendar().Windows {
 			moves[b.State]++
 		}
 		if len(v.Violations) > 0 {
 			t.Errorf("seed %d: %d violations:\n%s", seed, len(v.Violations), strings.Join(v.Violations[:min(5, len(v.Violations))], "\n"))
 		}
-		if *tell {
-			t.Logf("seed %d:\n%s", seed, strings.Join(f.Says, "\n"))
+		if *notify {
+			t.Logf("seed %d:\n%s", seed, strings.Join(f.Log, "\n"))
 		}
 	})
 	t.Logf("%d seeds: %d queries, %.4f served on average, %d writes acknowledged, %d uncertain", n, all, served, acked, unsure)
-	for _, c := range slices.Sorted(maps.Keys(held)) {
-		slices.Sort(held[c])
-		q := func(x float64) int64 { return checker.Quantile(held[c], x) }
-		t.Logf("code %d, not done: %d, held %d us at the median, %d at the 99th part, %d at most", c, len(held[c]), q(0.5), q(0.99), q(1))
+	for _, c := range slices.Sorted(maps.Keys(pending)) {
+		slices.Sort(pending[c])
+		q := func(x float64) int64 { return checker.Quantile(pending[c], x) }
+		t.Logf("code %d, not done: %d, held %d us at the median, %d at the 99th part, %d at most", c, len(pending[c]), q(0.5), q(0.99), q(1))
 	}
-	for _, c := range slices.Sorted(maps.Keys(again)) {
-		var told, took []int64
+	for _, c := range slices.Sorted(maps.Keys(retry)) {
+		var notified, took []int64
 		first := 0
-		for _, a := range again[c] {
-			told = append(told, a.ToldUs)
+		for _, a := range retry[c] {
+			notified = append(notified, a.RetryAfterUs)
 			if a.TookUs >= 0 {
 				took = append(took, a.TookUs)
 			}
-			if a.Tries == 2 && a.TookUs >= 0 {
+			if a.Attempts == 2 && a.TookUs >= 0 {
 				first++
 			}
 		}
-		slices.Sort(told)
+		slices.Sort(notified)
 		slices.Sort(took)
 		t.Logf("code %d, told to come back: %d, %d done when they did, %d in the end; told %d us at the median, done after %d at the median, %d at the 99th part",
-			c, len(told), first, len(took), checker.Quantile(told, 0.5), checker.Quantile(took, 0.5), checker.Quantile(took, 0.99))
+			c, len(notified), first, len(took), checker.Quantile(notified, 0.5), checker.Quantile(took, 0.5), checker.Quantile(took, 0.99))
 	}
 	slices.Sort(forced)
 	t.Logf("%d configurations in force on all plain nodes after %d us at the median, %d at the 99th part, %d at most", len(forced), checker.Quantile(forced, 0.5), checker.Quantile(forced, 0.99), checker.Quantile(forced, 1))
@@ -124,19 +124,19 @@
 func TestSameSeedSameRun(t *testing.T) {
 	a, va := faulty(plan(7))
 	b, vb := faulty(plan(7))
-	if x, y := strings.Join(a.Says, "\n"), strings.Join(b.Says, "\n"); x != y {
+	if x, y := strings.Join(a.Log, "\n"), strings.Join(b.Log, "\n"); x != y {
 		t.Errorf("the two runs say different things")
 	}
-	if len(a.Truth.Samples) != len(b.Truth.Samples) || va.Acked != vb.Acked || va.Ages[checker.Lookup] != vb.Ages[checker.Lookup] {
-		t.Errorf("%d and %d queries, %d and %d writes", len(a.Truth.Samples), len(b.Truth.Samples), va.Acked, vb.Acked)
+	if len(a.Oracle.Samples) != len(b.Oracle.Samples) || va.Acknowledged != vb.Acknowledged || va.Ages[checker.Lookup] != vb.Ages[checker.Lookup] {
+		t.Errorf("%d and %d queries, %d and %d writes", len(a.Oracle.Samples), len(b.Oracle.Samples), va.Acknowledged, vb.Acknowledged)
 	}
 }
 
-// TestServesAfterAReturn: a zone is lost for ten seconds under three times the
+// TestServesAfterAProcessReturns: a zone is lost for ten seconds under three times the
 // burden, or every pool node at once, and comes back; of what callers send from
 // 12 s after the return on, at least a quarter is served. With permits lost on
 // the way, which is planted, nothing is.
-func TestServesAfterAReturn(t *testing.T) {
+func TestServesAfterAProcessReturns(t *testing.T) {
 	least := 1.0
 	for _, c := range []struct {
 		name    string
@@ -144,7 +144,7 @@
 		planted bool
 	}{{"a zone", false, false}, {"all nodes", true, false}, {"all nodes, no permits", true, true}} {
 		var mu sync.Mutex
-		each(6, 0, func(seed uint64) {
+		runSeeds(6, 0, func(seed uint64) {
 			p := plan(seed)
 			p.Machines, p.Sessions, p.ThinkUs = 6, 60, 150_000
 			f := simulation.NewFleet(p)
@@ -158,11 +158,11 @@
 					f.KillNode(i)
 				}
 			} else {
-				f.ZoneGone("cluj")
+				f.CrashZone("cluj")
 			}
 			f.Run(f.Now + 10_000_000)
 			if c.planted {
-				f.LoseLeases()
+				f.DropConnectionLeases()
 			}
 			f.Heal()
 			f.Run(f.Now + 12_000_000)
@@ -171,7 +171,7 @@
 			end := f.Now
 			v := f.Finish()
 			var ss []simulation.Sample
-			for _, s := range f.Truth.Samples {
+			for _, s := range f.Oracle.Samples {
 				if s.AtUs >= at && s.AtUs < end {
 					ss = append(ss, s)
 				}
--- a/simulation/life.go
+++ b/simulation/life.go
@@ -2,28 +2,28 @@
 
 import "stoneford/schema"
 
-// life is a process's standing; gen tells one run of it from the next.
-type life struct {
-	up      bool
-	paused  bool
-	gen     int
-	held    []func() // what came while it was frozen
-	slowUs  int64    // a slow machine: each step takes so long
-	free    int64    // when the step under way ends
-	line    []func() // what came meanwhile
-	due     bool
-	trouble int64 // when it was last not plain
+// processState is a process's standing; gen tells one run of it from the next.
+type processState struct {
+	up          bool
+	paused      bool
+	generation  int
+	pending     []func() // what came while it was frozen
+	slowUs      int64    // a slow machine: each step takes so long
+	freeAtUs    int64    // when the step under way ends
+	queue       []func() // what came meanwhile
+	scheduled   bool
+	lastFaultUs int64 // when it was last not plain
 }
 
-func (l *life) begin() {
-	l.gen++
-	l.up, l.paused, l.held, l.slowUs, l.free, l.line, l.due = true, false, nil, 0, 0, nil, false
+func (l *processState) begin() {
+	l.generation++
+	l.up, l.paused, l.pending, l.slowUs, l.freeAtUs, l.queue, l.scheduled = true, false, nil, 0, 0, nil, false
 }
 
-func (l *life) resume(f *Fleet) {
+func (l *processState) resume(f *Fleet) {
 	l.paused = false
-	hs := l.held
-	l.held = nil
+	hs := l.pending
+	l.pending = nil
 	for _, h := range hs {
 		f.After(0, h)
 	}
@@ -31,49 +31,49 @@
 
 // enter has a process do something: at once, or in one batch with all that
 // came while a slow machine was at its last step.
-func (f *Fleet) enter(l *life, gen int, do func()) {
+func (f *Fleet) enter(l *processState, gen int, do func()) {
 	switch {
-	case !l.up || l.gen != gen:
+	case !l.up || l.generation != gen:
 	case l.paused:
-		l.held = append(l.held, func() { f.enter(l, gen, do) })
-	case l.slowUs == 0 && f.Now >= l.free && len(l.line) == 0:
+		l.pending = append(l.pending, func() { f.enter(l, gen, do) })
+	case l.slowUs == 0 && f.Now >= l.freeAtUs && len(l.queue) == 0:
 		do()
 	default:
-		l.line = append(l.line, do)
+		l.queue = append(l.queue, do)
 		f.schedule(l)
 	}
 }
 
-func (f *Fleet) schedule(l *life) {
-	if l.due {
+func (f *Fleet) schedule(l *processState) {
+	if l.scheduled {
 		return
 	}
-	l.due = true
-	at := max(l.free, f.Now)
+	l.scheduled = true
+	at := max(l.freeAtUs, f.Now)
 	if l.slowUs > 0 {
 		at += f.Between(l.slowUs/2, l.slowUs*3/2)
 	}
-	gen := l.gen
+	gen := l.generation
 	var run func()
 	run = func() {
 		switch {
-		case !l.up || l.gen != gen:
+		case !l.up || l.generation != gen:
 			return
 		case l.paused:
-			l.held = append(l.held, run)
+			l.pending = append(l.pending, run)
 			return
 		}
-		l.due = false
-		ds := l.line
-		l.line = nil
+		l.scheduled = false
+		ds := l.queue
+		l.queue = nil
 		for i, d := range ds {
 			d()
-			if f.Now < l.free { // it syncs
-				l.line = append(append([]func(){}, ds[i+1:]...), l.line...)
+			if f.Now < l.freeAtUs { // it syncs
+				l.queue = append(append([]func(){}, ds[i+1:]...), l.queue...)
 				break
 			}
 		}
-		if len(l.line) > 0 {
+		if len(l.queue) > 0 {
 			f.schedule(l)
 		}
 	}
@@ -82,14 +82,14 @@
 
 // ticks has a process step now and then for as long as this run of it lives;
 // one that is behind steps anyway.
-func (f *Fleet) ticks(l *life, every int64, do func()) {
-	gen := l.gen
+func (f *Fleet) ticks(l *processState, every int64, do func()) {
+	gen := l.generation
 	var tick func()
 	tick = func() {
-		if !l.up || l.gen != gen {
+		if !l.up || l.generation != gen {
 			return
 		}
-		if !l.paused && len(l.line) == 0 {
+		if !l.paused && len(l.queue) == 0 {
 			f.enter(l, gen, do)
 		}
 		f.After(every, tick)
@@ -97,27 +97,27 @@
 	f.After(f.Between(0, every), tick)
 }
 
-// plain says that nothing ails a process now.
-func (f *Fleet) plain(l *life, b *schema.Boot) bool {
-	return l.up && !l.paused && l.slowUs == 0 && l.free <= f.Now && !f.Net.Ails(b.Listen)
+// healthy says that nothing ails a process now.
+func (f *Fleet) healthy(l *processState, b *schema.Boot) bool {
+	return l.up && !l.paused && l.slowUs == 0 && l.freeAtUs <= f.Now && !f.Network.Faulty(b.Listen)
 }
 
-// watchTrouble notes when each process was last not plain: promises of time
+// watchFaults notes when each process was last not plain: promises of time
 // hold for those that were.
-func (f *Fleet) watchTrouble() {
+func (f *Fleet) watchFaults() {
 	n := 0
 	for _, c := range f.Controls {
-		if f.plain(&c.life, c.boot) && c.core.Votes() {
+		if f.healthy(&c.processState, c.boot) && c.core.Voting() {
 			n++
 		}
 	}
 	if n < 2 {
-		f.fewControls = f.Now
+		f.noMajorityUs = f.Now
 	}
 	for _, n := range f.Nodes {
-		if !f.plain(&n.life, n.boot) || n.leaving {
-			n.trouble = f.Now
+		if !f.healthy(&n.processState, n.boot) || n.draining {
+			n.lastFaultUs = f.Now
 		}
 	}
-	f.After(20_000, f.watchTrouble)
+	f.After(20_000, f.watchFaults)
 }
--- a/simulation/moves_test.go
+++ b/simulation/moves_test.go
@@ -22,41 +22,41 @@
 	return a.Bookings[0].Id
 }
 
-// TestReplacementBearsALoss: at each moment of a replica's booked replacement
+// TestReplacementToleratesALoss: at each moment of a replica's booked replacement
 // the other replica stands still for a while and the primary, or that replica,
 // is lost for good, while the platform is slow. Nothing acknowledged goes and
 // the group serves again. The plant has the platform act before it is asked.
-func TestReplacementBearsALoss(t *testing.T) {
+func TestReplacementToleratesALoss(t *testing.T) {
 	var mu sync.Mutex
 	states, red := map[string]int{}, 0
-	each(48, 0, func(i uint64) {
+	runSeeds(48, 0, func(i uint64) {
 		plant := i >= 40
 		p := plan(i)
-		p.With, p.Sessions = nil, 24
+		p.MorePartners, p.Sessions = nil, 24
 		if plant {
-			p.Plant = simulation.PlatformUnasked
+			p.Mutation = simulation.PlatformUnasked
 		}
 		f := simulation.NewFleet(p)
 		f.Quiet = true
 		f.PutConfiguration(nil)
 		f.Run(3_000_000)
 		f.Callers()
-		f.PlatformUs = 1_500_000
+		f.MaxPlatformUs = 1_500_000
 		id := replaced(t, f, "inventory-1-c", "pharmacies")
 		f.Run(f.Now + int64(i%20)*100_000)
-		victim, other := "inventory-1-a", f.DBs["inventory-1-b"]
+		victim, other := "inventory-1-a", f.Databases["inventory-1-b"]
 		if i%40 >= 20 {
 			victim = "inventory-1-b"
 		}
-		other.Deaf(true)
+		other.SetReceivesNothing(true)
 		f.Run(f.Now + 250_000)
 		mu.Lock()
 		states[bookings.Find(f.Calendar(), id).GetState()]++
 		mu.Unlock()
-		f.KillDB(victim)
-		other.Deaf(false)
+		f.KillDatabase(victim)
+		other.SetReceivesNothing(false)
 		f.Run(f.Now + 1_000_000)
-		f.LoseDB(victim)
+		f.LoseDatabase(victim)
 		f.Run(f.Now + 20_000_000)
 		v := f.Finish()
 		mu.Lock()
@@ -79,14 +79,14 @@
 	}
 }
 
-// TestServesWhileADutyChangesHands: the holder of the groups' duties dies, or is
+// TestServesWhileRoleOwnerChanges: the holder of the groups' duties dies, or is
 // stopped, just as a crowd of five times the sessions comes and a machine joins.
 // Nodes that are up go on with their shares; the one that joins has its own within
 // the time stated in docs/operating.md, and soon after a stop.
-func TestServesWhileADutyChangesHands(t *testing.T) {
+func TestServesWhileRoleOwnerChanges(t *testing.T) {
 	var mu sync.Mutex
 	took, least := map[bool][]int64{}, 1.0
-	each(12, 0, func(seed uint64) {
+	runSeeds(12, 0, func(seed uint64) {
 		stop := seed%2 == 0
 		f := simulation.NewFleet(plan(seed))
 		f.Quiet = true
@@ -94,7 +94,7 @@
 		f.Run(3_000_000)
 		f.Callers()
 		f.Run(f.Now + 8_000_000)
-		h := f.Holder("pharmacies/inventory-1")
+		h := f.RoleOwner("pharmacies/inventory-1")
 		if stop {
 			f.StopControl(h)
 		} else {
@@ -111,7 +111,7 @@
 		f.Run(at + 12_000_000)
 		v := f.Finish()
 		var ss []simulation.Sample
-		for _, s := range f.Truth.Samples {
+		for _, s := range f.Oracle.Samples {
 			if s.AtUs >= at && s.AtUs < at+6_000_000 {
 				ss = append(ss, s)
 			}
@@ -123,7 +123,7 @@
 		for _, b := range v.Violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
-		if most := map[bool]int64{true: 5_000_000, false: 10_500_000}[stop]; ready > most {
+		if limit := map[bool]int64{true: 5_000_000, false: 10_500_000}[stop]; ready > limit {
 			t.Errorf("seed %d, stopped %v: the node that joined had no share for %d us", seed, stop, ready)
 		}
 		if s := simulation.Served(ss); s < 0.9 || len(ss) < 500 {
--- a/simulation/never_test.go
+++ b/simulation/never_test.go
@@ -10,13 +10,13 @@
 	"stoneford/simulation"
 )
 
-// TestPlantedFaultsAreSeen: for each line of what must never happen, a scenario
+// TestMutationsAreDetected: for each line of what must never happen, a scenario
 // that leads up to it. As it is, no seed shows anything; with the fault planted
 // in the harness around the cores, at least half of the seeds show that very
 // line (docs/never-happens.md).
-func TestPlantedFaultsAreSeen(t *testing.T) {
+func TestMutationsAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		plant    simulation.Plant
+		plant    simulation.Mutation
 		name     string
 		says     string // part of what the check says
 		lag      int64
@@ -25,34 +25,34 @@
 		scenario func(*simulation.Fleet)
 	}{
 		{simulation.WriteTwice, "a write is passed on twice", "took effect 2 times", 5_000, 16, 4_000_000, nil},
-		{simulation.NothingKeptSaid, "a lost return is told as nothing kept", "was kept after nothing kept was told", 5_000, 16, 5_000_000, lostReturns},
-		{simulation.AckBeforeMajority, "a write is told done before a majority holds it", "is gone", 5_000, 16, 6_000_000, deafReplicas},
-		{simulation.UnsealedTakeover, "a takeover seals nobody", "is gone", 5_000, 200, 4_000_000, halfSeen},
+		{simulation.NotExecutedClaimed, "a lost return is told as nothing kept", "was kept after nothing kept was told", 5_000, 16, 5_000_000, lostResponses},
+		{simulation.AckBeforeMajority, "a write is told done before a majority holds it", "is gone", 5_000, 16, 6_000_000, replicasReceiveNothing},
+		{simulation.UnsealedTakeover, "a takeover seals nobody", "is gone", 5_000, 200, 4_000_000, partitionHalf},
 		{simulation.UnmeantPromotion, "a late order promotes an empty copy in the primary's place", "are kept", 5_000, 40, 8_000_000, lateOrders},
 		{simulation.SkippedEntry, "polls leave the newest commits out", "were acknowledged before it", 300_000, 16, 4_000_000, nil},
-		{simulation.ClaimedApplied, "copies are said to have applied what they hold", "us old", 5_000, 16, 8_000_000, oldCopies},
+		{simulation.ClaimedApplied, "copies are said to have applied what they hold", "us old", 5_000, 16, 8_000_000, laggingReplicas},
 		{simulation.TokenForgotten, "a session goes on without its token", "changes of own/", 700_000, 16, 8_000_000, wander},
 		{simulation.TornSession, "a connection is not reset", "the values of another", 5_000, 16, 4_000_000, nil},
 		{simulation.ForeignPrepared, "a prepared name keeps another's text", "the values of another", 5_000, 16, 4_000_000, nil},
 		{simulation.ChangedText, "a statement's text is changed", "what was sent changes", 5_000, 16, 4_000_000, nil},
-		{simulation.UnheardLeaving, "tables do not hear that a database leaves", "after it learned that it leaves", 5_000, 16, 14_000_000, func(f *simulation.Fleet) { f.Leave(f.Plan.Groups[0]) }},
+		{simulation.UnheardDraining, "tables do not hear that a database leaves", "after it learned that it leaves", 5_000, 16, 14_000_000, func(f *simulation.Fleet) { f.DrainPrimary(f.Plan.Groups[0]) }},
 		{simulation.DroppedAtStop, "a stopping node gives no grace", "dropped", 5_000, 150, 5_000_000, stops},
-		{simulation.LateNews, "news of a configuration is held up", "accepted 3", 5_000, 16, 8_000_000, operate},
+		{simulation.LateUpdates, "news of a configuration is held up", "accepted 3", 5_000, 16, 8_000_000, operate},
 		{simulation.SlippingBack, "a node that starts again believes an old reading", "went back from revision", 5_000, 16, 9_000_000, restarts},
 		{simulation.UncheckedChange, "an invalid change passes", "an invalid configuration was accepted", 5_000, 16, 8_000_000, operate},
 		{simulation.RebasedChange, "a losing change passes", "a losing change", 5_000, 16, 8_000_000, operate},
-		{simulation.UnsyncedDisk, "what was told accepted was not synced", "was told accepted", 5_000, 16, 4_000_000, (*simulation.Fleet).DayEnds},
-		{simulation.HeldBack, "a bounce is held until the expiry", "held a query for", 5_000, 16, 6_000_000, func(f *simulation.Fleet) { f.KillDB(f.Primary(f.Plan.Groups[0]).Name()) }},
+		{simulation.UnsyncedDisk, "what was told accepted was not synced", "was told accepted", 5_000, 16, 4_000_000, (*simulation.Fleet).CheckEndOfDay},
+		{simulation.DelayedRejections, "a bounce is held until the expiry", "held a query for", 5_000, 16, 6_000_000, func(f *simulation.Fleet) { f.KillDatabase(f.Primary(f.Plan.Groups[0]).Name()) }},
 	} {
-		for _, plant := range []simulation.Plant{simulation.NoPlant, c.plant} {
+		for _, plant := range []simulation.Mutation{simulation.NoMutation, c.plant} {
 			var mu sync.Mutex
 			n, first, seeds := 0, "", uint64(4)
-			if plant == simulation.NoPlant {
+			if plant == simulation.NoMutation {
 				seeds = 2
 			}
-			each(seeds, 0, func(seed uint64) {
+			runSeeds(seeds, 0, func(seed uint64) {
 				pl := plan(seed)
-				pl.Plant, pl.LagUs, pl.Sessions = plant, c.lag, c.sessions
+				pl.Mutation, pl.LagUs, pl.Sessions = plant, c.lag, c.sessions
 				f := simulation.NewFleet(pl)
 				f.Quiet = true
 				f.PutConfiguration(nil)
@@ -67,7 +67,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				for _, b := range v.Violations {
-					if plant == simulation.NoPlant || strings.Contains(b, c.says) {
+					if plant == simulation.NoMutation || strings.Contains(b, c.says) {
 						n++
 						if first == "" {
 							first = fmt.Sprintf("seed %d: %s", seed, b)
@@ -77,63 +77,63 @@
 				}
 			})
 			switch {
-			case plant == simulation.NoPlant && n > 0:
+			case plant == simulation.NoMutation && n > 0:
 				t.Errorf("%s, without the plant: %d of %d seeds: %s", c.name, n, seeds, first)
-			case plant != simulation.NoPlant && uint64(n) < seeds/2:
+			case plant != simulation.NoMutation && uint64(n) < seeds/2:
 				t.Errorf("%s: only %d of %d seeds show it: %s", c.name, n, seeds, first)
-			case plant != simulation.NoPlant:
+			case plant != simulation.NoMutation:
 				t.Logf("%s: seen by %d of %d seeds: %s", c.name, n, seeds, first)
 			}
 		}
 	}
 }
 
-// lostReturns: the primaries run what they are sent and some returns never come.
-func lostReturns(f *simulation.Fleet) {
+// lostResponses: the primaries run what they are sent and some returns never come.
+func lostResponses(f *simulation.Fleet) {
 	for i := range 4 {
 		f.After(int64(i)*700_000, func() {
 			for _, g := range f.Plan.Groups {
 				if p := f.Primary(g); p != nil {
-					p.LoseReturns(3)
+					p.LoseResponses(3)
 				}
 			}
 		})
 	}
 }
 
-// deafReplicas: the replicas stop receiving just before the primary is lost for
+// replicasReceiveNothing: the replicas stop receiving just before the primary is lost for
 // good.
-func deafReplicas(f *simulation.Fleet) {
+func replicasReceiveNothing(f *simulation.Fleet) {
 	g := f.Plan.Groups[0]
-	f.After(1_000_000, func() { f.Deaf(g, true) })
+	f.After(1_000_000, func() { f.SetReplicasReceiveNothing(g, true) })
 	f.After(1_600_000, func() {
 		if p := f.Primary(g); p != nil {
-			f.LoseDB(p.Name())
+			f.LoseDatabase(p.Name())
 		}
-		f.Deaf(g, false)
+		f.SetReplicasReceiveNothing(g, false)
 	})
 }
 
-// halfSeen: the primary is cut off from the control processes and all pool
+// partitionHalf: the primary is cut off from the control processes and all pool
 // nodes but one, which goes on writing to it and hears no news; the platform
 // is slow, and the copy that is chosen receives nothing from then on.
-func halfSeen(f *simulation.Fleet) {
-	f.PlatformUs = 1_500_000
+func partitionHalf(f *simulation.Fleet) {
+	f.MaxPlatformUs = 1_500_000
 	g := f.Plan.Groups[0]
 	p := f.Primary(g)
 	as := f.Addresses()
 	last := as[6] // behind three control processes and three nodes
 	for _, a := range as[:6] {
 		for _, b := range []string{p.Address(), last} {
-			f.Net.Cut(a, b, true)
-			f.Net.Cut(b, a, true)
+			f.Network.SetPartition(a, b, true)
+			f.Network.SetPartition(b, a, true)
 		}
 	}
 	var watch func()
 	watch = func() {
-		if n := f.Chosen(g); n != "" && n != p.Name() {
-			f.DBs[n].Deaf(true)
-			f.After(3_000_000, func() { f.DBs[n].Deaf(false) })
+		if n := f.ElectedPrimary(g); n != "" && n != p.Name() {
+			f.Databases[n].SetReceivesNothing(true)
+			f.After(3_000_000, func() { f.Databases[n].SetReceivesNothing(false) })
 			return
 		}
 		f.After(1_000, watch)
@@ -145,14 +145,14 @@
 // replica follow are on their way still when the primary is lost and replaced too.
 func lateOrders(f *simulation.Fleet) {
 	g := f.Plan.Groups[0]
-	f.PlatformUs = 3_000_000
-	f.LoseDB(f.Cf.Groups[g].Members[2])
+	f.MaxPlatformUs = 3_000_000
+	f.LoseDatabase(f.Configuration.Groups[g].Members[2])
 	f.Run(f.Now + 100_000)
 	var then func()
 	then = func() {
-		if p := f.Primary(g); f.Well(g) {
+		if p := f.Primary(g); f.HasRedundancy(g) {
 			f.SlowControls(300_000) // they see late that another copy is there
-			f.LoseDB(p.Name())
+			f.LoseDatabase(p.Name())
 			f.After(2_500_000, func() { f.SlowControls(0) })
 			return
 		}
@@ -161,14 +161,14 @@
 	then()
 }
 
-// oldCopies: one replica after another applies nothing for a while, and nodes
+// laggingReplicas: one replica after another applies nothing for a while, and nodes
 // are frozen meanwhile.
-func oldCopies(f *simulation.Fleet) {
+func laggingReplicas(f *simulation.Fleet) {
 	for _, g := range f.Plan.Groups {
-		for _, n := range f.Cf.Groups[g].Members {
-			if f.Primary(g) != f.DBs[n] {
-				f.Still(n, true)
-				f.After(6_000_000, func() { f.Still(n, false) })
+		for _, n := range f.Configuration.Groups[g].Members {
+			if f.Primary(g) != f.Databases[n] {
+				f.SetAppliesNothing(n, true)
+				f.After(6_000_000, func() { f.SetAppliesNothing(n, false) })
 			}
 		}
 	}
@@ -202,7 +202,7 @@
 		f.After(int64(i)*600_000, func() {
 			f.Operate(f.Controls[i], func(id uint64) any {
 				return control.PutConfiguration{ID: id, Partner: p, Base: uint64(i + 1), Patch: true, Text: fmt.Appendf(nil, `{"time_zone":"Etc/GMT+%d"}`, i)}
-			}, func(control.Return) {})
+			}, func(control.ConfigurationResult) {})
 		})
 	}
 	for i := range 3 {
--- a/simulation/news_test.go
+++ b/simulation/news_test.go
@@ -21,7 +21,7 @@
 		f.Quiet = true
 		f.PutConfiguration(nil)
 		f.Run(4_000_000)
-		f.Net.Drop = 0.1
+		f.Network.LossShare = 0.1
 		for i := range 6 {
 			if i == 2 {
 				f.KillNode(int(seed) % 11)
@@ -32,7 +32,7 @@
 			c := f.Controls[int(seed)%3]
 			f.Operate(c, func(id uint64) any {
 				return control.PutConfiguration{ID: id, Partner: "pharmacies", Base: uint64(i + 1), Patch: true, Text: []byte(`{"time_zone":"UTC"}`)}
-			}, func(r control.Return) {
+			}, func(r control.ConfigurationResult) {
 				if r.Code != result.OK {
 					t.Errorf("seed %d: change %d: %d", seed, i, r.Code)
 				}
@@ -40,7 +40,7 @@
 			})
 			for end := f.Now + 10_000_000; f.Now < end; {
 				f.Run(f.Now + 5_000)
-				if rev > 0 && f.InForce("pharmacies") >= rev {
+				if rev > 0 && f.ConfigurationInForce("pharmacies") >= rev {
 					break
 				}
 			}
--- a/simulation/observe.go
+++ b/simulation/observe.go
@@ -10,29 +10,29 @@
 
 // observeTable records an effect of a node's table at its edge: calls to databases
 // and returns to callers.
-func (f *Fleet) observeTable(n *nodeProc, group string, effect querytable.Effect) {
+func (f *Fleet) observeTable(n *nodeProcess, group string, effect querytable.Effect) {
 	o := f.Plan.Observe
 	if o == nil {
 		return
 	}
 	switch e := effect.(type) {
-	case querytable.Return:
+	case querytable.Reply:
 		f.observeReturn(n, group, e)
 	case querytable.OpenConnection:
-		o.Call(f.Now, "open connection", n.boot.Name).Text(group).Uint(e.Conn).Text(e.Address)
+		o.Call(f.Now, "open connection", n.boot.Name).Text(group).Uint(e.Connection).Text(e.Address)
 	case querytable.CloseConnection:
-		o.Call(f.Now, "close connection", n.boot.Name).Text(group).Uint(e.Conn).Text(e.Address).Int(e.ID)
+		o.Call(f.Now, "close connection", n.boot.Name).Text(group).Uint(e.Connection).Text(e.Address).Int(e.ID)
 	case querytable.Run:
-		o.Call(f.Now, "run", n.boot.Name).Text(group).Uint(e.Run).Uint(e.Conn).Text(e.Address).Int(e.ID).Uint(e.Epoch).Bool(e.ReadOnly).Int(e.UntilUs)
+		o.Call(f.Now, "run", n.boot.Name).Text(group).Uint(e.Run).Uint(e.Connection).Text(e.Address).Int(e.ID).Uint(e.Epoch).Bool(e.ReadOnly).Int(e.UntilUs)
 		f.observeOps(e.Ops)
 	case querytable.Poll:
 		o.Call(f.Now, "poll", n.boot.Name).Text(group).Uint(e.Poll).Text(e.Address).Int(e.Received).Int(e.Applied).Int(e.WaitUs)
 	}
 }
 
-func (f *Fleet) observeReturn(n *nodeProc, group string, e querytable.Return) {
+func (f *Fleet) observeReturn(n *nodeProcess, group string, e querytable.Reply) {
 	o := f.Plan.Observe.Answer(f.Now, "return", n.boot.Name).Text(group).Uint(e.ID).Int(int64(e.Code)).Text(string(e.Outcome)).Int(e.RetryAfterUs)
-	o.Text(e.Token.Group).Uint(e.Token.Epoch).Int(e.Token.Position).Text(e.Copy).Bool(e.Replica).Int(e.Position).Bool(e.Open)
+	o.Text(e.Token.Group).Uint(e.Token.Epoch).Int(e.Token.Position).Text(e.Database).Bool(e.FromReplica).Int(e.Position).Bool(e.InTransaction)
 	o.Int(int64(len(e.Rows)))
 	for _, rows := range e.Rows {
 		o.Int(int64(len(rows)))
@@ -55,27 +55,27 @@
 
 // observeControl records an effect of a control process at its edge: questions to
 // databases, what is asked of the platform, and answers to operators.
-func (f *Fleet) observeControl(c *controlProc, effect any) {
+func (f *Fleet) observeControl(c *controlProcess, effect any) {
 	o, name := f.Plan.Observe, c.boot.Name
 	if o == nil {
 		return
 	}
 	switch d := effect.(type) {
-	case control.Return:
+	case control.ConfigurationResult:
 		o.Answer(f.Now, "configuration", name).Uint(d.ID).Int(int64(d.Code)).Uint(d.Revision).Bytes(d.Text).Int(int64(len(d.Problems)))
-	case control.Told:
+	case control.CommandResult:
 		o.Answer(f.Now, "told", name).Uint(d.ID).Int(int64(d.Code)).Int(int64(len(d.Bookings)))
 		for _, b := range d.Bookings {
 			o.Uint(b.Id).Text(b.Kind).Text(b.Target).Text(b.Group).Int(b.AtUs).Text(b.State).Text(b.Identity)
 		}
-	case control.AskDatabase:
-		o.Call(f.Now, "ask", name).Text(d.Group).Uint(d.ID).Text(d.Address).Uint(d.Seal)
-	case control.Platform:
+	case control.DatabaseCall:
+		o.Call(f.Now, "ask", name).Text(d.Group).Uint(d.ID).Text(d.Address).Uint(d.SealEpoch)
+	case control.FailoverRequest:
 		o.Call(f.Now, "take over", name).Text(d.Group).Text(d.Target).Text(d.Identity).Uint(d.Epoch).Int(int64(len(d.Members)))
 		for _, m := range d.Members {
 			o.Text(m.Name).Text(m.Address)
 		}
-	case control.Replace:
+	case control.ReplaceDatabase:
 		o.Call(f.Now, "replace", name).Text(d.Database).Text(d.Address).Text(d.Identity)
 	case control.StopMachine:
 		o.Call(f.Now, "stop machine", name).Text(d.Machine)
