--- a/standin/callers/callers.go
+++ b/standin/callers/callers.go
@@ -44,7 +44,7 @@
 	Rows         [][][]string     `json:"rows"`
 	RetryAfterUs int64            `json:"retry_after_us"`
 	Token        querytable.Token `json:"token"`
-	Copy         string           `json:"copy"`
+	Database     string           `json:"copy"`
 	Replica      bool             `json:"replica"`
 }
 
@@ -56,65 +56,65 @@
 
 // Sample is one query for the figures.
 type Sample struct {
-	Kind    string
-	AtUs    int64 // when it was first sent
-	TookUs  int64
-	Code    result.Code
-	Outcome result.Outcome
-	Tries   int
-	Copy    string
+	Kind       string
+	AtUs       int64 // when it was first sent
+	DurationUs int64
+	Code       result.Code
+	Outcome    result.Outcome
+	Attempts   int
+	Database   string
 
 	OnReplica bool
 }
 
-// Run is one run of the callers.
-type Run struct {
-	load    Load
-	c       *http.Client
-	began   time.Time
-	mu      sync.Mutex
-	samples []Sample
-	Checker *checker.Checker
-	ackAt   map[string][]int64 // times of acknowledged writes by route
-	lastTag map[string]string  // newest acknowledged tag by route
-	seq     atomic.Int64
-	ctx     context.Context // of Go
-	wg      sync.WaitGroup
-	all     []*session
-	crowds  int
+// Runner is one run of the callers.
+type Runner struct {
+	load           Load
+	client         *http.Client
+	startedAt      time.Time
+	mu             sync.Mutex
+	samples        []Sample
+	Checker        *checker.Checker
+	acknowledgedAt map[string][]int64 // times of acknowledged writes by route
+	lastTag        map[string]string  // newest acknowledged tag by route
+	sequence       atomic.Int64
+	ctx            context.Context // of Go
+	sessionsDone   sync.WaitGroup
+	allSessions    []*session
+	crowds         int
 }
 
 // New makes a run.
-func New(l Load) *Run {
-	return &Run{load: l, began: time.Now(), Checker: checker.New(), ackAt: map[string][]int64{}, lastTag: map[string]string{},
-		c: &http.Client{Timeout: 12 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
+func New(l Load) *Runner {
+	return &Runner{load: l, startedAt: time.Now(), Checker: checker.New(), acknowledgedAt: map[string][]int64{}, lastTag: map[string]string{},
+		client: &http.Client{Timeout: 12 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
 }
 
 func nowUs() int64 { return time.Now().UnixMicro() }
 
-// Go sends the load until the context ends, then waits for what is under way.
-func (r *Run) Go(ctx context.Context) {
+// Run sends the load until the context ends, then waits for what is under way.
+func (r *Runner) Run(ctx context.Context) {
 	r.mu.Lock()
 	r.ctx = ctx
 	r.mu.Unlock()
 	for _, rt := range r.load.Routes {
-		r.wg.Go(func() { r.tick(ctx, rt) })
+		r.sessionsDone.Go(func() { r.tick(ctx, rt) })
 	}
 	for i := range r.load.Sessions {
-		r.begin(ctx, fmt.Sprintf("s%d-%d", r.load.Seed, i), i, r.load.Rate)
+		r.startSession(ctx, fmt.Sprintf("s%d-%d", r.load.Seed, i), i, r.load.Rate)
 	}
-	r.wg.Wait()
+	r.sessionsDone.Wait()
 }
 
-// begin starts one session that shares so many queries a second with the others.
-func (r *Run) begin(ctx context.Context, name string, i int, rate float64) {
+// startSession starts one session that shares so many queries a second with the others.
+func (r *Runner) startSession(ctx context.Context, name string, i int, rate float64) {
 	per := time.Duration(float64(time.Second) * float64(r.load.Sessions) / rate)
 	s := r.session(name, r.load.Routes[i%len(r.load.Routes)], uint64(i))
-	r.wg.Go(func() {
-		next := time.Now().Add(time.Duration(s.rnd.Int64N(int64(min(per, time.Second)))))
-		for pause(ctx, time.Until(next)) {
-			s.one(ctx)
-			next = next.Add(time.Duration((0.5 + s.rnd.Float64()) * float64(per)))
+	r.sessionsDone.Go(func() {
+		next := time.Now().Add(time.Duration(s.random.Int64N(int64(min(per, time.Second)))))
+		for sleep(ctx, time.Until(next)) {
+			s.runOne(ctx)
+			next = next.Add(time.Duration((0.5 + s.random.Float64()) * float64(per)))
 			if n := time.Now(); next.Before(n) {
 				next = n
 			}
@@ -122,20 +122,20 @@
 	})
 }
 
-func (r *Run) session(name, route string, i uint64) *session {
-	s := &session{r: r, name: name, route: route, rnd: rand.New(rand.NewPCG(r.load.Seed, i))}
+func (r *Runner) session(name, route string, i uint64) *session {
+	s := &session{runner: r, name: name, route: route, random: rand.New(rand.NewPCG(r.load.Seed, i))}
 	if n := len(r.load.Zones); n > 0 {
 		s.zone.Store(r.load.Zones[int(i)%n])
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = append(r.all, s)
+	r.allSessions = append(r.allSessions, s)
 	return s
 }
 
-// Crowd has so many times the sessions come within a second, each as busy as the
+// AddCrowd has so many times the sessions come within a second, each as busy as the
 // others, and go again.
-func (r *Run) Crowd(times int, length time.Duration) {
+func (r *Runner) AddCrowd(times int, length time.Duration) {
 	r.mu.Lock()
 	ctx := r.ctx
 	r.crowds++
@@ -143,18 +143,18 @@
 	r.mu.Unlock()
 	ctx, stop := context.WithTimeout(ctx, length)
 	for i := range times * r.load.Sessions {
-		r.begin(ctx, fmt.Sprintf("c%d-%d-%d", r.load.Seed, n, i), n<<20+i, r.load.Rate)
+		r.startSession(ctx, fmt.Sprintf("c%d-%d-%d", r.load.Seed, n, i), n<<20+i, r.load.Rate)
 	}
-	r.wg.Go(func() { <-ctx.Done(); stop() })
+	r.sessionsDone.Go(func() { <-ctx.Done(); stop() })
 }
 
-// Move has the sessions of a zone, or all, go on in the next one, in the middle of
+// MoveZone has the sessions of a zone, or all, go on in the next one, in the middle of
 // what they are at.
-func (r *Run) Move(zone string) {
+func (r *Runner) MoveZone(zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	zs := r.load.Zones
-	for _, s := range r.all {
+	for _, s := range r.allSessions {
 		z, _ := s.zone.Load().(string)
 		if i := slices.Index(zs, z); i >= 0 && (zone == z || zone == "all") {
 			s.zone.Store(zs[(i+1)%len(zs)])
@@ -163,7 +163,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
 	select {
@@ -175,20 +175,20 @@
 }
 
 // tick adds one to a row over and over; how far it is tells how fresh a read is.
-func (r *Run) tick(ctx context.Context, route string) {
+func (r *Runner) tick(ctx context.Context, route string) {
 	s := r.session("tick-"+route, route, 1<<40)
-	for pause(ctx, 50*time.Millisecond) {
-		v, ok := s.ask(ctx, "tick", query{Class: s.class("current"), Statements: stmts("add ticks t 1")})
+	for sleep(ctx, 50*time.Millisecond) {
+		v, ok := s.call(ctx, "tick", query{Class: s.class("current"), Statements: statements("add ticks t 1")})
 		if ok && v.Outcome == result.Done {
-			r.Checker.Ticked(route)
+			r.Checker.RecordTick(route)
 			r.mu.Lock()
-			r.ackAt[route] = append(r.ackAt[route], nowUs())
+			r.acknowledgedAt[route] = append(r.acknowledgedAt[route], nowUs())
 			r.mu.Unlock()
 		}
 	}
 }
 
-func stmts(ts ...string) []querytable.Statement {
+func statements(ts ...string) []querytable.Statement {
 	var ss []querytable.Statement
 	for _, t := range ts {
 		ss = append(ss, querytable.Statement{Text: t})
@@ -208,16 +208,16 @@
 }
 
 type session struct {
-	r     *Run
-	name  string
-	route string
-	rnd   *rand.Rand
-	node  string
-	id    string
-	token querytable.Token
-	mark  string // a session value only this session sets
-	zone  atomic.Value
-	moved atomic.Bool // it is in another zone and has not noticed
+	runner   *Runner
+	name     string
+	route    string
+	random   *rand.Rand
+	node     string
+	id       string
+	token    querytable.Token
+	ownValue string // a session value only this session sets
+	zone     atomic.Value
+	moved    atomic.Bool // it is in another zone and has not noticed
 }
 
 func (s *session) post(ctx context.Context, url string, in any) (reply, error) {
@@ -229,7 +229,7 @@
 	if err != nil {
 		return reply{}, err
 	}
-	rs, err := s.r.c.Do(rq)
+	rs, err := s.runner.client.Do(rq)
 	if err != nil {
 		return reply{}, err
 	}
@@ -241,25 +241,25 @@
 // open has a session on some ready node, with the token of the last one.
 func (s *session) open(ctx context.Context) bool {
 	for n := 0; ctx.Err() == nil && n < 50; n++ {
-		ns := s.r.load.Nodes()
+		ns := s.runner.load.Nodes()
 		if len(ns) == 0 {
-			pause(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 			continue
 		}
 		if z, _ := s.zone.Load().(string); z != "" {
-			if near := slices.DeleteFunc(slices.Clone(ns), func(n string) bool { return s.r.load.Zone(n) != z }); len(near) > 0 {
+			if near := slices.DeleteFunc(slices.Clone(ns), func(n string) bool { return s.runner.load.Zone(n) != z }); len(near) > 0 {
 				ns = near
 			}
 		}
-		s.node = ns[s.rnd.IntN(len(ns))]
-		s.mark = s.name + "/" + strconv.FormatInt(s.r.seq.Add(1), 10)
+		s.node = ns[s.random.IntN(len(ns))]
+		s.ownValue = s.name + "/" + strconv.FormatInt(s.runner.sequence.Add(1), 10)
 		v, err := s.post(ctx, "http://"+s.node+"/v1/sessions", map[string]any{"route": s.route, "token": s.token,
-			"values": map[string]string{"mark": s.mark}, "prepared": map[string]string{"mine": "value mark"}})
+			"values": map[string]string{"mark": s.ownValue}, "prepared": map[string]string{"mine": "value mark"}})
 		if err == nil && v.Code == result.OK {
 			s.id = v.Session
 			return true
 		}
-		pause(ctx, 50*time.Millisecond)
+		sleep(ctx, 50*time.Millisecond)
 	}
 	return false
 }
@@ -279,7 +279,7 @@
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
 			// Nobody was there to take it.
-			return reply{Outcome: result.NothingKept, Code: result.UnknownSession, Detail: err.Error()}, true
+			return reply{Outcome: result.NoEffect, Code: result.UnknownSession, Detail: err.Error()}, true
 		}
 		return reply{Outcome: result.Uncertain, Code: -1, Detail: err.Error()}, true
 	}
@@ -292,28 +292,28 @@
 	return v, true
 }
 
-// ask sends a query, coming back when told to, for as long as a person would.
-func (s *session) ask(ctx context.Context, kind string, q query) (reply, bool) {
+// call sends a query, coming back when told to, for as long as a person would.
+func (s *session) call(ctx context.Context, kind string, q query) (reply, bool) {
 	t0 := nowUs()
 	for n := 1; ; n++ {
 		v, ok := s.send(ctx, q)
 		if !ok {
 			return v, false
 		}
-		again := v.Code.Bounce() || v.Code == result.UnknownSession
-		if again && nowUs()-t0 < 5_000_000 && pause(ctx, time.Duration(v.RetryAfterUs)*time.Microsecond) {
+		retry := v.Code.Retryable() || v.Code == result.UnknownSession
+		if retry && nowUs()-t0 < 5_000_000 && sleep(ctx, time.Duration(v.RetryAfterUs)*time.Microsecond) {
 			continue
 		}
-		s.r.mu.Lock()
-		s.r.samples = append(s.r.samples, Sample{Kind: kind, AtUs: t0, TookUs: nowUs() - t0, Code: v.Code, Outcome: v.Outcome, Tries: n, Copy: v.Copy, OnReplica: v.Replica})
-		s.r.mu.Unlock()
+		s.runner.mu.Lock()
+		s.runner.samples = append(s.runner.samples, Sample{Kind: kind, AtUs: t0, DurationUs: nowUs() - t0, Code: v.Code, Outcome: v.Outcome, Attempts: n, Database: v.Database, OnReplica: v.Replica})
+		s.runner.mu.Unlock()
 		return v, true
 	}
 }
 
-// one does one thing a till or an app does.
-func (s *session) one(ctx context.Context) {
-	switch p := s.rnd.Float64(); {
+// runOne does one thing a till or an app does.
+func (s *session) runOne(ctx context.Context) {
+	switch p := s.random.Float64(); {
 	case p < 0.38:
 		s.reserve(ctx)
 	case p < 0.55:
@@ -327,15 +327,15 @@
 	}
 }
 
-func (s *session) tag() string { return "t" + strconv.FormatInt(s.r.seq.Add(1), 10) }
+func (s *session) tag() string { return "t" + strconv.FormatInt(s.runner.sequence.Add(1), 10) }
 
-func (s *session) wrote(tag string, o result.Outcome, rows ...string) {
-	s.r.Checker.Wrote(checker.Write{Route: s.route, Tag: tag, Rows: rows, Out: o, AtUs: nowUs()})
+func (s *session) recordWrite(tag string, o result.Outcome, rows ...string) {
+	s.runner.Checker.RecordWrite(checker.Write{Route: s.route, Tag: tag, Rows: rows, Outcome: o, AtUs: nowUs()})
 	if o == result.Done {
-		s.r.mu.Lock()
-		defer s.r.mu.Unlock()
-		s.r.lastTag[s.route] = tag
-		s.r.ackAt[s.route] = append(s.r.ackAt[s.route], nowUs())
+		s.runner.mu.Lock()
+		defer s.runner.mu.Unlock()
+		s.runner.lastTag[s.route] = tag
+		s.runner.acknowledgedAt[s.route] = append(s.runner.acknowledgedAt[s.route], nowUs())
 	}
 }
 
@@ -345,12 +345,12 @@
 	t0 := nowUs()
 	for n := 1; ; n++ {
 		tag := s.tag()
-		v, ok := s.send(ctx, query{Query: tag, Class: s.class("current"), Statements: stmts("add ledger " + tag + " 1")})
+		v, ok := s.send(ctx, query{Query: tag, Class: s.class("current"), Statements: statements("add ledger " + tag + " 1")})
 		if !ok {
 			return
 		}
-		s.wrote(tag, v.Outcome)
-		if (v.Code.Bounce() || v.Code == result.UnknownSession) && nowUs()-t0 < 5_000_000 && pause(ctx, time.Duration(v.RetryAfterUs)*time.Microsecond) {
+		s.recordWrite(tag, v.Outcome)
+		if (v.Code.Retryable() || v.Code == result.UnknownSession) && nowUs()-t0 < 5_000_000 && sleep(ctx, time.Duration(v.RetryAfterUs)*time.Microsecond) {
 			continue
 		}
 		s.sample(Reservation, t0, n, v)
@@ -359,9 +359,9 @@
 }
 
 func (s *session) sample(kind string, t0 int64, n int, v reply) {
-	s.r.mu.Lock()
-	defer s.r.mu.Unlock()
-	s.r.samples = append(s.r.samples, Sample{Kind: kind, AtUs: t0, TookUs: nowUs() - t0, Code: v.Code, Outcome: v.Outcome, Tries: n, Copy: v.Copy, OnReplica: v.Replica})
+	s.runner.mu.Lock()
+	defer s.runner.mu.Unlock()
+	s.runner.samples = append(s.runner.samples, Sample{Kind: kind, AtUs: t0, DurationUs: nowUs() - t0, Code: v.Code, Outcome: v.Outcome, Attempts: n, Database: v.Database, OnReplica: v.Replica})
 }
 
 // transaction reads, takes stock in up to a dozen queries and writes its tag,
@@ -371,43 +371,43 @@
 	for n := 1; ; n++ {
 		tag := s.tag()
 		ask, seen := s.current()
-		steps := []query{{Class: s.class("current"), Begin: true, Statements: stmts(ask, "value mark")}}
+		steps := []query{{Class: s.class("current"), Begin: true, Statements: statements(ask, "value mark")}}
 		rows := []string{checker.OwnRow(s.name)}
-		for range 1 + s.rnd.IntN(1+s.rnd.IntN(10)) {
-			key := strconv.Itoa(s.rnd.IntN(50))
+		for range 1 + s.random.IntN(1+s.random.IntN(10)) {
+			key := strconv.Itoa(s.random.IntN(50))
 			rows = append(rows, "stock/"+key)
 			steps = append(steps, query{Class: s.class("current"), Statements: []querytable.Statement{{Text: "add stock ? -1", Params: []string{key}}, {Prepared: "mine"}}})
 		}
-		steps = append(steps, query{Class: s.class("current"), Commit: true, Statements: stmts("add ledger "+tag+" 1", "add own "+s.name+" 1")})
-		mark := s.mark
+		steps = append(steps, query{Class: s.class("current"), Commit: true, Statements: statements("add ledger "+tag+" 1", "add own "+s.name+" 1")})
+		mark := s.ownValue
 		var v reply
 		ok := true
 		for i, q := range steps {
 			if i > 0 && s.moved.Load() {
-				v = reply{Code: result.TransactionLost, Outcome: result.NothingKept}
+				v = reply{Code: result.TransactionLost, Outcome: result.NoEffect}
 				break // what it had begun elsewhere keeps nothing
 			}
 			if v, ok = s.send(ctx, q); !ok {
 				if i > 0 {
-					s.wrote(tag, result.NothingKept, rows...)
+					s.recordWrite(tag, result.NoEffect, rows...)
 				}
 				return
 			}
 			if i == 0 {
-				mark = s.mark
+				mark = s.ownValue
 			}
 			if v.Outcome != result.Done || i == len(steps)-1 {
 				break
 			}
 			if i == 0 {
-				s.got(checker.Current, v, seen)
+				s.received(checker.Current, v, seen)
 			}
 			if len(v.Rows) != 2 || v.Rows[1][0][0] != mark {
-				s.r.Checker.Odd("%s: step %d of a transaction showed the values of another: %v, not %s", s.route, i, v.Rows, mark)
+				s.runner.Checker.RecordViolation("%s: step %d of a transaction showed the values of another: %v, not %s", s.route, i, v.Rows, mark)
 			}
 		}
-		s.wrote(tag, v.Outcome, rows...)
-		if (v.Code.Bounce() || v.Code == result.UnknownSession || v.Code == result.TransactionLost) && nowUs()-t0 < 5_000_000 && pause(ctx, time.Duration(v.RetryAfterUs)*time.Microsecond) {
+		s.recordWrite(tag, v.Outcome, rows...)
+		if (v.Code.Retryable() || v.Code == result.UnknownSession || v.Code == result.TransactionLost) && nowUs()-t0 < 5_000_000 && sleep(ctx, time.Duration(v.RetryAfterUs)*time.Microsecond) {
 			continue
 		}
 		s.sample(Transaction, t0, n, v)
@@ -416,52 +416,52 @@
 }
 
 // class is the route's class of a kind.
-func (s *session) class(kind string) string { return s.r.load.Classes[s.route][kind] }
+func (s *session) class(kind string) string { return s.runner.load.Classes[s.route][kind] }
 
 // current is a statement that reads the ticks, the session's own row and the
 // newest tag that another wrote, and what must show in it.
-func (s *session) current() (string, []checker.Shown) {
+func (s *session) current() (string, []checker.ObservedRow) {
 	rows := []string{checker.TickRow, checker.OwnRow(s.name)}
-	s.r.mu.Lock()
-	t := s.r.lastTag[s.route]
-	s.r.mu.Unlock()
+	s.runner.mu.Lock()
+	t := s.runner.lastTag[s.route]
+	s.runner.mu.Unlock()
 	if t != "" {
 		rows = append(rows, checker.TagRow(t))
 	}
-	return checker.Ask(rows), s.r.Checker.Before(s.route, rows...)
+	return checker.ReadStatement(rows), s.runner.Checker.ReadExpectation(s.route, rows...)
 }
 
 func (s *session) read(ctx context.Context, kind string, q query) {
 	ask, seen := s.current()
-	q.Statements = stmts(ask)
-	v, ok := s.ask(ctx, kind, q)
+	q.Statements = statements(ask)
+	v, ok := s.call(ctx, kind, q)
 	if ok && v.Outcome == result.Done {
-		s.got(kind, v, seen)
+		s.received(kind, v, seen)
 	}
 }
 
-func (s *session) got(kind string, v reply, seen []checker.Shown) {
+func (s *session) received(kind string, v reply, seen []checker.ObservedRow) {
 	var vs [][]string
 	if len(v.Rows) > 0 {
 		vs = v.Rows[0]
 	}
-	s.r.Checker.Got(checker.Read{Route: s.route, Kind: kind, Shown: seen, AtUs: nowUs(), Where: "on " + v.Copy + " by " + s.node}, vs)
+	s.runner.Checker.RecordRead(checker.Read{Route: s.route, Kind: kind, Rows: seen, AtUs: nowUs(), Database: "on " + v.Database + " by " + s.node}, vs)
 }
 
 // Samples returns all queries sent so far.
-func (r *Run) Samples() []Sample {
+func (r *Runner) Samples() []Sample {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.samples)
 }
 
-// FirstAckAfter is when the first write on a route was acknowledged behind a
+// FirstAcknowledgementAfter is when the first write on a route was acknowledged behind a
 // moment, 0 if none was.
-func (r *Run) FirstAckAfter(route string, at int64) int64 {
+func (r *Runner) FirstAcknowledgementAfter(route string, at int64) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var best int64
-	for _, t := range r.ackAt[route] {
+	for _, t := range r.acknowledgedAt[route] {
 		if t > at && (best == 0 || t < best) {
 			best = t
 		}
--- a/standin/checker/checker.go
+++ b/standin/checker/checker.go
@@ -23,28 +23,28 @@
 // Write is one write that a caller sent under a tag of its own: the row
 // ledger/TAG and the other rows that its commit changes by one each.
 type Write struct {
-	Route string
-	Tag   string
-	Rows  []string // RELATION/KEY, the tag's own left out
-	Out   result.Outcome
-	AtUs  int64
+	Route   string
+	Tag     string
+	Rows    []string // RELATION/KEY, the tag's own left out
+	Outcome result.Outcome
+	AtUs    int64
 }
 
-// Shown is one row of a read: what it showed, and how many changes of it were
+// ObservedRow is one row of a read: what it showed, and how many changes of it were
 // acknowledged before the read was sent.
-type Shown struct {
-	Row   string
-	Value int64
-	Acked int64
+type ObservedRow struct {
+	Row          string
+	Value        int64
+	Acknowledged int64
 }
 
 // Read is what one read showed.
 type Read struct {
-	Route string
-	Kind  string
-	Shown []Shown
-	AtUs  int64 // when its return came
-	Where string
+	Route    string
+	Kind     string
+	Rows     []ObservedRow
+	AtUs     int64 // when its return came
+	Database string
 }
 
 // TickRow is the row that is added to all the time: how far it is tells how
@@ -57,95 +57,95 @@
 // TagRow is the row of a write's tag.
 func TagRow(tag string) string { return "ledger/" + tag }
 
-// Ask is the statement that reads rows.
-func Ask(rows []string) string {
+// ReadStatement is the statement that reads rows.
+func ReadStatement(rows []string) string {
 	return "read " + strings.ReplaceAll(strings.Join(rows, " "), "/", " ")
 }
 
 // Checker collects.
 type Checker struct {
-	mu     sync.Mutex
-	writes []Write
-	reads  []Read
-	oddity []string
-	acked  map[string]map[string]int64 // changes acknowledged, by route and row
+	mu           sync.Mutex
+	writes       []Write
+	reads        []Read
+	violations   []string
+	acknowledged map[string]map[string]int64 // changes acknowledged, by route and row
 }
 
 // New makes an empty checker.
-func New() *Checker { return &Checker{acked: map[string]map[string]int64{}} }
+func New() *Checker { return &Checker{acknowledged: map[string]map[string]int64{}} }
 
-// Wrote notes how a write ended.
-func (c *Checker) Wrote(w Write) {
+// RecordWrite notes how a write ended.
+func (c *Checker) RecordWrite(w Write) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writes = append(c.writes, w)
-	if w.Out == result.Done {
-		c.ack(w.Route, append(w.Rows, TagRow(w.Tag))...)
+	if w.Outcome == result.Done {
+		c.acknowledge(w.Route, append(w.Rows, TagRow(w.Tag))...)
 	}
 }
 
-// Ticked notes an acknowledged tick.
-func (c *Checker) Ticked(route string) {
+// RecordTick notes an acknowledged tick.
+func (c *Checker) RecordTick(route string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ack(route, TickRow)
+	c.acknowledge(route, TickRow)
 }
 
-func (c *Checker) ack(route string, rows ...string) {
-	m := c.acked[route]
+func (c *Checker) acknowledge(route string, rows ...string) {
+	m := c.acknowledged[route]
 	if m == nil {
 		m = map[string]int64{}
-		c.acked[route] = m
+		c.acknowledged[route] = m
 	}
 	for _, r := range rows {
 		m[r]++
 	}
 }
 
-// Before is what was acknowledged of the rows that a read is about to ask for.
-func (c *Checker) Before(route string, rows ...string) []Shown {
+// ReadExpectation is what was acknowledged of the rows that a read is about to ask for.
+func (c *Checker) ReadExpectation(route string, rows ...string) []ObservedRow {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ss := make([]Shown, len(rows))
+	ss := make([]ObservedRow, len(rows))
 	for i, r := range rows {
-		ss[i] = Shown{Row: r, Acked: c.acked[route][r]}
+		ss[i] = ObservedRow{Row: r, Acknowledged: c.acknowledged[route][r]}
 	}
 	return ss
 }
 
-// Got notes what a read showed of the rows it was sent for: the texts of its
+// RecordRead notes what a read showed of the rows it was sent for: the texts of its
 // return, as they came.
-func (c *Checker) Got(r Read, values [][]string) {
+func (c *Checker) RecordRead(r Read, values [][]string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r.Shown = slices.Clone(r.Shown)
-	for i := range r.Shown {
+	r.Rows = slices.Clone(r.Rows)
+	for i := range r.Rows {
 		n, err := int64(0), error(nil)
 		if i >= len(values) || len(values[i]) != 1 {
-			err = fmt.Errorf("no value for %s", r.Shown[i].Row)
+			err = fmt.Errorf("no value for %s", r.Rows[i].Row)
 		} else {
 			n, err = strconv.ParseInt(values[i][0], 10, 64)
 		}
 		if err != nil {
-			c.oddity = append(c.oddity, fmt.Sprintf("%s: a %s %s returned %v: %v", r.Route, r.Kind, r.Where, values, err))
+			c.violations = append(c.violations, fmt.Sprintf("%s: a %s %s returned %v: %v", r.Route, r.Kind, r.Database, values, err))
 			return
 		}
-		r.Shown[i].Value = max(n, -n)
+		r.Rows[i].Value = max(n, -n)
 	}
 	c.reads = append(c.reads, r)
 }
 
-// Odd notes something that is wrong by itself.
-func (c *Checker) Odd(f string, a ...any) {
+// RecordViolation notes something that is wrong by itself.
+func (c *Checker) RecordViolation(f string, a ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.oddity = append(c.oddity, fmt.Sprintf(f, a...))
+	c.violations = append(c.violations, fmt.Sprintf(f, a...))
 }
 
 // Limits on the age of what a read shows, in microseconds.
 const (
-	LookupLimit = 1_500_000
-	PinnedLimit = 2_500_000
+	LookupStalenessLimit = 1_500_000
+	PinnedStalenessLimit = 2_500_000
 )
 
 // Ages sums the ages of one kind of read.
@@ -158,11 +158,11 @@
 
 // Verdict is what the checker found.
 type Verdict struct {
-	Violations []string        `json:"violations"`
-	Ages       map[string]Ages `json:"ages"`
-	Acked      int             `json:"acknowledged_writes"`
-	Unsure     int             `json:"uncertain_writes"`
-	UnsureKept int             `json:"uncertain_writes_kept"`
+	Violations       []string        `json:"violations"`
+	Ages             map[string]Ages `json:"ages"`
+	Acknowledged     int             `json:"acknowledged_writes"`
+	InDoubt          int             `json:"uncertain_writes"`
+	InDoubtCommitted int             `json:"uncertain_writes_kept"`
 }
 
 // Check holds what callers were told against what the group behind each route
@@ -170,7 +170,7 @@
 func (c *Checker) Check(logs map[string][]databasecopy.LogEntry) Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v := Verdict{Violations: slices.Clone(c.oddity), Ages: map[string]Ages{}}
+	v := Verdict{Violations: slices.Clone(c.violations), Ages: map[string]Ages{}}
 	bad := func(f string, a ...any) { v.Violations = append(v.Violations, fmt.Sprintf(f, a...)) }
 	sent := map[string]Write{}
 	for _, w := range c.writes {
@@ -201,7 +201,7 @@
 				bad("%s: position %d changes %v, which nobody sent in one", rt, i+1, rows)
 			}
 		}
-		for r, a := range c.acked[rt] {
+		for r, a := range c.acknowledged[rt] {
 			if n := kept[rt][r]; n < a {
 				bad("%s: %d changes of %s were acknowledged and %d are kept", rt, a, r, n)
 			}
@@ -212,38 +212,38 @@
 		switch {
 		case n > 1:
 			bad("%s: write %s took effect %d times", w.Route, w.Tag, n)
-		case w.Out == result.Done && n == 0:
+		case w.Outcome == result.Done && n == 0:
 			bad("%s: acknowledged write %s (at %d) is gone", w.Route, w.Tag, w.AtUs)
-		case w.Out == result.NothingKept && n > 0:
+		case w.Outcome == result.NoEffect && n > 0:
 			bad("%s: write %s was kept after nothing kept was told", w.Route, w.Tag)
 		}
-		switch w.Out {
+		switch w.Outcome {
 		case result.Done:
-			v.Acked++
+			v.Acknowledged++
 		case result.Uncertain:
-			v.Unsure++
-			v.UnsureKept += int(min(n, 1))
+			v.InDoubt++
+			v.InDoubtCommitted += int(min(n, 1))
 		}
 	}
 	ages := map[string][]int64{}
 	for _, d := range c.reads {
 		age := int64(0)
-		where := fmt.Sprintf("%s: a %s %s", d.Route, d.Kind, d.Where)
-		for _, r := range d.Shown {
+		where := fmt.Sprintf("%s: a %s %s", d.Route, d.Kind, d.Database)
+		for _, r := range d.Rows {
 			if ts := ticks[d.Route]; r.Row == TickRow && r.Value < int64(len(ts)) {
 				// The first tick it did not show was committed then.
 				age = max(0, d.AtUs-ts[r.Value])
 			}
 			switch {
-			case r.Value < r.Acked && (d.Kind == Current || d.Kind == Pinned && strings.HasPrefix(r.Row, "own/")):
-				bad("%s showed %d changes of %s, %d were acknowledged before it", where, r.Value, r.Row, r.Acked)
+			case r.Value < r.Acknowledged && (d.Kind == Current || d.Kind == Pinned && strings.HasPrefix(r.Row, "own/")):
+				bad("%s showed %d changes of %s, %d were acknowledged before it", where, r.Value, r.Row, r.Acknowledged)
 			case d.Kind == Current && r.Value > kept[d.Route][r.Row]:
 				bad("%s showed %d changes of %s, %d are kept", where, r.Value, r.Row, kept[d.Route][r.Row])
 			}
 		}
 		ages[d.Kind] = append(ages[d.Kind], age)
 		switch {
-		case d.Kind == Lookup && age > LookupLimit, d.Kind == Pinned && age > PinnedLimit:
+		case d.Kind == Lookup && age > LookupStalenessLimit, d.Kind == Pinned && age > PinnedStalenessLimit:
 			bad("%s was %d us old", where, age)
 		}
 	}
--- a/standin/databasecopy/copy.go
+++ b/standin/databasecopy/copy.go
@@ -29,8 +29,8 @@
 	AtUs   int64   `json:"at_us"` // the stand-in's own clock, for the checker
 }
 
-// Kept is what a copy keeps on disk beside its log.
-type Kept struct {
+// PersistentState is what a copy keeps on disk beside its log.
+type PersistentState struct {
 	Identity  string `json:"identity"`
 	Epoch     uint64 `json:"epoch"`
 	Primary   bool   `json:"primary"`
@@ -51,8 +51,8 @@
 	Health    string `json:"health"`
 }
 
-// Op is one step of a run.
-type Op struct {
+// Operation is one step of a run.
+type Operation struct {
 	Op       string            `json:"op"` // reset, set, prepare, begin, statement, commit, rollback
 	Text     string            `json:"text,omitempty"`
 	Prepared string            `json:"prepared,omitempty"`
@@ -69,44 +69,44 @@
 	Error     string     `json:"error,omitempty"`
 }
 
-type conn struct {
-	owner    string
-	usedUs   int64
-	values   map[string]string
-	prepared map[string]string
-	open     bool
-	pending  []Write
+type connection struct {
+	owner         string
+	usedUs        int64
+	values        map[string]string
+	prepared      map[string]string
+	inTransaction bool
+	pending       []Write
 }
 
-// Copy is one database's whole state.
-type Copy struct {
-	Kept
-	Name    string
-	Limit   int
-	Leaving bool
-	log     []LogEntry
-	applied int64
-	rows    map[string]map[string]int64
-	conns   map[int64]*conn
-	runs    map[string]uint64 // newest run of each owner
-	nextID  int64
+// Replica is one database's whole state.
+type Replica struct {
+	PersistentState
+	Name            string
+	ConnectionLimit int
+	Draining        bool
+	log             []LogEntry
+	applied         int64
+	rows            map[string]map[string]int64
+	connections     map[int64]*connection
+	newestRuns      map[string]uint64 // newest run of each owner
+	lastConnection  int64
 }
 
 // New makes a copy; an initial primary is told so by Promote. Connections are
 // numbered from firstConn: no run of the process may use a number again that
 // an earlier one gave out, or a pool's old connection would be another's.
-func New(name, identity string, limit int, firstConn int64) *Copy {
-	return &Copy{Name: name, Limit: limit, nextID: firstConn, Kept: Kept{Identity: identity}, rows: map[string]map[string]int64{}, conns: map[int64]*conn{}, runs: map[string]uint64{}}
+func New(name, identity string, limit int, firstConn int64) *Replica {
+	return &Replica{Name: name, ConnectionLimit: limit, lastConnection: firstConn, PersistentState: PersistentState{Identity: identity}, rows: map[string]map[string]int64{}, connections: map[int64]*connection{}, newestRuns: map[string]uint64{}}
 }
 
 // Restore takes what was kept on disk; all of it is applied.
-func (c *Copy) Restore(k Kept, log []LogEntry) {
-	c.Kept, c.log = k, slices.Clone(log)
+func (c *Replica) Restore(k PersistentState, log []LogEntry) {
+	c.PersistentState, c.log = k, slices.Clone(log)
 	c.rows, c.applied = map[string]map[string]int64{}, 0
 	c.Apply(int64(len(c.log)))
 }
 
-func (c *Copy) role() string {
+func (c *Replica) role() string {
 	switch {
 	case c.Primary:
 		return "primary"
@@ -117,15 +117,15 @@
 }
 
 // Received is the position of the newest commit held.
-func (c *Copy) Received() int64 { return int64(len(c.log)) }
+func (c *Replica) Received() int64 { return int64(len(c.log)) }
 
 // Applied is the position up to which rows show the log.
-func (c *Copy) Applied() int64 { return c.applied }
+func (c *Replica) Applied() int64 { return c.applied }
 
 // LogEpoch is the epoch of the newest commit held.
-func (c *Copy) LogEpoch() uint64 { return c.epochAt(c.Received()) }
+func (c *Replica) LogEpoch() uint64 { return c.epochAt(c.Received()) }
 
-func (c *Copy) epochAt(p int64) uint64 {
+func (c *Replica) epochAt(p int64) uint64 {
 	if p < 1 || p > int64(len(c.log)) {
 		return 0
 	}
@@ -133,29 +133,29 @@
 }
 
 // Log is the commits behind a position.
-func (c *Copy) Log(after int64) []LogEntry { return slices.Clone(c.log[min(after, c.Received()):]) }
+func (c *Replica) Log(after int64) []LogEntry { return slices.Clone(c.log[min(after, c.Received()):]) }
 
 // Status tells all of itself.
-func (c *Copy) Status() Status {
+func (c *Replica) Status() Status {
 	return Status{Database: c.Name, Identity: c.Identity, Role: c.role(), Epoch: c.Epoch, LogEpoch: c.LogEpoch(),
-		Received: c.Received(), Applied: c.applied, Following: c.Following, Leaving: c.Leaving, Health: "ok"}
+		Received: c.Received(), Applied: c.applied, Following: c.Following, Leaving: c.Draining, Health: "ok"}
 }
 
 // Seal makes the copy take no log and no statement of a lower epoch.
-func (c *Copy) Seal(e uint64) bool {
+func (c *Replica) Seal(e uint64) bool {
 	if e < c.Epoch || e == c.Epoch && (c.Primary || c.Following != "") {
 		return false
 	}
 	if e > c.Epoch {
 		c.Epoch, c.Primary, c.Following = e, false, ""
-		c.dropConns()
+		c.dropConnections()
 	}
 	return true
 }
 
 // Promote makes the copy the primary of an epoch, if it is the one that is meant;
 // the first commit of an epoch is an empty one that marks it.
-func (c *Copy) Promote(e uint64, identity string, atUs int64) bool {
+func (c *Replica) Promote(e uint64, identity string, atUs int64) bool {
 	if identity != "" && identity != c.Identity {
 		return false
 	}
@@ -166,7 +166,7 @@
 		return false
 	}
 	c.Epoch, c.Primary, c.Following = e, true, ""
-	c.dropConns()
+	c.dropConnections()
 	c.Apply(c.Received())
 	c.log = append(c.log, LogEntry{Epoch: e, AtUs: atUs})
 	c.Apply(c.Received())
@@ -174,22 +174,22 @@
 }
 
 // Follow makes the copy take the log of an epoch's primary.
-func (c *Copy) Follow(e uint64, primary string) bool {
+func (c *Replica) Follow(e uint64, primary string) bool {
 	if e < c.Epoch || e == c.Epoch && (c.Primary || c.Following != "" && c.Following != primary) {
 		return false
 	}
 	if e > c.Epoch {
-		c.dropConns()
+		c.dropConnections()
 	}
 	c.Epoch, c.Primary, c.Following = e, false, primary
 	return true
 }
 
-func (c *Copy) dropConns() { c.conns = map[int64]*conn{} }
+func (c *Replica) dropConnections() { c.connections = map[int64]*connection{} }
 
-// Give hands a follower the log behind (after, afterEpoch). back is where it
+// LogFor hands a follower the log behind (after, afterEpoch). back is where it
 // should ask from instead when the two logs part before that; -1 otherwise.
-func (c *Copy) Give(epoch uint64, after int64, afterEpoch uint64, most int) (es []LogEntry, back int64, ok bool) {
+func (c *Replica) LogFor(epoch uint64, after int64, afterEpoch uint64, limit int) (es []LogEntry, back int64, ok bool) {
 	if !c.Primary || epoch != c.Epoch {
 		return nil, -1, false
 	}
@@ -201,15 +201,15 @@
 		return nil, max(b, 0), true
 	}
 	es = c.log[after:]
-	return slices.Clone(es[:min(len(es), most)]), -1, true
+	return slices.Clone(es[:min(len(es), limit)]), -1, true
 }
 
 // EpochAt is the epoch of one commit held.
-func (c *Copy) EpochAt(p int64) uint64 { return c.epochAt(p) }
+func (c *Replica) EpochAt(p int64) uint64 { return c.epochAt(p) }
 
-// Take takes log of an epoch behind a position, dropping a tail that the
+// AppendLog takes log of an epoch behind a position, dropping a tail that the
 // primary does not have. cut says that a tail was dropped.
-func (c *Copy) Take(epoch uint64, after int64, es []LogEntry) (cut, ok bool) {
+func (c *Replica) AppendLog(epoch uint64, after int64, es []LogEntry) (partitioned, ok bool) {
 	if c.Primary || c.Following == "" || epoch != c.Epoch || after > c.Received() {
 		return false, false
 	}
@@ -220,7 +220,7 @@
 		}
 		if p <= c.Received() {
 			c.log = slices.Clone(c.log[:p-1])
-			cut = true
+			partitioned = true
 			if c.applied >= p {
 				c.rows, c.applied = map[string]map[string]int64{}, 0
 				c.Apply(p - 1)
@@ -228,20 +228,20 @@
 		}
 		c.log = append(c.log, e)
 	}
-	return cut, true
+	return partitioned, true
 }
 
 // Apply shows the log up to a position in the rows.
-func (c *Copy) Apply(until int64) {
+func (c *Replica) Apply(until int64) {
 	for c.applied < min(until, c.Received()) {
 		for _, w := range c.log[c.applied].Writes {
-			apply(c.rows, w)
+			applyWrite(c.rows, w)
 		}
 		c.applied++
 	}
 }
 
-func apply(rows map[string]map[string]int64, w Write) {
+func applyWrite(rows map[string]map[string]int64, w Write) {
 	r := rows[w.Relation]
 	if r == nil {
 		r = map[string]int64{}
@@ -253,58 +253,58 @@
 	r[w.Key] += w.Add
 }
 
-// idleClose is how long an unused connection stays open.
-const idleClose = 12_000_000
+// idleCloseUs is how long an unused connection stays open.
+const idleCloseUs = 12_000_000
 
 // Open makes a connection, within the limit. A new run of an owner ends the
 // connections of its earlier run; nothing of an older run is opened.
-func (c *Copy) Open(owner string, run uint64, atUs int64) (int64, bool) {
-	if run < c.runs[owner] {
+func (c *Replica) Open(owner string, run uint64, atUs int64) (int64, bool) {
+	if run < c.newestRuns[owner] {
 		return 0, false
 	}
-	if run > c.runs[owner] {
-		c.runs[owner] = run
-		maps.DeleteFunc(c.conns, func(_ int64, n *conn) bool { return n.owner == owner })
+	if run > c.newestRuns[owner] {
+		c.newestRuns[owner] = run
+		maps.DeleteFunc(c.connections, func(_ int64, n *connection) bool { return n.owner == owner })
 	}
-	if len(c.conns) >= c.Limit {
-		maps.DeleteFunc(c.conns, func(_ int64, n *conn) bool { return atUs-n.usedUs > idleClose })
+	if len(c.connections) >= c.ConnectionLimit {
+		maps.DeleteFunc(c.connections, func(_ int64, n *connection) bool { return atUs-n.usedUs > idleCloseUs })
 	}
-	if len(c.conns) >= c.Limit {
+	if len(c.connections) >= c.ConnectionLimit {
 		return 0, false
 	}
-	c.nextID++
-	c.conns[c.nextID] = &conn{owner: owner, usedUs: atUs, values: map[string]string{}, prepared: map[string]string{}}
-	return c.nextID, true
+	c.lastConnection++
+	c.connections[c.lastConnection] = &connection{owner: owner, usedUs: atUs, values: map[string]string{}, prepared: map[string]string{}}
+	return c.lastConnection, true
 }
 
 // Close ends a connection; an open transaction is rolled back.
-func (c *Copy) Close(id int64) { delete(c.conns, id) }
+func (c *Replica) Close(id int64) { delete(c.connections, id) }
 
 // Connections is how many are open.
-func (c *Copy) Connections() int { return len(c.conns) }
+func (c *Replica) Connections() int { return len(c.connections) }
 
 // Refusals of a whole run: nothing of it took effect.
 const (
-	RefusedConnection = "connection"
-	RefusedEpoch      = "epoch"
-	RefusedRole       = "role"
+	RejectedConnection = "connection"
+	RejectedEpoch      = "epoch"
+	RejectedRole       = "role"
 )
 
 // Run runs ops in order and stops behind the first that fails.
-func (c *Copy) Run(id int64, epoch uint64, ops []Op, readOnly bool, atUs int64) (rs []Result, refused string) {
-	n := c.conns[id]
+func (c *Replica) Run(id int64, epoch uint64, ops []Operation, readOnly bool, atUs int64) (rs []Result, refused string) {
+	n := c.connections[id]
 	if n == nil {
-		return nil, RefusedConnection
+		return nil, RejectedConnection
 	}
 	n.usedUs = atUs
 	if epoch != c.Epoch {
-		return nil, RefusedEpoch
+		return nil, RejectedEpoch
 	}
 	if c.role() == "sealed" {
-		return nil, RefusedRole
+		return nil, RejectedRole
 	}
 	for _, o := range ops {
-		r := c.op(n, o, readOnly, atUs)
+		r := c.runOperation(n, o, readOnly, atUs)
 		rs = append(rs, r)
 		if r.Error != "" {
 			break
@@ -313,30 +313,30 @@
 	return rs, ""
 }
 
-func (c *Copy) op(n *conn, o Op, readOnly bool, atUs int64) Result {
+func (c *Replica) runOperation(n *connection, o Operation, readOnly bool, atUs int64) Result {
 	switch o.Op {
 	case "reset":
-		*n = conn{owner: n.owner, usedUs: n.usedUs, values: map[string]string{}, prepared: map[string]string{}}
+		*n = connection{owner: n.owner, usedUs: n.usedUs, values: map[string]string{}, prepared: map[string]string{}}
 	case "set":
 		maps.Copy(n.values, o.Values)
 	case "prepare":
 		n.prepared[o.Prepared] = o.Text
 	case "begin":
-		if n.open {
+		if n.inTransaction {
 			return Result{Error: "a transaction is open"}
 		}
-		n.open = true
+		n.inTransaction = true
 	case "rollback":
-		if !n.open {
+		if !n.inTransaction {
 			return Result{Error: "no transaction is open"}
 		}
-		n.open, n.pending = false, nil
+		n.inTransaction, n.pending = false, nil
 	case "commit":
-		if !n.open {
+		if !n.inTransaction {
 			return Result{Error: "no transaction is open"}
 		}
 		ws := n.pending
-		n.open, n.pending = false, nil
+		n.inTransaction, n.pending = false, nil
 		return c.commit(ws, atUs)
 	case "statement":
 		t := o.Text
@@ -353,7 +353,7 @@
 		if readOnly || !c.Primary {
 			return Result{Error: "a write in a read-only run"}
 		}
-		if n.open {
+		if n.inTransaction {
 			n.pending = append(n.pending, ws...)
 			return r
 		}
@@ -366,7 +366,7 @@
 	return Result{}
 }
 
-func (c *Copy) commit(ws []Write, atUs int64) Result {
+func (c *Replica) commit(ws []Write, atUs int64) Result {
 	if len(ws) == 0 {
 		return Result{}
 	}
@@ -385,7 +385,7 @@
 // statement knows a few words: read RELATION KEY [RELATION KEY ...],
 // add RELATION KEY N,
 // put RELATION KEY N, value NAME. A ? stands for the next parameter.
-func (c *Copy) statement(n *conn, text string, ps []string) (Result, []Write) {
+func (c *Replica) statement(n *connection, text string, ps []string) (Result, []Write) {
 	fs := strings.Fields(text)
 	for i, f := range fs {
 		if f == "?" {
@@ -421,7 +421,7 @@
 	return Result{Error: fmt.Sprintf("cannot run %q", text)}, nil
 }
 
-func (c *Copy) row(n *conn, rel, key string) int64 {
+func (c *Replica) row(n *connection, rel, key string) int64 {
 	v := c.rows[rel][key]
 	for _, w := range n.pending {
 		if w.Relation == rel && w.Key == key {
--- a/standin/databasecopy/server.go
+++ b/standin/databasecopy/server.go
@@ -21,19 +21,19 @@
 	LagUs         int64 `json:"lag_us"`         // a commit is applied no earlier than this after it
 	StopReceiving bool  `json:"stop_receiving"` // the copy takes no log
 	StopApplying  bool  `json:"stop_applying"`  // the copy applies no log
-	LoseReturns   int   `json:"lose_returns"`   // so many runs are run and never returned
-	Dark          bool  `json:"dark"`           // nothing is returned at all
+	LoseResponses int   `json:"lose_returns"`   // so many runs are run and never returned
+	Unresponsive  bool  `json:"dark"`           // nothing is returned at all
 }
 
-// RunCall is the body of a run.
-type RunCall struct {
-	Epoch    uint64 `json:"epoch"`
-	ReadOnly bool   `json:"read_only,omitempty"`
-	Ops      []Op   `json:"ops"`
+// RunRequest is the body of a run.
+type RunRequest struct {
+	Epoch    uint64      `json:"epoch"`
+	ReadOnly bool        `json:"read_only,omitempty"`
+	Ops      []Operation `json:"ops"`
 }
 
-// RunReturn is its return.
-type RunReturn struct {
+// RunResponse is its return.
+type RunResponse struct {
 	Refused string   `json:"refused,omitempty"`
 	Results []Result `json:"results,omitempty"`
 	Epoch   uint64   `json:"epoch"`
@@ -42,23 +42,23 @@
 }
 
 type diskEntry struct {
-	Kept  *Kept     `json:"kept,omitempty"`
-	Entry *LogEntry `json:"entry,omitempty"`
-	Cut   *int64    `json:"cut,omitempty"`
+	State       *PersistentState `json:"kept,omitempty"`
+	Entry       *LogEntry        `json:"entry,omitempty"`
+	TruncatedTo *int64           `json:"cut,omitempty"`
 }
 
 // Server runs a Copy. Its log is written before a return leaves but not
 // synced: what fails here is processes, not machines.
 type Server struct {
-	mu     sync.Mutex
-	c      *Copy
-	w      *wal.Log
-	next   uint64
-	news   chan struct{}
-	faults Faults
-	client *http.Client
-	kept   Kept
-	unpull context.CancelFunc // ends the pull under way
+	mu         sync.Mutex
+	replica    *Replica
+	wal        *wal.Log
+	nextIndex  uint64
+	changed    chan struct{}
+	faults     Faults
+	client     *http.Client
+	persisted  PersistentState
+	cancelPull context.CancelFunc // ends the pull under way
 }
 
 // NewServer opens the log in the folder and restores the copy from it.
@@ -67,13 +67,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{c: New(name, identity, limit, rand.Int64N(1<<30)<<32), w: w, news: make(chan struct{}), faults: f,
+	s := &Server{replica: New(name, identity, limit, rand.Int64N(1<<30)<<32), wal: w, changed: make(chan struct{}), faults: f,
 		client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{LocalAddr: from}).DialContext}}}
 	last, err := w.LastIndex()
 	if err != nil {
 		return nil, err
 	}
-	k := Kept{}
+	k := PersistentState{}
 	var log []LogEntry
 	for i := uint64(1); i <= last; i++ {
 		b, err := w.Read(i)
@@ -85,19 +85,19 @@
 			return nil, err
 		}
 		switch {
-		case d.Kept != nil:
-			k = *d.Kept
+		case d.State != nil:
+			k = *d.State
 		case d.Entry != nil:
 			log = append(log, *d.Entry)
-		case d.Cut != nil:
-			log = log[:*d.Cut]
+		case d.TruncatedTo != nil:
+			log = log[:*d.TruncatedTo]
 		}
 	}
-	s.next = last + 1
+	s.nextIndex = last + 1
 	if last > 0 {
-		s.c.Restore(k, log)
-		s.kept = k
-	} else if err := s.keep(0, false); err != nil {
+		s.replica.Restore(k, log)
+		s.persisted = k
+	} else if err := s.persist(0, false); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -108,37 +108,37 @@
 	if err != nil {
 		return err
 	}
-	if err := s.w.Write(s.next, b); err != nil {
+	if err := s.wal.Write(s.nextIndex, b); err != nil {
 		return err
 	}
-	s.next++
+	s.nextIndex++
 	return nil
 }
 
-// keep writes what changed since the log was `had` long, and wakes who waits.
-func (s *Server) keep(had int64, cut bool) error {
-	if s.kept != s.c.Kept {
-		if s.unpull != nil {
-			s.unpull() // whom it follows may have changed
+// persist writes what changed since the log was `had` long, and wakes who waits.
+func (s *Server) persist(had int64, partitioned bool) error {
+	if s.persisted != s.replica.PersistentState {
+		if s.cancelPull != nil {
+			s.cancelPull() // whom it follows may have changed
 		}
-		k := s.c.Kept
-		if err := s.append(diskEntry{Kept: &k}); err != nil {
+		k := s.replica.PersistentState
+		if err := s.append(diskEntry{State: &k}); err != nil {
 			return err
 		}
-		s.kept = k
+		s.persisted = k
 	}
-	if cut {
-		if err := s.append(diskEntry{Cut: &had}); err != nil {
+	if partitioned {
+		if err := s.append(diskEntry{TruncatedTo: &had}); err != nil {
 			return err
 		}
 	}
-	for _, e := range s.c.Log(had) {
+	for _, e := range s.replica.Log(had) {
 		if err := s.append(diskEntry{Entry: &e}); err != nil {
 			return err
 		}
 	}
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return nil
 }
 
@@ -151,15 +151,15 @@
 	m.HandleFunc("POST /v1/connections", s.open)
 	m.HandleFunc("DELETE /v1/connections/{id}", s.close)
 	m.HandleFunc("POST /v1/connections/{id}", s.run)
-	m.HandleFunc("GET /v1/log", s.giveLog)
-	m.HandleFunc("POST /v1/seal", s.roleCall(func(c *Copy, a roleArgs) bool { return c.Seal(a.Epoch) }))
-	m.HandleFunc("POST /v1/promote", s.roleCall(func(c *Copy, a roleArgs) bool { return c.Promote(a.Epoch, a.Identity, nowUs()) }))
-	m.HandleFunc("POST /v1/follow", s.roleCall(func(c *Copy, a roleArgs) bool { return c.Follow(a.Epoch, a.Primary) }))
-	m.HandleFunc("POST /v1/leave", s.leave)
+	m.HandleFunc("GET /v1/log", s.serveLog)
+	m.HandleFunc("POST /v1/seal", s.roleCall(func(c *Replica, a roleRequest) bool { return c.Seal(a.Epoch) }))
+	m.HandleFunc("POST /v1/promote", s.roleCall(func(c *Replica, a roleRequest) bool { return c.Promote(a.Epoch, a.Identity, nowUs()) }))
+	m.HandleFunc("POST /v1/follow", s.roleCall(func(c *Replica, a roleRequest) bool { return c.Follow(a.Epoch, a.Primary) }))
+	m.HandleFunc("POST /v1/leave", s.drain)
 	m.HandleFunc("POST /faults", s.setFaults)
-	m.HandleFunc("GET /truth/log", s.truth)
+	m.HandleFunc("GET /truth/log", s.serveOracleLog)
 	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.f().Dark && r.URL.Path != "/faults" && r.URL.Path != "/truth/log" {
+		if s.currentFaults().Unresponsive && r.URL.Path != "/faults" && r.URL.Path != "/truth/log" {
 			<-r.Context().Done()
 			return
 		}
@@ -167,7 +167,7 @@
 	})
 	hs := &http.Server{Handler: h, BaseContext: func(net.Listener) context.Context { return ctx }}
 	go s.follow(ctx)
-	go s.applyLate(ctx)
+	go s.applyWithLag(ctx)
 	go func() { <-ctx.Done(); hs.Close() }()
 	if err := hs.Serve(l); err != http.ErrServerClosed {
 		return err
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func (s *Server) f() Faults {
+func (s *Server) currentFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
@@ -188,38 +188,38 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	give(w, s.faults)
+	writeJSON(w, s.faults)
 }
 
-func give(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
 
-func num(r *http.Request, k string) int64 {
+func queryInteger(r *http.Request, k string) int64 {
 	n, _ := strconv.ParseInt(r.URL.Query().Get(k), 10, 64)
 	return n
 }
 
 // status may wait until received or applied has come to a position.
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
-	rec, app, until := num(r, "received"), num(r, "applied"), nowUs()+num(r, "wait_us")
+	rec, app, until := queryInteger(r, "received"), queryInteger(r, "applied"), nowUs()+queryInteger(r, "wait_us")
 	for {
 		s.mu.Lock()
-		st, ch := s.c.Status(), s.news
+		st, ch := s.replica.Status(), s.changed
 		s.mu.Unlock()
 		left := until - nowUs()
 		if st.Received >= rec && st.Applied >= app || left <= 0 {
-			give(w, st)
+			writeJSON(w, st)
 			return
 		}
-		if !wait(r.Context(), ch, left) {
+		if !waitForChange(r.Context(), ch, left) {
 			return
 		}
 	}
 }
 
-func wait(ctx context.Context, ch chan struct{}, us int64) bool {
+func waitForChange(ctx context.Context, ch chan struct{}, us int64) bool {
 	t := time.NewTimer(time.Duration(us) * time.Microsecond)
 	defer t.Stop()
 	select {
@@ -241,13 +241,13 @@
 		return
 	}
 	s.mu.Lock()
-	id, ok := s.c.Open(a.Owner, a.Run, nowUs())
+	id, ok := s.replica.Open(a.Owner, a.Run, nowUs())
 	s.mu.Unlock()
 	if !ok {
 		http.Error(w, "connection limit reached", http.StatusServiceUnavailable)
 		return
 	}
-	give(w, map[string]int64{"connection": id})
+	writeJSON(w, map[string]int64{"connection": id})
 }
 
 func pathID(r *http.Request) int64 {
@@ -257,31 +257,31 @@
 
 func (s *Server) close(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.c.Close(pathID(r))
+	s.replica.Close(pathID(r))
 	s.mu.Unlock()
-	give(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
 func (s *Server) run(w http.ResponseWriter, r *http.Request) {
-	var rc RunCall
+	var rc RunRequest
 	if err := json.NewDecoder(r.Body).Decode(&rc); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if d := s.f().ServiceUs; d > 0 {
+	if d := s.currentFaults().ServiceUs; d > 0 {
 		time.Sleep(time.Duration(d) * time.Microsecond)
 	}
 	s.mu.Lock()
-	had := s.c.Received()
-	rs, ref := s.c.Run(pathID(r), rc.Epoch, rc.Ops, rc.ReadOnly, nowUs())
+	had := s.replica.Received()
+	rs, ref := s.replica.Run(pathID(r), rc.Epoch, rc.Ops, rc.ReadOnly, nowUs())
 	var err error
-	if s.c.Received() != had {
-		err = s.keep(had, false)
+	if s.replica.Received() != had {
+		err = s.persist(had, false)
 	}
-	out := RunReturn{Refused: ref, Results: rs, Epoch: s.c.Epoch, Applied: s.c.Applied(), AtUs: nowUs()}
-	lost := s.faults.LoseReturns > 0
+	out := RunResponse{Refused: ref, Results: rs, Epoch: s.replica.Epoch, Applied: s.replica.Applied(), AtUs: nowUs()}
+	lost := s.faults.LoseResponses > 0
 	if lost {
-		s.faults.LoseReturns--
+		s.faults.LoseResponses--
 	}
 	s.mu.Unlock()
 	if err != nil {
@@ -292,20 +292,20 @@
 		<-r.Context().Done()
 		return
 	}
-	give(w, out)
+	writeJSON(w, out)
 }
 
-type logReturn struct {
+type logResponse struct {
 	Entries []LogEntry `json:"entries,omitempty"`
 	Back    int64      `json:"back"`
 }
 
-func (s *Server) giveLog(w http.ResponseWriter, r *http.Request) {
-	until := nowUs() + num(r, "wait_us")
+func (s *Server) serveLog(w http.ResponseWriter, r *http.Request) {
+	until := nowUs() + queryInteger(r, "wait_us")
 	for {
 		s.mu.Lock()
-		es, back, ok := s.c.Give(uint64(num(r, "epoch")), num(r, "after"), uint64(num(r, "after_epoch")), 500)
-		ch := s.news
+		es, back, ok := s.replica.LogFor(uint64(queryInteger(r, "epoch")), queryInteger(r, "after"), uint64(queryInteger(r, "after_epoch")), 500)
+		ch := s.changed
 		s.mu.Unlock()
 		if !ok {
 			http.Error(w, "not the primary of that epoch", http.StatusConflict)
@@ -313,10 +313,10 @@
 		}
 		left := until - nowUs()
 		if len(es) > 0 || back >= 0 || left <= 0 {
-			give(w, logReturn{Entries: es, Back: back})
+			writeJSON(w, logResponse{Entries: es, Back: back})
 			return
 		}
-		if !wait(r.Context(), ch, left) {
+		if !waitForChange(r.Context(), ch, left) {
 			return
 		}
 	}
@@ -324,53 +324,53 @@
 
 // follow takes the primary's log for as long as there is one to follow.
 func (s *Server) follow(ctx context.Context) {
-	asked := int64(-1) // where to ask from when the logs parted
+	requested := int64(-1) // where to ask from when the logs parted
 	var epoch uint64
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		k, f, ch := s.c.Kept, s.faults, s.news
-		if asked < 0 || epoch != k.Epoch || asked > s.c.Received() {
-			asked, epoch = s.c.Received(), k.Epoch
+		k, f, ch := s.replica.PersistentState, s.faults, s.changed
+		if requested < 0 || epoch != k.Epoch || requested > s.replica.Received() {
+			requested, epoch = s.replica.Received(), k.Epoch
 		}
-		ae := s.c.EpochAt(asked)
+		ae := s.replica.EpochAt(requested)
 		pull, end := context.WithCancel(ctx)
-		s.unpull = end
+		s.cancelPull = end
 		s.mu.Unlock()
-		if k.Following == "" || f.StopReceiving || f.Dark {
+		if k.Following == "" || f.StopReceiving || f.Unresponsive {
 			end()
-			wait(ctx, ch, 20_000)
+			waitForChange(ctx, ch, 20_000)
 			continue
 		}
-		u := fmt.Sprintf("http://%s/v1/log?epoch=%d&after=%d&after_epoch=%d&wait_us=500000", k.Following, k.Epoch, asked, ae)
-		var lr logReturn
+		u := fmt.Sprintf("http://%s/v1/log?epoch=%d&after=%d&after_epoch=%d&wait_us=500000", k.Following, k.Epoch, requested, ae)
+		var lr logResponse
 		err := s.get(pull, u, &lr)
 		end()
 		if err != nil {
-			wait(ctx, ch, 50_000)
+			waitForChange(ctx, ch, 50_000)
 			continue
 		}
 		if lr.Back >= 0 {
-			asked = lr.Back
+			requested = lr.Back
 			continue
 		}
 		s.mu.Lock()
-		if !s.faults.StopReceiving && !s.faults.Dark {
-			had := s.c.Received()
-			if cut, ok := s.c.Take(k.Epoch, asked, lr.Entries); ok {
-				if cut {
-					had = asked
+		if !s.faults.StopReceiving && !s.faults.Unresponsive {
+			had := s.replica.Received()
+			if partitioned, ok := s.replica.AppendLog(k.Epoch, requested, lr.Entries); ok {
+				if partitioned {
+					had = requested
 				}
 				if s.faults.LagUs == 0 && !s.faults.StopApplying {
-					s.c.Apply(s.c.Received())
+					s.replica.Apply(s.replica.Received())
 				}
-				if cut || s.c.Received() > had {
-					if err := s.keep(had, cut); err != nil {
+				if partitioned || s.replica.Received() > had {
+					if err := s.persist(had, partitioned); err != nil {
 						panic(err)
 					}
 				}
 			}
 		}
-		asked = -1
+		requested = -1
 		s.mu.Unlock()
 	}
 }
@@ -391,46 +391,46 @@
 	return json.NewDecoder(rs.Body).Decode(v)
 }
 
-// applyLate applies what lag held back.
-func (s *Server) applyLate(ctx context.Context) {
-	for wait(ctx, nil, 5_000) {
+// applyWithLag applies what lag held back.
+func (s *Server) applyWithLag(ctx context.Context) {
+	for waitForChange(ctx, nil, 5_000) {
 		s.mu.Lock()
 		if !s.faults.StopApplying {
-			until, had := s.c.Applied(), s.c.Applied()
-			for _, e := range s.c.Log(until) {
+			until, had := s.replica.Applied(), s.replica.Applied()
+			for _, e := range s.replica.Log(until) {
 				if e.AtUs+s.faults.LagUs > nowUs() {
 					break
 				}
 				until++
 			}
-			s.c.Apply(until)
-			if s.c.Applied() != had {
-				close(s.news)
-				s.news = make(chan struct{})
+			s.replica.Apply(until)
+			if s.replica.Applied() != had {
+				close(s.changed)
+				s.changed = make(chan struct{})
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-type roleArgs struct {
+type roleRequest struct {
 	Identity string `json:"identity"`
 	Epoch    uint64 `json:"epoch"`
 	Primary  string `json:"primary"`
 }
 
-func (s *Server) roleCall(f func(*Copy, roleArgs) bool) http.HandlerFunc {
+func (s *Server) roleCall(f func(*Replica, roleRequest) bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var a roleArgs
+		var a roleRequest
 		if err := json.NewDecoder(r.Body).Decode(&a); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		s.mu.Lock()
-		had := s.c.Received()
-		ok := f(s.c, a)
-		err := s.keep(had, false)
-		st := s.c.Status()
+		had := s.replica.Received()
+		ok := f(s.replica, a)
+		err := s.persist(had, false)
+		st := s.replica.Status()
 		s.mu.Unlock()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -439,11 +439,11 @@
 		if !ok {
 			w.WriteHeader(http.StatusConflict)
 		}
-		give(w, st)
+		writeJSON(w, st)
 	}
 }
 
-func (s *Server) leave(w http.ResponseWriter, r *http.Request) {
+func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
 	var a struct {
 		Leaving bool `json:"leaving"`
 	}
@@ -452,17 +452,17 @@
 		return
 	}
 	s.mu.Lock()
-	s.c.Leaving = a.Leaving
-	st := s.c.Status()
+	s.replica.Draining = a.Leaving
+	st := s.replica.Status()
 	s.mu.Unlock()
-	give(w, st)
+	writeJSON(w, st)
 }
 
-func (s *Server) truth(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveOracleLog(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	es := s.c.Log(num(r, "after"))
+	es := s.replica.Log(queryInteger(r, "after"))
 	s.mu.Unlock()
-	give(w, es)
+	writeJSON(w, es)
 }
 
 // Call posts a JSON body to a stand-in and reads its JSON return; tools use it.
--- a/standin/databasecopy/stored_test.go
+++ b/standin/databasecopy/stored_test.go
@@ -20,35 +20,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	step := func(do func(c *Copy) (cut, ok bool)) {
+	step := func(do func(c *Replica) (partitioned, ok bool)) {
 		t.Helper()
-		had := s.c.Received()
-		cut, ok := do(s.c)
+		had := s.replica.Received()
+		partitioned, ok := do(s.replica)
 		if !ok {
 			t.Fatal("refused")
 		}
-		if cut {
+		if partitioned {
 			had = 2
 		}
-		if err := s.keep(had, cut); err != nil {
+		if err := s.persist(had, partitioned); err != nil {
 			t.Fatal(err)
 		}
 	}
 	put := int64(9)
-	step(func(c *Copy) (bool, bool) { return false, c.Follow(3, "10.0.0.2:6001") })
-	step(func(c *Copy) (bool, bool) {
-		return c.Take(3, 0, []LogEntry{
+	step(func(c *Replica) (bool, bool) { return false, c.Follow(3, "10.0.0.2:6001") })
+	step(func(c *Replica) (bool, bool) {
+		return c.AppendLog(3, 0, []LogEntry{
 			{Epoch: 3, AtUs: 1001},
 			{Epoch: 3, Writes: []Write{{Relation: "ledger", Key: "tag-1", Add: 1}, {Relation: "stock", Key: "bolt", Add: -4}}, AtUs: 1002},
 			{Epoch: 3, Writes: []Write{{Relation: "ledger", Key: "lost", Add: 1}}, AtUs: 1003},
 		})
 	})
-	step(func(c *Copy) (bool, bool) { return false, c.Follow(4, "10.0.0.3:6001") })
-	step(func(c *Copy) (bool, bool) {
-		return c.Take(4, 2, []LogEntry{{Epoch: 4, Writes: []Write{{Relation: "stock", Key: "nut", Put: &put}}, AtUs: 1004}})
+	step(func(c *Replica) (bool, bool) { return false, c.Follow(4, "10.0.0.3:6001") })
+	step(func(c *Replica) (bool, bool) {
+		return c.AppendLog(4, 2, []LogEntry{{Epoch: 4, Writes: []Write{{Relation: "stock", Key: "nut", Put: &put}}, AtUs: 1004}})
 	})
-	step(func(c *Copy) (bool, bool) { return false, c.Promote(5, "identity-1", 1005) })
-	if err := s.w.Close(); err != nil {
+	step(func(c *Replica) (bool, bool) { return false, c.Promote(5, "identity-1", 1005) })
+	if err := s.wal.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -68,9 +68,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = s.w.Close() }()
-	if want := (Kept{Identity: "identity-1", Epoch: 5, Primary: true}); s.c.Kept != want {
-		t.Errorf("kept is %+v, not %+v", s.c.Kept, want)
+	defer func() { _ = s.wal.Close() }()
+	if want := (PersistentState{Identity: "identity-1", Epoch: 5, Primary: true}); s.replica.PersistentState != want {
+		t.Errorf("kept is %+v, not %+v", s.replica.PersistentState, want)
 	}
 	put := int64(9)
 	want := []LogEntry{
@@ -79,11 +79,11 @@
 		{Epoch: 4, Writes: []Write{{Relation: "stock", Key: "nut", Put: &put}}, AtUs: 1004},
 		{Epoch: 5, AtUs: 1005},
 	}
-	if got := s.c.Log(0); !reflect.DeepEqual(got, want) {
+	if got := s.replica.Log(0); !reflect.DeepEqual(got, want) {
 		t.Errorf("the log is %+v, not %+v", got, want)
 	}
 	rows := map[string]map[string]int64{"ledger": {"tag-1": 1}, "stock": {"bolt": -4, "nut": 9}}
-	if !reflect.DeepEqual(s.c.rows, rows) {
-		t.Errorf("the rows are %v, not %v", s.c.rows, rows)
+	if !reflect.DeepEqual(s.replica.rows, rows) {
+		t.Errorf("the rows are %v, not %v", s.replica.rows, rows)
 	}
 }
--- a/standin/fleet/callers_test.go
+++ b/standin/fleet/callers_test.go
@@ -75,7 +75,7 @@
 		{q, `{"class":"reserve","statements":[{"text":"add wrong x 1","params":["1"]}]}`, result.StatementFailed},
 	} {
 		v := post(c.path, c.body)
-		if v.Code != c.want || v.Outcome != result.NothingKept {
+		if v.Code != c.want || v.Outcome != result.NoEffect {
 			t.Errorf("%s %.80s: %d %q, not %d", c.path, c.body, v.Code, v.Outcome, c.want)
 		}
 	}
@@ -102,7 +102,7 @@
 	codes := map[result.Code]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	if _, err := f.Do(ctx, fleet.Fault{Action: "slow", Target: "primary@inventory-1", Value: 300_000}); err != nil {
+	if _, err := f.Inject(ctx, fleet.Fault{Action: "slow", Target: "primary@inventory-1", Value: 300_000}); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
@@ -126,7 +126,7 @@
 			t.Errorf("the session's end: %v %v", rs, err)
 		}
 	}
-	if m := get(t, "http://"+node+"/metrics"); !strings.Contains(m, `stoneford_pool_queries_total{end="done",group="pharmacies/inventory-1"}`) {
+	if m := getJSON(t, "http://"+node+"/metrics"); !strings.Contains(m, `stoneford_pool_queries_total{end="done",group="pharmacies/inventory-1"}`) {
 		t.Errorf("the node's metrics are %s", m)
 	}
 	if v := post(q, `{"class":"reserve",`+write+`}`); v.Code != result.UnknownSession {
@@ -134,7 +134,7 @@
 	}
 }
 
-func get(t *testing.T, url string) string {
+func getJSON(t *testing.T, url string) string {
 	t.Helper()
 	r, err := http.Get(url)
 	if err != nil {
@@ -163,9 +163,9 @@
 		for _, x := range fs {
 			ts = append(ts, x.String())
 		}
-		again, err := fleet.ParseFaults(strings.Join(ts, ","))
-		if err != nil || !slices.Equal(again, fs) {
-			t.Errorf("%q: %v, then %v %v", s, fs, again, err)
+		retry, err := fleet.ParseFaults(strings.Join(ts, ","))
+		if err != nil || !slices.Equal(retry, fs) {
+			t.Errorf("%q: %v, then %v %v", s, fs, retry, err)
 		}
 	})
 }
@@ -227,8 +227,8 @@
 		{"POST", "/v1/say", mine, `{"text":3}`, result.OperatorBadJSON},
 		{"POST", "/v1/say", mine, `{"text":"` + strings.Repeat("book ", 20_000) + `"}`, result.OperatorBadJSON},
 		{"POST", "/v1/say", mine, `{"text":"sing"}`, result.NotUnderstood},
-		{"POST", "/v1/say", mine, `{"text":"confirm booking 1"}`, result.NoSuchThing},
-		{"POST", "/v1/say", mine, `{"text":"why are reads of ledger-1"}`, result.NoSuchThing},
+		{"POST", "/v1/say", mine, `{"text":"confirm booking 1"}`, result.NotFound},
+		{"POST", "/v1/say", mine, `{"text":"why are reads of ledger-1"}`, result.NotFound},
 		{"GET", "/v1/nothing", mine, "", result.UnknownPath},
 	} {
 		if status, got := do(c.method, c.path, c.token, c.body); got != c.want || status < 400 {
@@ -240,7 +240,7 @@
 			t.Errorf("%s is at revision %d (%v)", p, r.Revision, err)
 		}
 	}
-	for _, d := range f.Died() {
+	for _, d := range f.Crashed() {
 		t.Error(d)
 	}
 }
--- a/standin/fleet/faults.go
+++ b/standin/fleet/faults.go
@@ -70,20 +70,20 @@
 		if e = strings.TrimSpace(e); e == "" {
 			continue
 		}
-		ps := strings.Split(e, ":")
-		if len(ps) < 3 || len(ps) > 4 {
+		problems := strings.Split(e, ":")
+		if len(problems) < 3 || len(problems) > 4 {
 			return nil, fmt.Errorf("%q is not AT:ACTION:TARGET or AT:ACTION:TARGET:VALUE", e)
 		}
-		at, err := time.ParseDuration(ps[0])
+		at, err := time.ParseDuration(problems[0])
 		if err != nil {
 			return nil, fmt.Errorf("%q: %w", e, err)
 		}
-		if Actions[ps[1]] == "" {
-			return nil, fmt.Errorf("%q: unknown action %s", e, ps[1])
+		if Actions[problems[1]] == "" {
+			return nil, fmt.Errorf("%q: unknown action %s", e, problems[1])
 		}
-		f := Fault{At: at, Action: ps[1], Target: ps[2]}
-		if len(ps) == 4 {
-			if f.Value, err = strconv.ParseInt(ps[3], 10, 64); err != nil {
+		f := Fault{At: at, Action: problems[1], Target: problems[2]}
+		if len(problems) == 4 {
+			if f.Value, err = strconv.ParseInt(problems[3], 10, 64); err != nil {
 				return nil, fmt.Errorf("%q: %w", e, err)
 			}
 		}
@@ -92,8 +92,8 @@
 	return fs, nil
 }
 
-// Do brings one fault about and returns the process it hit.
-func (f *Fleet) Do(ctx context.Context, ft Fault) (string, error) {
+// Inject brings one fault about and returns the process it hit.
+func (f *Fleet) Inject(ctx context.Context, ft Fault) (string, error) {
 	n := ft.Target
 	switch ft.Action {
 	case "join":
@@ -102,10 +102,10 @@
 		took, err := f.Configure(ctx, n, 300+int64(ft.At/time.Millisecond)%300)
 		return fmt.Sprintf("%s, in force everywhere after %d ms", n, took.Milliseconds()), err
 	case "crowd":
-		f.load.Crowd(int(ft.Value), 4*time.Second)
+		f.load.AddCrowd(int(ft.Value), 4*time.Second)
 		return n, nil
 	case "move":
-		f.load.Move(n)
+		f.load.MoveZone(n)
 		return n, nil
 	case "roll":
 		return n, f.roll(ctx, n)
@@ -113,7 +113,7 @@
 		return n, f.machine(ft)
 	}
 	if from, to, ok := strings.Cut(n, ">"); ok {
-		return n, f.cutWay(from, to, ft.Action == "cut-way")
+		return n, f.setPartition(from, to, ft.Action == "cut-way")
 	}
 	if g, ok := strings.CutPrefix(n, "primary@"); ok {
 		n = f.Primary(ctx, g)
@@ -125,7 +125,7 @@
 			}
 		}
 	}
-	p := f.procs[n]
+	p := f.processes[n]
 	if p == nil {
 		return n, fmt.Errorf("no process %q", n)
 	}
@@ -147,11 +147,11 @@
 	case "stop":
 		p.signal(syscall.SIGTERM, true)
 	case "upgrade", "downgrade":
-		if f.older == "" {
+		if f.olderProgramsFolder == "" {
 			return n, errors.New("there are no programs of an earlier revision")
 		}
 		p.signal(syscall.SIGTERM, true)
-		p.older = ft.Action == "downgrade"
+		p.olderPrograms = ft.Action == "downgrade"
 		return n, f.start(p)
 	case "restart":
 		p.signal(syscall.SIGTERM, true)
@@ -166,9 +166,9 @@
 	case "lag":
 		return n, set(databasecopy.Faults{ServiceUs: plain, LagUs: ft.Value})
 	case "lose":
-		return n, set(databasecopy.Faults{ServiceUs: plain, LoseReturns: int(ft.Value)})
+		return n, set(databasecopy.Faults{ServiceUs: plain, LoseResponses: int(ft.Value)})
 	case "dark":
-		return n, set(databasecopy.Faults{ServiceUs: plain, Dark: true})
+		return n, set(databasecopy.Faults{ServiceUs: plain, Unresponsive: true})
 	case "light":
 		return n, set(databasecopy.Faults{ServiceUs: plain})
 	case "stop-receiving":
@@ -178,24 +178,24 @@
 	case "cut", "mend", "reset", "drop":
 		if ft.Action == "mend" {
 			for _, o := range f.order { // what this one sends passes the links of others
-				for _, k := range f.procs[o].links {
-					k.Cut(link.Way{From: p.ip}, false)
-					k.Cut(link.Way{From: p.ip, Back: true}, false)
+				for _, k := range f.processes[o].links {
+					k.SetPartition(link.Direction{From: p.ip}, false)
+					k.SetPartition(link.Direction{From: p.ip, Response: true}, false)
 				}
 			}
 		}
 		for _, k := range p.links {
 			switch ft.Action {
 			case "cut":
-				k.Cut(link.Way{}, true)
-				k.Cut(link.Way{Back: true}, true)
+				k.SetPartition(link.Direction{}, true)
+				k.SetPartition(link.Direction{Response: true}, true)
 			case "mend":
-				k.Mend()
-				k.Loss(0)
+				k.Repair()
+				k.SetLoss(0)
 			case "reset":
 				k.Reset()
 			case "drop":
-				k.Loss(float64(ft.Value) / 100)
+				k.SetLoss(float64(ft.Value) / 100)
 			}
 		}
 	case "deaf", "mute":
@@ -205,7 +205,7 @@
 				from, to = o, n
 			}
 			if o != n {
-				if err := f.cutWay(from, to, true); err != nil {
+				if err := f.setPartition(from, to, true); err != nil {
 					return n, err
 				}
 			}
@@ -213,25 +213,25 @@
 	case "slow-machine":
 		p.slow(time.Duration(ft.Value) * time.Millisecond)
 	case "boot":
-		return n, rewrite(p.boot, ft.Value)
+		return n, rewrite(p.configFile, ft.Value)
 	case "leave", "stay":
 		return n, databasecopy.Call(ctx, "http://"+p.http+"/v1/leave", map[string]bool{"leaving": ft.Action == "leave"}, nil)
 	}
 	return n, nil
 }
 
-// cutWay stops, or lets go on, what one process sends another: on the links of
+// setPartition stops, or lets go on, what one process sends another: on the links of
 // the one what it returns, on those of the other what comes from it.
-func (f *Fleet) cutWay(from, to string, cut bool) error {
-	a, b := f.procs[from], f.procs[to]
+func (f *Fleet) setPartition(from, to string, partitioned bool) error {
+	a, b := f.processes[from], f.processes[to]
 	if a == nil || b == nil {
 		return fmt.Errorf("no processes %s and %s", from, to)
 	}
 	for _, k := range b.links {
-		k.Cut(link.Way{From: a.ip}, cut)
+		k.SetPartition(link.Direction{From: a.ip}, partitioned)
 	}
 	for _, k := range a.links {
-		k.Cut(link.Way{From: b.ip, Back: true}, cut)
+		k.SetPartition(link.Direction{From: b.ip, Response: true}, partitioned)
 	}
 	return nil
 }
@@ -247,7 +247,7 @@
 		if !strings.HasPrefix(n, pre) {
 			continue
 		}
-		if _, err := f.Do(ctx, Fault{Action: "restart", Target: n}); err != nil {
+		if _, err := f.Inject(ctx, Fault{Action: "restart", Target: n}); err != nil {
 			return err
 		}
 		if err := Until(ctx, time.Minute, func() error { return f.Ready(ctx, n) }); err != nil {
@@ -260,7 +260,7 @@
 // machine ends or starts both processes of a disk machine.
 func (f *Fleet) machine(ft Fault) error {
 	for _, n := range []string{"control-" + ft.Target, "pool-" + ft.Target} {
-		p := f.procs[n]
+		p := f.processes[n]
 		switch {
 		case p == nil:
 			return fmt.Errorf("no machine %s", ft.Target)
@@ -281,18 +281,18 @@
 }
 
 // slow has the process run for so much of each 100 ms, 0 for all of it.
-func (p *proc) slow(runs time.Duration) {
+func (p *process) slow(runs time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.unslow != nil {
-		close(p.unslow)
-		p.unslow = nil
+	if p.endSlowdown != nil {
+		close(p.endSlowdown)
+		p.endSlowdown = nil
 	}
 	if runs <= 0 || p.cmd == nil {
 		return
 	}
-	stop, c, done := make(chan struct{}), p.cmd, p.done
-	p.unslow = stop
+	stop, c, done := make(chan struct{}), p.cmd, p.exited
+	p.endSlowdown = stop
 	go func() {
 		for i := 0; ; i++ {
 			sig, d := syscall.SIGCONT, runs
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -24,46 +24,46 @@
 	"stoneford/standin/platform"
 )
 
-// proc is one process of the fleet.
-type proc struct {
-	name   string
-	kind   string
-	args   []string
-	folder string // its data folder, wiped when it is lost for good
-	http   string // where the runner itself reaches it, past its links
-	older  bool   // runs the programs of an earlier revision
-	ip     string // where its connections come from
-	boot   string // its boot file
-	zone   string
-	links  []*link.Link
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	done   chan struct{}
-	unslow chan struct{} // ends its slow machine
-	wanted bool          // an exit now is a fault of the schedule
+// process is one process of the fleet.
+type process struct {
+	name          string
+	kind          string
+	args          []string
+	folder        string // its data folder, wiped when it is lost for good
+	http          string // where the runner itself reaches it, past its links
+	olderPrograms bool   // runs the programs of an earlier revision
+	ip            string // where its connections come from
+	configFile    string // its boot file
+	zone          string
+	links         []*link.Link
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{}
+	endSlowdown   chan struct{} // ends its slow machine
+	exitExpected  bool          // an exit now is a fault of the schedule
 }
 
 // Fleet is a running fleet.
 type Fleet struct {
-	Shape    Shape
-	bin      string
-	older    string // programs of an earlier revision, "" for none
-	folder   string
-	procs    map[string]*proc
-	order    []string
-	addr     map[string]string // databases' addresses
-	ops      []string          // operators' addresses
-	plat     string            // the platform's address
-	platform *platform.Server
-	seeds    []string
-	nodes    []string // callers' addresses of all pool nodes
-	free     []string // ports not taken yet
-	ips      int
-	zones    map[string]string // of pool nodes, by callers' address
-	load     *callers.Run      // what callers do, once they run
-	died     []string
-	mu       sync.Mutex
-	clean    cleanup.Stack
+	Shape               Shape
+	programsFolder      string
+	olderProgramsFolder string // programs of an earlier revision, "" for none
+	folder              string
+	processes           map[string]*process
+	order               []string
+	databaseAddresses   map[string]string // databases' addresses
+	operatorAddresses   []string          // operators' addresses
+	platformAddress     string            // the platform's address
+	platform            *platform.Server
+	seeds               []string
+	nodes               []string // callers' addresses of all pool nodes
+	freePorts           []string // ports not taken yet
+	lastIP              int
+	zones               map[string]string // of pool nodes, by callers' address
+	load                *callers.Runner   // what callers do, once they run
+	crashed             []string
+	mu                  sync.Mutex
+	cleanup             cleanup.Stack
 }
 
 // Token is what a partner's operators send.
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// ports finds n free ports on the loopback address.
-func ports(n int) ([]string, error) {
+// freeLoopbackPorts finds n free ports on the loopback address.
+func freeLoopbackPorts(n int) ([]string, error) {
 	var ls []net.Listener
 	var as []string
 	defer func() {
@@ -104,33 +104,33 @@
 
 // New lays a fleet out; nothing runs yet.
 func New(s Shape, bin, folder string) (*Fleet, error) {
-	f := &Fleet{Shape: s, bin: bin, folder: folder, procs: map[string]*proc{}, addr: map[string]string{}, zones: map[string]string{}}
+	f := &Fleet{Shape: s, programsFolder: bin, folder: folder, processes: map[string]*process{}, databaseAddresses: map[string]string{}, zones: map[string]string{}}
 	// Every process listens on a port of its own behind a link that others
 	// reach it through; some ports are kept for machines that join later.
-	ps, err := ports(1 + 2*(2*3+2*(s.Machines+spare)+3*len(s.groups())))
+	problems, err := freeLoopbackPorts(1 + 2*(2*3+2*(s.Machines+spareMachines)+3*len(s.groups())))
 	if err != nil {
 		return nil, err
 	}
-	f.free = ps
-	take := f.take
-	f.plat = take()
+	f.freePorts = problems
+	take := f.takeAddress
+	f.platformAddress = take()
 	for range 3 {
 		f.seeds = append(f.seeds, take())
 	}
 	seeds := f.seeds
 	tokens := map[string]string{}
-	for _, pt := range s.Parts {
-		tokens[pt.Partner] = Token(pt.Partner)
+	for _, partner := range s.Parts {
+		tokens[partner.Partner] = Token(partner.Partner)
 	}
 	for _, k := range s.groups() {
 		for i := range 3 {
 			_, g, _ := strings.Cut(k, "/")
 			n := fmt.Sprintf("%s-%c", g, 'a'+i)
-			f.addr[n] = take()
-			p := &proc{name: n, kind: "standin-database", ip: f.nextIP()}
+			f.databaseAddresses[n] = take()
+			p := &process{name: n, kind: "standin-database", ip: f.nextIP()}
 			d, at := filepath.Join(folder, n), p.at(take())
 			p.folder, p.http = d, at
-			f.link(p, f.addr[n], at)
+			f.link(p, f.databaseAddresses[n], at)
 			p.args = []string{"--name", n, "--listen", at, "--folder", d, "--connections", fmt.Sprint(s.connections(k))}
 			f.add(p)
 		}
@@ -138,10 +138,10 @@
 	for i := range 3 {
 		n := fmt.Sprintf("control-%d", i+1)
 		h := take()
-		f.ops = append(f.ops, h)
+		f.operatorAddresses = append(f.operatorAddresses, h)
 		d := filepath.Join(folder, n)
 		if err := f.boot(n, "stoneford-control", map[string]any{"name": n, "zone": s.Parts[0].Zones[i%3], "partner": s.owner(i), "listen": seeds[i], "http": h,
-			"seeds": seeds, "data_folder": d, "platform": f.plat, "tokens": tokens}); err != nil {
+			"seeds": seeds, "data_folder": d, "platform": f.platformAddress, "tokens": tokens}); err != nil {
 			return nil, err
 		}
 	}
@@ -150,48 +150,48 @@
 			return nil, err
 		}
 	}
-	f.platform = platform.New(f.nodes, platform.Hands{Replace: f.replace, Stop: f.stopMachine})
+	f.platform = platform.New(f.nodes, platform.Actions{Replace: f.replace, Stop: f.stopMachine})
 	return f, nil
 }
 
-// spare is how many machines may join later.
-const spare = 4
+// spareMachines is how many machines may join later.
+const spareMachines = 4
 
 // nextIP gives each process an address of its own on the loopback, so that what
 // it sends can be told by where it comes from.
 func (f *Fleet) nextIP() string {
-	f.ips++
-	return fmt.Sprintf("127.0.%d.%d", 1+f.ips/200, 1+f.ips%200)
+	f.lastIP++
+	return fmt.Sprintf("127.0.%d.%d", 1+f.lastIP/200, 1+f.lastIP%200)
 }
 
 // at is the process's own address with a port that was found free.
-func (p *proc) at(addr string) string { return p.ip + addr[strings.LastIndex(addr, ":"):] }
+func (p *process) at(addr string) string { return p.ip + addr[strings.LastIndex(addr, ":"):] }
 
-func (f *Fleet) take() string {
-	p := f.free[0]
-	f.free = f.free[1:]
+func (f *Fleet) takeAddress() string {
+	p := f.freePorts[0]
+	f.freePorts = f.freePorts[1:]
 	return p
 }
 
 // addPool lays one more pool node out.
 func (f *Fleet) addPool() (string, error) {
 	i := len(f.nodes)
-	n, h := fmt.Sprintf("pool-%d", i+1), f.take()
+	n, h := fmt.Sprintf("pool-%d", i+1), f.takeAddress()
 	f.nodes = append(f.nodes, h)
 	return n, f.boot(n, "stoneford-pool", map[string]any{"name": n, "zone": f.Shape.Parts[0].Zones[i%3], "partner": f.Shape.owner(i),
-		"listen": f.take(), "http": h, "seeds": f.seeds})
+		"listen": f.takeAddress(), "http": h, "seeds": f.seeds})
 }
 
 // Join has a new machine join: its node is started and the platform told.
 func (f *Fleet) Join() (string, error) {
-	if len(f.free) < 4 {
+	if len(f.freePorts) < 4 {
 		return "", errors.New("no more machines are kept")
 	}
 	n, err := f.addPool()
 	if err != nil {
 		return n, err
 	}
-	if err := f.start(f.procs[n]); err != nil {
+	if err := f.start(f.processes[n]); err != nil {
 		return n, err
 	}
 	f.platform.SetNodes(f.nodes)
@@ -201,7 +201,7 @@
 // replace loses a database's disk and starts it empty, if it is still the copy
 // that was meant.
 func (f *Fleet) replace(database, identity string) error {
-	p := f.procs[database]
+	p := f.processes[database]
 	if p == nil {
 		return fmt.Errorf("no database %q", database)
 	}
@@ -211,12 +211,12 @@
 	if err == nil && st.Identity != identity {
 		return nil
 	}
-	_, err = f.Do(context.Background(), Fault{Action: "wipe", Target: database})
+	_, err = f.Inject(context.Background(), Fault{Action: "wipe", Target: database})
 	return err
 }
 
 func (f *Fleet) stopMachine(machine string) error {
-	p := f.procs[machine]
+	p := f.processes[machine]
 	if p == nil {
 		return fmt.Errorf("no machine %q", machine)
 	}
@@ -225,18 +225,18 @@
 }
 
 // link puts a link in front of a process.
-func (f *Fleet) link(p *proc, addr, target string) {
+func (f *Fleet) link(p *process, addr, target string) {
 	k := link.New(addr, target)
 	p.links = append(p.links, k)
-	f.clean.Push(k.Close)
+	f.cleanup.Push(k.Close)
 }
 
-func (f *Fleet) add(p *proc) { f.procs[p.name] = p; f.order = append(f.order, p.name) }
+func (f *Fleet) add(p *process) { f.processes[p.name] = p; f.order = append(f.order, p.name) }
 
 func (f *Fleet) boot(name, kind string, m map[string]any) error {
-	p := &proc{name: name, kind: kind, ip: f.nextIP(), zone: m["zone"].(string)}
+	p := &process{name: name, kind: kind, ip: f.nextIP(), zone: m["zone"].(string)}
 	for _, k := range [][2]string{{"listen", "bind"}, {"http", "bind_http"}} {
-		at := p.at(f.take())
+		at := p.at(f.takeAddress())
 		f.link(p, m[k[0]].(string), at)
 		m[k[1]] = at
 		p.http = at
@@ -250,7 +250,7 @@
 		return err
 	}
 	p.folder, _ = m["data_folder"].(string)
-	p.args, p.boot = []string{"--boot", file}, file
+	p.args, p.configFile = []string{"--boot", file}, file
 	f.mu.Lock()
 	f.zones[m["http"].(string)] = p.zone
 	f.mu.Unlock()
@@ -270,16 +270,16 @@
 	return b
 }
 
-func (f *Fleet) start(p *proc) error {
+func (f *Fleet) start(p *process) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	lf, err := os.OpenFile(filepath.Join(f.folder, p.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	bin := f.bin
-	if p.older {
-		bin = f.older
+	bin := f.programsFolder
+	if p.olderPrograms {
+		bin = f.olderProgramsFolder
 	}
 	c := exec.Command(filepath.Join(bin, p.kind), p.args...)
 	c.Stdout, c.Stderr = lf, lf
@@ -287,10 +287,10 @@
 		lf.Close()
 		return err
 	}
-	p.cmd, p.done, p.wanted = c, make(chan struct{}), false
-	done := p.done
+	p.cmd, p.exited, p.exitExpected = c, make(chan struct{}), false
+	done := p.exited
 	for _, k := range p.links {
-		if err := k.Up(); err != nil {
+		if err := k.Listen(); err != nil {
 			return err
 		}
 	}
@@ -298,12 +298,12 @@
 		err := c.Wait()
 		lf.Close()
 		for _, k := range p.links {
-			err = errors.Join(err, k.Down())
+			err = errors.Join(err, k.StopListening())
 		}
 		p.mu.Lock()
-		if !p.wanted {
+		if !p.exitExpected {
 			f.mu.Lock()
-			f.died = append(f.died, fmt.Sprintf("%s ended by itself: %v (see its log)", p.name, err))
+			f.crashed = append(f.crashed, fmt.Sprintf("%s ended by itself: %v (see its log)", p.name, err))
 			f.mu.Unlock()
 		}
 		p.mu.Unlock()
@@ -312,11 +312,11 @@
 	return nil
 }
 
-func (p *proc) signal(s syscall.Signal, ends bool) {
+func (p *process) signal(s syscall.Signal, ends bool) {
 	p.mu.Lock()
-	c, done := p.cmd, p.done
+	c, done := p.cmd, p.exited
 	if c != nil {
-		p.wanted = p.wanted || ends
+		p.exitExpected = p.exitExpected || ends
 		_ = c.Process.Signal(s)
 		if ends {
 			_ = c.Process.Signal(syscall.SIGCONT)
@@ -328,43 +328,43 @@
 	}
 }
 
-// Older has every process of ours begin with the programs in a folder, of an
+// UseOlderPrograms has every process of ours begin with the programs in a folder, of an
 // earlier revision, but the control process that operators ask first: their paths
 // are those of this revision.
-func (f *Fleet) Older(bin string) {
-	f.older = bin
-	for n, p := range f.procs {
-		p.older = strings.HasPrefix(p.kind, "stoneford-") && n != "control-1"
+func (f *Fleet) UseOlderPrograms(bin string) {
+	f.olderProgramsFolder = bin
+	for n, p := range f.processes {
+		p.olderPrograms = strings.HasPrefix(p.kind, "stoneford-") && n != "control-1"
 	}
 }
 
 // Start starts every process and puts the configuration in force.
 func (f *Fleet) Start(ctx context.Context) error {
 	pctx, end := context.WithCancel(context.Background())
-	f.clean.Push(func() error { end(); return nil })
-	pl, err := net.Listen("tcp", f.plat)
+	f.cleanup.Push(func() error { end(); return nil })
+	pl, err := net.Listen("tcp", f.platformAddress)
 	if err != nil {
 		return err
 	}
 	go f.platform.Serve(pctx, pl)
-	f.clean.Push(func() error {
+	f.cleanup.Push(func() error {
 		for _, n := range f.order {
-			f.procs[n].signal(syscall.SIGKILL, true)
+			f.processes[n].signal(syscall.SIGKILL, true)
 		}
 		return nil
 	})
 	for _, n := range f.order {
-		if err := f.start(f.procs[n]); err != nil {
+		if err := f.start(f.processes[n]); err != nil {
 			return err
 		}
 	}
-	for _, pt := range f.Shape.Parts {
-		b, err := json.Marshal(f.Configuration(pt))
+	for _, partner := range f.Shape.Parts {
+		b, err := json.Marshal(f.Configuration(partner))
 		if err != nil {
 			return err
 		}
 		if err := Until(ctx, 30*time.Second, func() error {
-			r, err := f.Operators(pt.Partner).Change(ctx, 0, b, false, false)
+			r, err := f.Operators(partner.Partner).Change(ctx, 0, b, false, false)
 			if err != nil {
 				return err
 			}
@@ -385,7 +385,7 @@
 }
 
 // Close ends every process.
-func (f *Fleet) Close() error { return f.clean.Run() }
+func (f *Fleet) Close() error { return f.cleanup.Run() }
 
 // Configure sends a change of a partner's and returns how long after its
 // acceptance every process that is up works by it, as they report themselves.
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -48,15 +48,15 @@
 	return ctx, f
 }
 
-// held holds what callers were told against what the databases hold.
-func held(ctx context.Context, t *testing.T, f *fleet.Fleet, r *callers.Run) checker.Verdict {
+// checkVerdict holds what callers were told against what the databases hold.
+func checkVerdict(ctx context.Context, t *testing.T, f *fleet.Fleet, r *callers.Runner) checker.Verdict {
 	t.Helper()
 	logs, err := f.Logs(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	v := r.Checker.Check(logs)
-	for _, b := range append(v.Violations, f.Died()...) {
+	for _, b := range append(v.Violations, f.Crashed()...) {
 		t.Error(b)
 	}
 	return v
@@ -72,12 +72,12 @@
 	defer end()
 	r := callers.New(f.Load(20, 60, 1))
 	var wg sync.WaitGroup
-	wg.Go(func() { r.Go(lctx) })
+	wg.Go(func() { r.Run(lctx) })
 	route := f.Load(0, 0, 0).Routes[0]
 	acked := func(after int64) {
 		t.Helper()
 		if err := fleet.Until(ctx, time.Minute, func() error {
-			if r.FirstAckAfter(route, after) == 0 {
+			if r.FirstAcknowledgementAfter(route, after) == 0 {
 				return context.DeadlineExceeded
 			}
 			return nil
@@ -87,7 +87,7 @@
 	}
 	do := func(a, target string) string {
 		t.Helper()
-		hit, err := f.Do(ctx, fleet.Fault{Action: a, Target: target})
+		hit, err := f.Inject(ctx, fleet.Fault{Action: a, Target: target})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,15 +106,15 @@
 	acked(time.Now().UnixMicro())
 	end()
 	wg.Wait()
-	v := held(ctx, t, f, r)
+	v := checkVerdict(ctx, t, f, r)
 	done := 0
 	for _, s := range r.Samples() {
 		if s.Outcome == result.Done {
 			done++
 		}
 	}
-	if v.Acked < 10 || done < 50 {
-		t.Errorf("only %d writes were acknowledged and %d queries done: the run shows little", v.Acked, done)
+	if v.Acknowledged < 10 || done < 50 {
+		t.Errorf("only %d writes were acknowledged and %d queries done: the run shows little", v.Acknowledged, done)
 	}
 	s, err := f.Operators("pharmacies").Configuration(ctx, false)
 	if err != nil || s.Code != result.OK || s.Revision != 1 {
@@ -134,7 +134,7 @@
 	b := f.Load(16, 40, 3)
 	r := f.Callers(b)
 	var wg sync.WaitGroup
-	wg.Go(func() { r.Go(lctx) })
+	wg.Go(func() { r.Run(lctx) })
 	until := func(what string, ok func() bool) {
 		t.Helper()
 		if err := fleet.Until(ctx, 2*time.Minute, func() error {
@@ -150,12 +150,12 @@
 		t.Helper()
 		at := time.Now().UnixMicro()
 		for _, rt := range b.Routes {
-			until("a write on "+rt, func() bool { return r.FirstAckAfter(rt, at) > 0 })
+			until("a write on "+rt, func() bool { return r.FirstAcknowledgementAfter(rt, at) > 0 })
 		}
 	}
 	do := func(a, target string, v int64) {
 		t.Helper()
-		if _, err := f.Do(ctx, fleet.Fault{Action: a, Target: target, Value: v}); err != nil {
+		if _, err := f.Inject(ctx, fleet.Fault{Action: a, Target: target, Value: v}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -163,14 +163,14 @@
 		t.Helper()
 		var id uint64
 		until("booking "+what, func() bool {
-			v, err := f.Operators("lender").Say(ctx, "book "+what+" at "+time.Now().UTC().Format("2006-01-02 15:04"))
+			v, err := f.Operators("lender").Run(ctx, "book "+what+" at "+time.Now().UTC().Format("2006-01-02 15:04"))
 			if err == nil && v.Code == result.OK {
 				id = v.Bookings[0].Id
 			}
 			return id > 0
 		})
 		confirm := func(who string) result.Code {
-			v, err := f.Operators(who).Say(ctx, fmt.Sprintf("confirm booking %d", id))
+			v, err := f.Operators(who).Run(ctx, fmt.Sprintf("confirm booking %d", id))
 			if err != nil {
 				return result.NoVoterMajority
 			}
@@ -179,7 +179,7 @@
 		until("the other partner's bounce", func() bool { return confirm("lender") == result.NotOwner })
 		until("the owner's confirmation", func() bool { c := confirm("pharmacies"); return c == result.OK || c == result.WrongState })
 		until(what, func() bool {
-			v, err := f.Operators("pharmacies").Say(ctx, "what is booked today for pharmacies")
+			v, err := f.Operators("pharmacies").Run(ctx, "what is booked today for pharmacies")
 			for _, b := range v.Bookings {
 				if err == nil && b.Id == id {
 					return b.State == bookings.Done
@@ -214,9 +214,9 @@
 	acked()
 	end()
 	wg.Wait()
-	v := held(ctx, t, f, r)
-	if v.Acked < 100 {
-		t.Errorf("only %d writes were acknowledged: the run shows little", v.Acked)
+	v := checkVerdict(ctx, t, f, r)
+	if v.Acknowledged < 100 {
+		t.Errorf("only %d writes were acknowledged: the run shows little", v.Acknowledged)
 	}
 	for _, p := range []string{"pharmacies", "lender"} {
 		var s control.Reply
--- a/standin/fleet/observe.go
+++ b/standin/fleet/observe.go
@@ -21,8 +21,8 @@
 )
 
 // Until tries f again until it does not fail or the time is over.
-func Until(ctx context.Context, most time.Duration, f func() error) error {
-	end := time.Now().Add(most)
+func Until(ctx context.Context, limit time.Duration, f func() error) error {
+	end := time.Now().Add(limit)
 	for {
 		err := f()
 		if err == nil || time.Now().After(end) {
@@ -40,13 +40,13 @@
 
 // Operators is a partner's operators' side of the fleet.
 func (f *Fleet) Operators(partner string) operators.Client {
-	return operators.Client{Addresses: f.ops, Token: Token(partner)}
+	return operators.Client{Addresses: f.operatorAddresses, Token: Token(partner)}
 }
 
 // Nodes are the ready pool nodes, as the platform hands them out.
 func (f *Fleet) Nodes() []string {
 	c := http.Client{Timeout: time.Second}
-	r, err := c.Get("http://" + f.plat + "/v1/nodes")
+	r, err := c.Get("http://" + f.platformAddress + "/v1/nodes")
 	if err != nil {
 		return nil
 	}
@@ -60,7 +60,7 @@
 
 // Ready asks a process whether it is ready.
 func (f *Fleet) Ready(ctx context.Context, name string) error {
-	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.procs[name].http+"/v1/ready", nil)
+	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.processes[name].http+"/v1/ready", nil)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 			if p == "" {
 				return fmt.Errorf("%s has no primary", g)
 			}
-			r, err := http.Get("http://" + f.procs[p].http + "/truth/log")
+			r, err := http.Get("http://" + f.processes[p].http + "/truth/log")
 			if err != nil {
 				return err
 			}
@@ -123,11 +123,11 @@
 	return out, nil
 }
 
-// Died tells which processes ended by themselves.
-func (f *Fleet) Died() []string {
+// Crashed tells which processes ended by themselves.
+func (f *Fleet) Crashed() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.died)
+	return slices.Clone(f.crashed)
 }
 
 // zoneOf is the zone of the pool node at a callers' address.
@@ -142,7 +142,7 @@
 func (f *Fleet) CPU() map[string]time.Duration {
 	m := map[string]time.Duration{}
 	for _, n := range f.order {
-		p := f.procs[n]
+		p := f.processes[n]
 		p.mu.Lock()
 		c := p.cmd
 		p.mu.Unlock()
@@ -180,7 +180,7 @@
 // Counters sums what all pool nodes counted so far.
 func (f *Fleet) Counters(ctx context.Context) (c Counters) {
 	for _, n := range f.order {
-		p := f.procs[n]
+		p := f.processes[n]
 		if p.kind != "stoneford-pool" {
 			continue
 		}
@@ -207,17 +207,17 @@
 }
 
 // Callers starts callers that faults can crowd and move; Go sends the load.
-func (f *Fleet) Callers(b callers.Load) *callers.Run {
+func (f *Fleet) Callers(b callers.Load) *callers.Runner {
 	f.load = callers.New(b)
 	return f.load
 }
 
-// Describe prints how the fleet can be reached.
-func (f *Fleet) Describe(w io.Writer) {
+// WriteDeployment prints how the fleet can be reached.
+func (f *Fleet) WriteDeployment(w io.Writer) {
 	var ts []string
 	for _, p := range f.Shape.Parts {
 		ts = append(ts, Token(p.Partner))
 	}
 	fmt.Fprintf(w, "control (operators): %s\ntokens: %s\nnodes (callers): %s\nroutes: %s\nfolder: %s\n",
-		strings.Join(f.ops, " "), strings.Join(ts, " "), strings.Join(f.Nodes(), " "), strings.Join(f.Shape.groups(), " "), f.folder)
+		strings.Join(f.operatorAddresses, " "), strings.Join(ts, " "), strings.Join(f.Nodes(), " "), strings.Join(f.Shape.groups(), " "), f.folder)
 }
--- a/standin/fleet/shape.go
+++ b/standin/fleet/shape.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Part is what one partner brings.
-type Part struct {
+// PartnerShape is what one partner brings.
+type PartnerShape struct {
 	Partner     string
 	Groups      []string
 	Zones       []string // its names for the three zones
@@ -17,24 +17,24 @@
 
 // Shape is a deployment's sizes.
 type Shape struct {
-	Parts    []Part
+	Parts    []PartnerShape
 	Machines int
 	Sessions int
 	Rate     float64
 }
 
 var (
-	pharmacies = Part{Partner: "pharmacies", Groups: []string{"inventory-1", "inventory-2", "inventory-3"}, Zones: []string{"cluj", "iasi", "brasov"}, Connections: 65, Classes: [3]string{"reserve", "lookup", "pickup"}}
-	lender     = Part{Partner: "lender", Groups: []string{"ledger-1", "ledger-2", "ledger-3"}, Zones: []string{"cluj", "iasi", "brasov"}, Connections: 80, Classes: [3]string{"disburse", "repayment", "limit"}}
+	pharmacies = PartnerShape{Partner: "pharmacies", Groups: []string{"inventory-1", "inventory-2", "inventory-3"}, Zones: []string{"cluj", "iasi", "brasov"}, Connections: 65, Classes: [3]string{"reserve", "lookup", "pickup"}}
+	lender     = PartnerShape{Partner: "lender", Groups: []string{"ledger-1", "ledger-2", "ledger-3"}, Zones: []string{"cluj", "iasi", "brasov"}, Connections: 80, Classes: [3]string{"disburse", "repayment", "limit"}}
 )
 
 // Shapes are the users' two, both on one pool, and a smaller one.
 var Shapes = map[string]Shape{
-	"pharmacies": {Parts: []Part{pharmacies}, Machines: 11, Sessions: 290, Rate: 450},
-	"lender":     {Parts: []Part{lender}, Machines: 10, Sessions: 290, Rate: 450},
-	"both":       {Parts: []Part{pharmacies, lender}, Machines: 21, Sessions: 580, Rate: 900},
-	"two":        {Parts: []Part{{Partner: "pharmacies", Groups: []string{"inventory-1"}, Zones: pharmacies.Zones, Connections: 40, Classes: pharmacies.Classes}, {Partner: "lender", Groups: []string{"ledger-1"}, Zones: pharmacies.Zones, Connections: 40, Classes: lender.Classes}}, Machines: 4, Sessions: 40, Rate: 80},
-	"small":      {Parts: []Part{{Partner: "pharmacies", Groups: []string{"inventory-1"}, Zones: pharmacies.Zones, Connections: 40, Classes: pharmacies.Classes}}, Machines: 4, Sessions: 40, Rate: 80},
+	"pharmacies": {Parts: []PartnerShape{pharmacies}, Machines: 11, Sessions: 290, Rate: 450},
+	"lender":     {Parts: []PartnerShape{lender}, Machines: 10, Sessions: 290, Rate: 450},
+	"both":       {Parts: []PartnerShape{pharmacies, lender}, Machines: 21, Sessions: 580, Rate: 900},
+	"two":        {Parts: []PartnerShape{{Partner: "pharmacies", Groups: []string{"inventory-1"}, Zones: pharmacies.Zones, Connections: 40, Classes: pharmacies.Classes}, {Partner: "lender", Groups: []string{"ledger-1"}, Zones: pharmacies.Zones, Connections: 40, Classes: lender.Classes}}, Machines: 4, Sessions: 40, Rate: 80},
+	"small":      {Parts: []PartnerShape{{Partner: "pharmacies", Groups: []string{"inventory-1"}, Zones: pharmacies.Zones, Connections: 40, Classes: pharmacies.Classes}}, Machines: 4, Sessions: 40, Rate: 80},
 }
 
 // groups names every group, as PARTNER/GROUP.
@@ -83,21 +83,21 @@
 }
 
 // Configuration is one partner's configuration.
-func (f *Fleet) Configuration(pt Part) map[string]any {
+func (f *Fleet) Configuration(partner PartnerShape) map[string]any {
 	dbs, gs, rs := map[string]any{}, map[string]any{}, map[string]any{}
-	for i, g := range pt.Groups {
+	for i, g := range partner.Groups {
 		var ms []string
 		for j := range 3 {
 			n := fmt.Sprintf("%s-%c", g, 'a'+j)
 			ms = append(ms, n)
-			dbs[n] = map[string]any{"address": f.addr[n], "zone": pt.Zones[(i+j)%3], "connections": pt.Connections}
+			dbs[n] = map[string]any{"address": f.databaseAddresses[n], "zone": partner.Zones[(i+j)%3], "connections": partner.Connections}
 		}
 		gs[g] = map[string]any{"members": ms, "primary": ms[0]}
-		rs[g] = map[string]any{"group": g, "classes": pt.Classes[:]}
+		rs[g] = map[string]any{"group": g, "classes": partner.Classes[:]}
 	}
 	return map[string]any{"databases": dbs, "groups": gs, "routes": rs, "classes": map[string]any{
-		pt.Classes[0]: map[string]any{"kind": "current"},
-		pt.Classes[1]: map[string]any{"kind": "stale", "stale_us": 1_500_000},
-		pt.Classes[2]: map[string]any{"kind": "pinned", "stale_us": 2_500_000},
+		partner.Classes[0]: map[string]any{"kind": "current"},
+		partner.Classes[1]: map[string]any{"kind": "stale", "stale_us": 1_500_000},
+		partner.Classes[2]: map[string]any{"kind": "pinned", "stale_us": 2_500_000},
 	}}
 }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -12,42 +12,42 @@
 
 // Link passes what comes to an address on to a process.
 type Link struct {
-	addr   string
-	target string
-	l      net.Listener // nil while nobody listens
-	mu     sync.Mutex
-	cond   *sync.Cond
-	cuts   map[Way]bool
-	loss   float64
-	conns  map[net.Conn]bool
-	closed bool
+	address     string
+	target      string
+	listener    net.Listener // nil while nobody listens
+	mu          sync.Mutex
+	cond        *sync.Cond
+	partitions  map[Direction]bool
+	lossShare   float64
+	connections map[net.Conn]bool
+	closed      bool
 }
 
-// Way is a direction on a link: what comes to its process, or what its process
+// Direction is a direction on a link: what comes to its process, or what its process
 // returns, of the connections from one IP or, where that is empty, from all.
-type Way struct {
-	Back bool
-	From string
+type Direction struct {
+	Response bool
+	From     string
 }
 
-// again is how late a lost packet's second sending arrives.
-const again = 200 * time.Millisecond
+// retransmissionDelay is how late a lost packet's second sending arrives.
+const retransmissionDelay = 200 * time.Millisecond
 
 // New makes a link from an address to a target; Up has it listen.
 func New(addr, target string) *Link {
-	k := &Link{addr: addr, target: target, cuts: map[Way]bool{}, conns: map[net.Conn]bool{}}
+	k := &Link{address: addr, target: target, partitions: map[Direction]bool{}, connections: map[net.Conn]bool{}}
 	k.cond = sync.NewCond(&k.mu)
 	return k
 }
 
-// Up listens: the process behind the link is there.
-func (k *Link) Up() error {
-	l, err := net.Listen("tcp", k.addr)
+// Listen listens: the process behind the link is there.
+func (k *Link) Listen() error {
+	l, err := net.Listen("tcp", k.address)
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
-	k.l = l
+	k.listener = l
 	k.mu.Unlock()
 	go func() {
 		for {
@@ -61,26 +61,26 @@
 	return nil
 }
 
-// Down bounces connections, as a machine does on which nobody listens.
-func (k *Link) Down() error {
+// StopListening bounces connections, as a machine does on which nobody listens.
+func (k *Link) StopListening() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.l == nil {
+	if k.listener == nil {
 		return nil
 	}
-	err := k.l.Close()
-	k.l = nil
+	err := k.listener.Close()
+	k.listener = nil
 	return err
 }
 
 func (k *Link) relay(c net.Conn) {
 	defer c.Close()
 	from, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	if !k.open(false, from) {
+	if !k.waitUntilOpen(false, from) {
 		return
 	}
 	t, err := net.DialTimeout("tcp", k.target, time.Second)
-	for n := 0; err != nil && n < 50 && k.up(); n++ {
+	for n := 0; err != nil && n < 50 && k.listening(); n++ {
 		time.Sleep(20 * time.Millisecond) // it has just been started
 		t, err = net.DialTimeout("tcp", k.target, time.Second)
 	}
@@ -93,47 +93,47 @@
 	}
 	defer t.Close()
 	k.mu.Lock()
-	k.conns[c], k.conns[t] = true, true
+	k.connections[c], k.connections[t] = true, true
 	k.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { k.pass(t, c, false, from) })
-	wg.Go(func() { k.pass(c, t, true, from) })
+	wg.Go(func() { k.copyBytes(t, c, false, from) })
+	wg.Go(func() { k.copyBytes(c, t, true, from) })
 	wg.Wait()
 	k.mu.Lock()
-	delete(k.conns, c)
-	delete(k.conns, t)
+	delete(k.connections, c)
+	delete(k.connections, t)
 	k.mu.Unlock()
 }
 
-func (k *Link) up() bool {
+func (k *Link) listening() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.l != nil
+	return k.listener != nil
 }
 
-// open waits while a way is cut; false says that the link was closed meanwhile.
-func (k *Link) open(back bool, from string) bool {
+// waitUntilOpen waits while a way is cut; false says that the link was closed meanwhile.
+func (k *Link) waitUntilOpen(back bool, from string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for (k.cuts[Way{back, ""}] || k.cuts[Way{back, from}]) && !k.closed {
+	for (k.partitions[Direction{back, ""}] || k.partitions[Direction{back, from}]) && !k.closed {
 		k.cond.Wait()
 	}
 	return !k.closed
 }
 
-func (k *Link) pass(to, from net.Conn, back bool, ip string) {
+func (k *Link) copyBytes(to, from net.Conn, back bool, ip string) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
 		if n > 0 {
-			if !k.open(back, ip) {
+			if !k.waitUntilOpen(back, ip) {
 				return
 			}
 			k.mu.Lock()
-			late := k.loss > 0 && rand.Float64() < k.loss
+			late := k.lossShare > 0 && rand.Float64() < k.lossShare
 			k.mu.Unlock()
 			if late {
-				time.Sleep(again)
+				time.Sleep(retransmissionDelay)
 			}
 			if _, err := to.Write(b[:n]); err != nil {
 				return
@@ -150,38 +150,38 @@
 	}
 }
 
-// Cut stops everything on a way, as a broken cable does: nothing is closed.
-func (k *Link) Cut(w Way, cut bool) {
+// SetPartition stops everything on a way, as a broken cable does: nothing is closed.
+func (k *Link) SetPartition(w Direction, partitioned bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if cut {
-		k.cuts[w] = true
+	if partitioned {
+		k.partitions[w] = true
 	} else {
-		delete(k.cuts, w)
+		delete(k.partitions, w)
 	}
 	k.cond.Broadcast()
 }
 
-// Mend ends every cut.
-func (k *Link) Mend() {
+// Repair ends every cut.
+func (k *Link) Repair() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cuts = map[Way]bool{}
+	k.partitions = map[Direction]bool{}
 	k.cond.Broadcast()
 }
 
-// Loss has a share of what passes arrive late, as after a lost packet.
-func (k *Link) Loss(share float64) {
+// SetLoss has a share of what passes arrive late, as after a lost packet.
+func (k *Link) SetLoss(share float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.loss = share
+	k.lossShare = share
 }
 
 // Reset resets every connection now open.
 func (k *Link) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for c := range k.conns {
+	for c := range k.connections {
 		if tc, ok := c.(*net.TCPConn); ok {
 			_ = tc.SetLinger(0)
 		}
@@ -191,7 +191,7 @@
 
 // Close ends the link.
 func (k *Link) Close() error {
-	err := k.Down()
+	err := k.StopListening()
 	k.mu.Lock()
 	k.closed = true
 	k.cond.Broadcast()
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -17,16 +17,16 @@
 
 // Server is the platform's HTTP side.
 type Server struct {
-	mu     sync.Mutex
-	nodes  []string          // callers' addresses of all pool nodes
-	ready  []string          // of those that are ready
-	epochs map[string]uint64 // highest epoch asked for, by group
-	target map[string]string
-	hands  Hands
+	mu      sync.Mutex
+	nodes   []string          // callers' addresses of all pool nodes
+	ready   []string          // of those that are ready
+	epochs  map[string]uint64 // highest epoch asked for, by group
+	targets map[string]string
+	actions Actions
 }
 
-// Hands do to processes what the platform decides.
-type Hands struct {
+// Actions do to processes what the platform decides.
+type Actions struct {
 	// Replace puts an empty database in the place of the copy of that identity;
 	// asked again it does nothing.
 	Replace func(database, identity string) error
@@ -35,16 +35,16 @@
 }
 
 // New makes a platform over nodes.
-func New(nodes []string, h Hands) *Server {
-	return &Server{nodes: slices.Clone(nodes), hands: h, epochs: map[string]uint64{}, target: map[string]string{}}
+func New(nodes []string, h Actions) *Server {
+	return &Server{nodes: slices.Clone(nodes), actions: h, epochs: map[string]uint64{}, targets: map[string]string{}}
 }
 
-type takeover struct {
-	Group   string                  `json:"group"`
-	Target  string                  `json:"target"`
-	Meant   string                  `json:"identity"`
-	Epoch   uint64                  `json:"epoch"`
-	Members []databaseclient.Member `json:"members"`
+type takeoverRequest struct {
+	Group    string                  `json:"group"`
+	Target   string                  `json:"target"`
+	Identity string                  `json:"identity"`
+	Epoch    uint64                  `json:"epoch"`
+	Members  []databaseclient.Member `json:"members"`
 }
 
 // Serve serves until the context ends.
@@ -56,10 +56,10 @@
 		defer s.mu.Unlock()
 		json.NewEncoder(w).Encode(s.ready)
 	})
-	m.HandleFunc("POST /v1/replace", s.hand(func(a handArgs) error { return s.hands.Replace(a.Database, a.Identity) }))
-	m.HandleFunc("POST /v1/stop", s.hand(func(a handArgs) error { return s.hands.Stop(a.Machine) }))
+	m.HandleFunc("POST /v1/replace", s.serveAction(func(a actionRequest) error { return s.actions.Replace(a.Database, a.Identity) }))
+	m.HandleFunc("POST /v1/stop", s.serveAction(func(a actionRequest) error { return s.actions.Stop(a.Machine) }))
 	hs := &http.Server{Handler: m}
-	go s.look(ctx)
+	go s.watchNodes(ctx)
 	go func() { <-ctx.Done(); hs.Close() }()
 	if err := hs.Serve(l); err != http.ErrServerClosed {
 		return err
@@ -74,16 +74,16 @@
 	s.nodes = slices.Clone(ns)
 }
 
-type handArgs struct {
+type actionRequest struct {
 	Database string `json:"database"`
 	Address  string `json:"address"`
 	Identity string `json:"identity"`
 	Machine  string `json:"machine"`
 }
 
-func (s *Server) hand(f func(handArgs) error) http.HandlerFunc {
+func (s *Server) serveAction(f func(actionRequest) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var a handArgs
+		var a actionRequest
 		if err := json.NewDecoder(r.Body).Decode(&a); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -97,8 +97,8 @@
 	}
 }
 
-// look asks every node whether it is ready.
-func (s *Server) look(ctx context.Context) {
+// watchNodes asks every node whether it is ready.
+func (s *Server) watchNodes(ctx context.Context) {
 	c := &http.Client{Timeout: 300 * time.Millisecond}
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -138,7 +138,7 @@
 // takeover promotes the target and has the others follow it. It is idempotent
 // and bounces an epoch below the highest asked for, or another target in it.
 func (s *Server) takeover(w http.ResponseWriter, r *http.Request) {
-	var t takeover
+	var t takeoverRequest
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -148,9 +148,9 @@
 		json.NewEncoder(w).Encode(map[string]string{"error": why})
 	}
 	s.mu.Lock()
-	e, o := s.epochs[t.Group], s.target[t.Group]
+	e, o := s.epochs[t.Group], s.targets[t.Group]
 	if t.Epoch > e {
-		s.epochs[t.Group], s.target[t.Group] = t.Epoch, t.Target
+		s.epochs[t.Group], s.targets[t.Group] = t.Epoch, t.Target
 	}
 	s.mu.Unlock()
 	if t.Epoch < e {
@@ -169,7 +169,7 @@
 	ctx, stop := context.WithTimeout(r.Context(), time.Second)
 	defer stop()
 	addr := t.Members[i].Address
-	if err := databasecopy.Call(ctx, "http://"+addr+"/v1/promote", map[string]any{"epoch": t.Epoch, "identity": t.Meant}, nil); err != nil {
+	if err := databasecopy.Call(ctx, "http://"+addr+"/v1/promote", map[string]any{"epoch": t.Epoch, "identity": t.Identity}, nil); err != nil {
 		refuse(err.Error())
 		return
 	}
--- a/standin/run-fleet/main.go
+++ b/standin/run-fleet/main.go
@@ -129,7 +129,7 @@
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
 	if o := c.String("older"); o != "" {
-		f.Older(o)
+		f.UseOlderPrograms(o)
 	}
 	t0 := time.Now()
 	if err := f.Start(ctx); err != nil {
@@ -137,7 +137,7 @@
 	}
 	rep := report{Shape: c.String("shape"), Seed: c.Uint64("seed"), StartS: seconds(time.Since(t0)), Kinds: map[string]figures{}}
 	if c.Bool("hold") {
-		f.Describe(os.Stdout)
+		f.WriteDeployment(os.Stdout)
 		<-ctx.Done()
 		return nil
 	}
@@ -146,14 +146,14 @@
 	ses = lo.Ternary(ses > 0, ses, sh.Sessions)
 	var mu sync.Mutex
 	var nodes []string
-	look := func() {
+	poll := func() {
 		if ns := f.Nodes(); len(ns) > 0 {
 			mu.Lock()
 			nodes = ns
 			mu.Unlock()
 		}
 	}
-	look()
+	poll()
 	lctx, lstop := context.WithTimeout(ctx, time.Duration(c.Int("seconds"))*time.Second)
 	defer lstop()
 	go func() {
@@ -164,7 +164,7 @@
 			case <-ctx.Done():
 				return
 			case <-t.C:
-				look()
+				poll()
 			}
 		}
 	}()
@@ -188,12 +188,12 @@
 			case <-t.C:
 			}
 			ats[i] = time.Now().UnixMicro()
-			hit, err := f.Do(ctx, ft)
+			hit, err := f.Inject(ctx, ft)
 			rep.Faults[i] = fault{Fault: ft, Hit: hit, AtS: seconds(time.Since(began))}
 			ferrs[i] = err
 		})
 	}
-	r.Go(lctx)
+	r.Run(lctx)
 	took := time.Since(began)
 	// Processes that were started anew in between count from there on.
 	rep.CPU = map[string]float64{}
@@ -215,13 +215,13 @@
 	rep.Check = r.Checker.Check(logs)
 	for i := range rep.Faults {
 		if rt := sh.Route(rep.Faults[i].Hit); rt != "" {
-			if a := r.FirstAckAfter(rt, ats[i]); a > 0 {
+			if a := r.FirstAcknowledgementAfter(rt, ats[i]); a > 0 {
 				rep.Faults[i].FirstAckS = float64((a-ats[i])/1000) / 1000
 			}
 		}
 	}
 	fill(&rep, r.Samples(), began, took)
-	rep.Died = f.Died()
+	rep.Died = f.Crashed()
 	b, err := json.MarshalIndent(rep, "", "  ")
 	if err != nil {
 		return err
@@ -238,14 +238,14 @@
 func fill(rep *report, ss []callers.Sample, began time.Time, took time.Duration) {
 	rep.Seconds = seconds(took)
 	rep.Rate = float64(int(float64(len(ss))/took.Seconds()*10)) / 10
-	rep.All = sum(ss)
+	rep.All = addCounters(ss)
 	for k, l := range lo.GroupBy(ss, func(s callers.Sample) string { return s.Kind }) {
-		rep.Kinds[k] = sum(l)
+		rep.Kinds[k] = addCounters(l)
 	}
 	reads := lo.Filter(ss, func(s callers.Sample, _ int) bool {
 		return (s.Kind == checker.Lookup || s.Kind == checker.Pinned || s.Kind == checker.Current) && s.Outcome == result.Done
 	})
-	by := lo.CountValuesBy(reads, func(s callers.Sample) string { return s.Copy })
+	by := lo.CountValuesBy(reads, func(s callers.Sample) string { return s.Database })
 	rep.All.Copies = by
 	n := int(took.Seconds()) + 1
 	sent, served := make([]int, n), make([]int, n)
@@ -264,13 +264,13 @@
 		rs += lo.Ternary(s.OnReplica, 1, 0)
 	}
 	if len(reads) > 0 {
-		rep.OnReplica = share(rs, len(reads))
+		rep.OnReplica = fraction(rs, len(reads))
 	}
 }
 
-func share(a, b int) float64 { return float64(int(float64(a)/float64(b)*10000+0.5)) / 10000 }
+func fraction(a, b int) float64 { return float64(int(float64(a)/float64(b)*10000+0.5)) / 10000 }
 
-func sum(ss []callers.Sample) figures {
+func addCounters(ss []callers.Sample) figures {
 	f := figures{Queries: len(ss), Codes: map[string]int{}}
 	var took []int64
 	ok, first := 0, 0
@@ -278,15 +278,15 @@
 		f.Codes[fmt.Sprintf("%d %s", s.Code, lo.Ternary(s.Code < 0, "no return", s.Code.String()))]++
 		if s.Outcome == result.Done {
 			ok++
-			took = append(took, s.TookUs)
-			if s.Tries == 1 {
+			took = append(took, s.DurationUs)
+			if s.Attempts == 1 {
 				first++
 			}
 		}
 	}
 	slices.Sort(took)
 	if len(ss) > 0 {
-		f.Served, f.FirstTry = share(ok, len(ss)), share(first, len(ss))
+		f.Served, f.FirstTry = fraction(ok, len(ss)), fraction(first, len(ss))
 	}
 	f.P50Us, f.P99Us = checker.Quantile(took, 0.5), checker.Quantile(took, 0.99)
 	return f
--- a/standin/site-move/databases.go
+++ b/standin/site-move/databases.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	copyTime    = 2 * time.Millisecond
-	promoteTime = 80 * time.Millisecond
+	replicationDelay = 2 * time.Millisecond
+	promotionDelay   = 80 * time.Millisecond
 )
 
 var errEnded = errors.New("the connection ended")
@@ -30,41 +30,41 @@
 
 // database is one copy of the group, in memory.
 type database struct {
-	s       *store
-	id      string
-	zone    string
-	primary bool
-	term    uint64
-	held    uint64
-	log     []entry
-	calls   uint64
-	got     map[string]int // what each follower confirmed, of a primary's term
-	waits   []wait
+	store             *store
+	id                string
+	zone              string
+	primary           bool
+	term              uint64
+	frozenBy          uint64
+	log               []entry
+	calls             uint64
+	receivedByReplica map[string]int // what each follower confirmed, of a primary's term
+	syncWaits         []syncWait
 }
 
-type wait struct {
-	n   int
-	end chan bool
+type syncWait struct {
+	position int
+	done     chan bool
 }
 
 // store is the group's databases and the platform that promotes them.
 type store struct {
-	mu      sync.Mutex
-	dbs     []*database
-	terms   uint64
-	changed chan *database
+	mu        sync.Mutex
+	databases []*database
+	terms     uint64
+	changed   chan *database
 }
 
 func newStore(zones []string) *store {
 	s := &store{terms: 1, changed: make(chan *database, 64)}
 	for i, z := range zones {
-		s.dbs = append(s.dbs, &database{s: s, id: fmt.Sprintf("orders-%d", i+1), zone: z, primary: i == 0, term: 1, got: map[string]int{}})
+		s.databases = append(s.databases, &database{store: s, id: fmt.Sprintf("orders-%d", i+1), zone: z, primary: i == 0, term: 1, receivedByReplica: map[string]int{}})
 	}
 	return s
 }
 
 func (s *store) find(id string) *database {
-	for _, d := range s.dbs {
+	for _, d := range s.databases {
 		if d.id == id {
 			return d
 		}
@@ -79,9 +79,9 @@
 	return ports.Position{}
 }
 
-func (d *database) tell() {
+func (d *database) announceTo() {
 	select {
-	case d.s.changed <- d:
+	case d.store.changed <- d:
 	default: // it announces itself again anyway
 	}
 }
@@ -89,10 +89,10 @@
 // offer has a follower receive the log as it stands, a little later.
 func (d *database) offer(o *database) {
 	log, term := d.log[:len(d.log):len(d.log)], d.term
-	time.AfterFunc(copyTime, func() {
-		d.s.mu.Lock()
-		defer d.s.mu.Unlock()
-		if o.primary || o.held > 0 || term < o.term {
+	time.AfterFunc(replicationDelay, func() {
+		d.store.mu.Lock()
+		defer d.store.mu.Unlock()
+		if o.primary || o.frozenBy > 0 || term < o.term {
 			return
 		}
 		if term == o.term && len(log) < len(o.log) {
@@ -100,14 +100,14 @@
 		}
 		o.term, o.log = term, log
 		if d.primary && d.term == term {
-			d.got[o.id] = max(d.got[o.id], len(log))
+			d.receivedByReplica[o.id] = max(d.receivedByReplica[o.id], len(log))
 			d.confirm()
 		}
 	})
 }
 
 func (d *database) offerAll() {
-	for _, o := range d.s.dbs {
+	for _, o := range d.store.databases {
 		if o != d {
 			d.offer(o)
 		}
@@ -116,52 +116,52 @@
 
 func (d *database) confirm() {
 	most := 0
-	for _, n := range d.got {
+	for _, n := range d.receivedByReplica {
 		most = max(most, n)
 	}
-	var left []wait
-	for _, w := range d.waits {
-		if w.n <= most {
-			w.end <- true
+	var left []syncWait
+	for _, w := range d.syncWaits {
+		if w.position <= most {
+			w.done <- true
 		} else {
 			left = append(left, w)
 		}
 	}
-	d.waits = left
+	d.syncWaits = left
 }
 
 func (d *database) stepDown() {
 	d.primary = false
-	for _, w := range d.waits {
-		w.end <- false
+	for _, w := range d.syncWaits {
+		w.done <- false
 	}
-	d.waits = nil
-	d.tell()
+	d.syncWaits = nil
+	d.announceTo()
 }
 
 // run runs one op of a connection; false ends the connection.
-func (d *database) run(o ports.Op, table uint64) (ports.Answer, bool) {
-	d.s.mu.Lock()
+func (d *database) run(o ports.Op, table uint64) (ports.Response, bool) {
+	d.store.mu.Lock()
 	if d.position().Before(o.After) {
-		defer d.s.mu.Unlock()
-		return ports.Answer{Code: ports.Lagging, Text: d.id}, true
+		defer d.store.mu.Unlock()
+		return ports.Response{Code: ports.Lagging, Text: d.id}, true
 	}
-	a := ports.Answer{Body: []byte("done"), Stamped: !o.Own, Position: d.position()}
-	if o.Own || o.St.Kind != ports.Write {
-		d.s.mu.Unlock()
+	a := ports.Response{Body: []byte("done"), Stamped: !o.Internal, Position: d.position()}
+	if o.Internal || o.Statement.Kind != ports.Write {
+		d.store.mu.Unlock()
 		return a, true
 	}
 	if !d.primary {
-		d.s.mu.Unlock()
-		return ports.Answer{Code: ports.ReadOnly, Text: d.id}, true
+		d.store.mu.Unlock()
+		return ports.Response{Code: ports.ReadOnly, Text: d.id}, true
 	}
-	d.log = append(d.log[:len(d.log):len(d.log)], entry{d.term, o.St.Text, table})
+	d.log = append(d.log[:len(d.log):len(d.log)], entry{d.term, o.Statement.Text, table})
 	a.Position = d.position()
-	w := wait{len(d.log), make(chan bool, 1)}
-	d.waits = append(d.waits, w)
+	w := syncWait{len(d.log), make(chan bool, 1)}
+	d.syncWaits = append(d.syncWaits, w)
 	d.offerAll()
-	d.s.mu.Unlock()
-	return a, <-w.end
+	d.store.mu.Unlock()
+	return a, <-w.done
 }
 
 // Do implements ports.Databases.
@@ -172,18 +172,18 @@
 	if d == nil {
 		return ports.DatabaseStatus{}, ports.WrongInstance, nil
 	}
-	switch op.St.Kind {
-	case ports.Hold:
+	switch op.Statement.Kind {
+	case ports.FreezeReplication:
 		switch {
-		case d.primary || op.Term == d.held:
+		case d.primary || op.Term == d.frozenBy:
 		case op.Term <= d.term:
 			return ports.DatabaseStatus{}, ports.Malformed, nil
 		default:
-			d.held = max(d.held, op.Term)
+			d.frozenBy = max(d.frozenBy, op.Term)
 		}
-	case ports.Resume:
-		d.held = 0
-		for _, p := range s.dbs {
+	case ports.ResumeReplication:
+		d.frozenBy = 0
+		for _, p := range s.databases {
 			if p.primary && p.term == s.terms && p != d {
 				p.offer(d)
 			}
@@ -193,10 +193,10 @@
 			d.stepDown()
 		}
 	}
-	return ports.DatabaseStatus{Primary: d.primary, Term: d.term, Received: d.position(), Held: d.held}, ports.Done, nil
+	return ports.DatabaseStatus{Primary: d.primary, Term: d.term, Received: d.position(), FrozenTerm: d.frozenBy}, ports.Done, nil
 }
 
-// Promote implements ports.Provider.
+// Promote implements ports.ProviderAddress.
 func (s *store) Promote(_ context.Context, _, id, _ string, _ uint64) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,50 +207,50 @@
 	if d.primary {
 		return http.StatusOK, nil
 	}
-	time.AfterFunc(promoteTime, func() {
+	time.AfterFunc(promotionDelay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if d.primary {
 			return
 		}
 		s.terms++
-		d.primary, d.term, d.held, d.got = true, s.terms, 0, map[string]int{}
+		d.primary, d.term, d.frozenBy, d.receivedByReplica = true, s.terms, 0, map[string]int{}
 		d.offerAll()
-		d.tell()
+		d.announceTo()
 	})
 	return http.StatusOK, nil
 }
 
 // connection is a node's to a database.
 type connection struct {
-	d     *database
-	table func() uint64
-	mu    sync.Mutex
-	more  *sync.Cond
-	ops   []sent
-	out   []ports.Answer
-	ended bool
+	database   *database
+	table      func() uint64
+	mu         sync.Mutex
+	more       *sync.Cond
+	operations []sentRequest
+	results    []ports.Response
+	ended      bool
 }
 
-type sent struct {
-	op    ports.Op
-	table uint64
+type sentRequest struct {
+	operation ports.Op
+	table     uint64
 }
 
 // dialer opens one node's connections.
 type dialer struct {
-	s     *store
+	store *store
 	table func() uint64
 }
 
 func (l dialer) Dial(_ context.Context, _, _, id string) (sessionpool.Database, ports.Position, ports.Code, error) {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	d := l.s.find(id)
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
+	d := l.store.find(id)
 	if d == nil {
 		return nil, ports.Position{}, ports.WrongInstance, errors.New("another database is there")
 	}
-	c := &connection{d: d, table: l.table}
+	c := &connection{database: d, table: l.table}
 	c.more = sync.NewCond(&c.mu)
 	go c.work()
 	return c, d.position(), ports.Done, nil
@@ -260,7 +260,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range ops {
-		c.ops = append(c.ops, sent{o, c.table()})
+		c.operations = append(c.operations, sentRequest{o, c.table()})
 	}
 	c.more.Broadcast()
 }
@@ -270,39 +270,39 @@
 func (c *connection) work() {
 	for {
 		c.mu.Lock()
-		for len(c.ops) == 0 && !c.ended {
+		for len(c.operations) == 0 && !c.ended {
 			c.more.Wait()
 		}
-		if len(c.ops) == 0 {
+		if len(c.operations) == 0 {
 			c.mu.Unlock()
 			return
 		}
-		o := c.ops[0]
-		c.ops = c.ops[1:]
+		o := c.operations[0]
+		c.operations = c.operations[1:]
 		c.mu.Unlock()
-		a, ok := c.d.run(o.op, o.table)
+		a, ok := c.database.run(o.operation, o.table)
 		c.mu.Lock()
 		if ok {
-			c.out = append(c.out, a)
+			c.results = append(c.results, a)
 		} else {
-			c.ended, c.ops = true, nil
+			c.ended, c.operations = true, nil
 		}
 		c.more.Broadcast()
 		c.mu.Unlock()
 	}
 }
 
-func (c *connection) Read(into []ports.Answer) ([]ports.Answer, error) {
+func (c *connection) Read(into []ports.Response) ([]ports.Response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.out) == 0 && !c.ended {
+	for len(c.results) == 0 && !c.ended {
 		c.more.Wait()
 	}
-	if len(c.out) == 0 {
+	if len(c.results) == 0 {
 		return into, fmt.Errorf("%w: %w", errEnded, io.EOF)
 	}
-	into = append(into, c.out...)
-	c.out = nil
+	into = append(into, c.results...)
+	c.results = nil
 	return into, nil
 }
 
--- a/standin/site-move/main.go
+++ b/standin/site-move/main.go
@@ -37,8 +37,8 @@
 	Longest time.Duration // that anything may take
 }
 
-// moved is one move as it was seen.
-type moved struct {
+// moveResult is one move as it was seen.
+type moveResult struct {
 	To         string   `json:"to"`
 	With       string   `json:"with,omitempty"`
 	Failed     []string `json:"failed,omitempty"` // causes of moves that failed and were asked for again
@@ -52,14 +52,14 @@
 
 // report of a run.
 type report struct {
-	Callers      int      `json:"callers"`
-	Moves        []moved  `json:"moves"`
-	Acknowledged int      `json:"acknowledged"`
-	InDoubt      int      `json:"inDoubt"`
-	Lost         int      `json:"lost"`
-	Doubled      int      `json:"doubled"`
-	Older        int      `json:"acceptedUnderOlderTable"`
-	Problems     []string `json:"problems,omitempty"`
+	Callers      int          `json:"callers"`
+	Moves        []moveResult `json:"moves"`
+	Acknowledged int          `json:"acknowledged"`
+	InDoubt      int          `json:"inDoubt"`
+	Lost         int          `json:"lost"`
+	Doubled      int          `json:"doubled"`
+	Older        int          `json:"acceptedUnderOlderTable"`
+	Problems     []string     `json:"problems,omitempty"`
 }
 
 func (r report) never() bool { return r.Lost+r.Doubled+r.Older+len(r.Problems) > 0 }
@@ -85,24 +85,24 @@
 }
 
 type control struct {
-	s    *store
-	p    atomic.Pointer[coordinator.Process]
-	boot ports.Boot
-	stop context.CancelFunc
-	done chan error
+	store   *store
+	process atomic.Pointer[coordinator.Process]
+	boot    ports.ProcessConfig
+	stop    context.CancelFunc
+	done    chan error
 }
 
-// world is all that runs.
-type world struct {
-	o        options
-	s        *store
-	controls []*control
-	nodes    []*sessionpool.Process
-	serving  []sessionpool.Events // of each node
-	mu       sync.Mutex
-	acked    map[string]bool
-	ackedAt  []time.Time
-	inDoubt  int
+// siteMove is all that runs.
+type siteMove struct {
+	options        options
+	store          *store
+	controls       []*control
+	nodes          []*sessionpool.Process
+	serving        []sessionpool.SessionHandler // of each node
+	mu             sync.Mutex
+	acknowledged   map[string]bool
+	acknowledgedAt []time.Time
+	inDoubt        int
 }
 
 func freePorts(ips []string) (int, error) {
@@ -127,14 +127,14 @@
 }
 
 func (c *control) start() error {
-	cp, err := coordinator.NewProcess(c.boot, c.s, c.s)
+	cp, err := coordinator.NewProcess(c.boot, c.store, c.store)
 	if err != nil {
 		return err
 	}
 	p := cp.(*coordinator.Process)
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop, c.done = stop, make(chan error, 1)
-	c.p.Store(p)
+	c.process.Store(p)
 	done := c.done
 	go func() { done <- p.Run(ctx) }()
 	return nil
--- a/standin/site-move/main_test.go
+++ b/standin/site-move/main_test.go
@@ -20,12 +20,12 @@
 	t.Logf("%+v", r)
 }
 
-// TestCheckSeesWhatMustNeverHappen: the check of the trial turns red.
-func TestCheckSeesWhatMustNeverHappen(t *testing.T) {
-	w := &world{s: newStore(sites), acked: map[string]bool{"kept": true, "gone": true, "twice": true, "old": true}}
-	w.s.dbs[0].log = []entry{{1, "kept", 1}, {1, "twice", 1}, {1, "twice", 1}, {2, "old", 1}}
-	w.s.dbs[0].term, w.s.terms = 2, 2
-	r := report{Moves: []moved{{To: "site-b", Table: 2, Term: 2}}}
+// TestCheckDetectsViolations: the check of the trial turns red.
+func TestCheckDetectsViolations(t *testing.T) {
+	w := &siteMove{store: newStore(sites), acknowledged: map[string]bool{"kept": true, "gone": true, "twice": true, "old": true}}
+	w.store.databases[0].log = []entry{{1, "kept", 1}, {1, "twice", 1}, {1, "twice", 1}, {2, "old", 1}}
+	w.store.databases[0].term, w.store.terms = 2, 2
+	r := report{Moves: []moveResult{{To: "site-b", Table: 2, Term: 2}}}
 	w.check(&r)
 	if r.Lost != 1 || r.Doubled != 1 || r.Older != 1 {
 		t.Errorf("%+v", r)
--- a/standin/site-move/run.go
+++ b/standin/site-move/run.go
@@ -22,12 +22,14 @@
 	"stoneford/sessiontable"
 )
 
-const look = 5 * time.Millisecond
+const observeInterval = 5 * time.Millisecond
 
 // edge takes a node's callers.
-type edge struct{ events chan sessionpool.Events }
+type edge struct {
+	events chan sessionpool.SessionHandler
+}
 
-func (e edge) Serve(ctx context.Context, ev sessionpool.Events) error {
+func (e edge) Serve(ctx context.Context, ev sessionpool.SessionHandler) error {
 	e.events <- ev
 	<-ctx.Done()
 	return nil
@@ -40,7 +42,7 @@
 // run runs the whole trial.
 func run(ctx context.Context, o options) (r report, err error) {
 	r.Callers = o.Callers
-	w := &world{o: o, s: newStore(sites), acked: map[string]bool{}}
+	w := &siteMove{options: o, store: newStore(sites), acknowledged: map[string]bool{}}
 	folder, err := os.MkdirTemp("", "site-move")
 	if err != nil {
 		return r, err
@@ -69,8 +71,8 @@
 	if err != nil {
 		return r, err
 	}
-	boot := func(i, j int, name string) ports.Boot {
-		b := ports.Boot{Name: name, Zone: sites[i], IP: ips[i*3+j], PortFirst: first, PortLast: first + 3, Bootstrap: true, BeatUs: 500_000,
+	boot := func(i, j int, name string) ports.ProcessConfig {
+		b := ports.ProcessConfig{Name: name, Zone: sites[i], IP: ips[i*3+j], PortFirst: first, PortLast: first + 3, Bootstrap: true, AnnouncementIntervalUs: 500_000,
 			DataFolder: filepath.Join(folder, name)}
 		for k := range sites {
 			b.Seeds = append(b.Seeds, ips[k*3]+":1")
@@ -79,7 +81,7 @@
 		return b
 	}
 	for i := range sites {
-		c := &control{s: w.s, boot: boot(i, 0, fmt.Sprintf("control-%d", i+1))}
+		c := &control{store: w.store, boot: boot(i, 0, fmt.Sprintf("control-%d", i+1))}
 		if err := c.start(); err != nil {
 			return r, err
 		}
@@ -87,9 +89,9 @@
 		c.boot.Bootstrap = false
 	}
 	for n := range 2 * len(sites) {
-		e := edge{make(chan sessionpool.Events, 1)}
-		d := &dialer{s: w.s}
-		p := sessionpool.NewProcess(boot(n%3, 1+n/3, fmt.Sprintf("pool-%d", n+1)), clockwork.NewRealClock(), sessionpool.Edges{Callers: e, Probe: probe{}, Dialer: d}, sessiontable.Options{})
+		e := edge{make(chan sessionpool.SessionHandler, 1)}
+		d := &dialer{store: w.store}
+		p := sessionpool.NewProcess(boot(n%3, 1+n/3, fmt.Sprintf("pool-%d", n+1)), clockwork.NewRealClock(), sessionpool.Edges{Frontend: e, Readiness: probe{}, Dialer: d}, sessiontable.Options{})
 		d.table = p.TableRevision
 		w.nodes = append(w.nodes, p)
 		running++
@@ -112,7 +114,7 @@
 	for i := range o.Callers {
 		go func() { w.call(work, i); callers <- struct{}{} }()
 	}
-	if err := w.until(ctx, "every caller was served", func() bool { w.mu.Lock(); defer w.mu.Unlock(); return len(w.ackedAt) > 2*o.Callers }); err != nil {
+	if err := w.until(ctx, "every caller was served", func() bool { w.mu.Lock(); defer w.mu.Unlock(); return len(w.acknowledgedAt) > 2*o.Callers }); err != nil {
 		return r, err
 	}
 	for i, to := range []string{"site-b", "site-c", "site-a"} {
@@ -132,9 +134,9 @@
 }
 
 // until looks until something holds.
-func (w *world) until(ctx context.Context, what string, ok func() bool) error {
-	end := time.After(w.o.Longest)
-	t := time.NewTicker(look)
+func (w *siteMove) until(ctx context.Context, what string, ok func() bool) error {
+	end := time.After(w.options.Longest)
+	t := time.NewTicker(observeInterval)
 	defer t.Stop()
 	for !ok() {
 		select {
@@ -149,26 +151,26 @@
 }
 
 // announce has the databases tell the control processes how they stand.
-func (w *world) announce(ctx context.Context) {
+func (w *siteMove) announce(ctx context.Context) {
 	t := time.NewTicker(400 * time.Millisecond)
 	defer t.Stop()
 	for {
-		which := w.s.dbs
+		which := w.store.databases
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-w.s.changed:
+		case d := <-w.store.changed:
 			which = []*database{d}
 		case <-t.C:
 		}
 		for _, d := range which {
-			w.s.mu.Lock()
+			w.store.mu.Lock()
 			d.calls++
-			i := ports.Instance{ID: d.id, Group: group, Address: d.id, Zone: d.zone, Capacity: 64, Primary: d.primary, Call: d.calls}
-			w.s.mu.Unlock()
+			i := ports.Instance{ID: d.id, Group: group, Address: d.id, Zone: d.zone, Capacity: 64, Primary: d.primary, AnnouncementNumber: d.calls}
+			w.store.mu.Unlock()
 			for _, k := range rand.Perm(len(w.controls)) {
 				c, stop := context.WithTimeout(ctx, 300*time.Millisecond)
-				ok, _ := w.controls[k].p.Load().Announce(c, i)
+				ok, _ := w.controls[k].process.Load().Announce(c, i)
 				stop()
 				if ok {
 					break
@@ -178,14 +180,14 @@
 	}
 }
 
-func (w *world) configure(ctx context.Context) error {
-	c := ports.TableChange{Revision: 1, Whole: true, Name: "first",
-		Routes: []ports.Route{{Name: "pickups", Host: "pickups", Prefix: "/", Kind: ports.Current, Group: group, ExpiryUs: 4_000_000, AimUs: 2_000_000, Tries: 2}},
-		Groups: []ports.Group{{Name: group, ConnLimit: 400, Sync: 1}}, Limits: &ports.Limits{}}
+func (w *siteMove) configure(ctx context.Context) error {
+	c := ports.TableChange{Revision: 1, Complete: true, Digest: "first",
+		Routes: []ports.Route{{Name: "pickups", Host: "pickups", Prefix: "/", Class: ports.CurrentRead, Group: group, TimeoutUs: 4_000_000, LatencyTargetUs: 2_000_000, MaxAttempts: 2}},
+		Groups: []ports.Group{{Name: group, ConnectionLimit: 400, RequiredReplicaAcks: 1}}, Limits: &ports.Limits{}}
 	return w.until(ctx, "the first routing table was taken", func() bool {
 		c2, stop := context.WithTimeout(ctx, time.Second)
 		defer stop()
-		return w.controls[0].p.Load().Change(c2, c).Outcome == ports.Agreed
+		return w.controls[0].process.Load().Change(c2, c).Outcome == ports.Committed
 	})
 }
 
@@ -193,16 +195,16 @@
 type caller struct{ replies chan ports.Reply }
 
 func (c *caller) Reply(r ports.Reply) { c.replies <- r }
-func (c *caller) End()                {}
+func (c *caller) Close()              {}
 func (c *caller) Flush()              {}
 
 // call confirms one pickup after the other, each with an id of its own. One that
 // was promised not to be kept is confirmed again under its id; one in doubt is
 // left, as a person would look first.
-func (w *world) call(ctx context.Context, n int) {
+func (w *siteMove) call(ctx context.Context, n int) {
 	r := rand.New(rand.NewPCG(uint64(n), 1))
 	var c *caller
-	var ev sessionpool.Events
+	var ev sessionpool.SessionHandler
 	var session uint64
 	reply := func() (ports.Reply, bool) {
 		select {
@@ -214,7 +216,7 @@
 	}
 	leave := func() {
 		if c != nil {
-			ev.Left(session)
+			ev.SessionClosed(session)
 			c = nil
 		}
 	}
@@ -230,24 +232,24 @@
 		for try := 0; ctx.Err() == nil; try++ {
 			if c == nil {
 				c, ev = &caller{make(chan ports.Reply, 4)}, w.serving[r.IntN(len(w.serving))]
-				session = ev.Opened(c, "pickups")
+				session = ev.SessionOpened(c, "pickups")
 				if x, ok := reply(); !ok || x.Code != ports.Done {
 					leave()
 					pause(20 * time.Millisecond)
 					continue
 				}
 			}
-			ev.Asked(session, ports.Statement{ID: fmt.Sprintf("%s.%d", id, try), Kind: ports.Write, Text: id, Raw: []byte(id)})
+			ev.StatementReceived(session, ports.Statement{ID: fmt.Sprintf("%s.%d", id, try), Kind: ports.Write, Text: id, Raw: []byte(id)})
 			x, ok := reply()
 			if ok && x.Code == ports.Done {
 				w.mu.Lock()
-				w.acked[id] = true
-				w.ackedAt = append(w.ackedAt, time.Now())
+				w.acknowledged[id] = true
+				w.acknowledgedAt = append(w.acknowledgedAt, time.Now())
 				w.mu.Unlock()
 				break
 			}
 			leave()
-			if !ok || !x.Code.Promise() {
+			if !ok || !x.Code.NoEffect() {
 				w.mu.Lock()
 				w.inDoubt++
 				w.mu.Unlock()
@@ -255,15 +257,15 @@
 			}
 			pause(20 * time.Millisecond)
 		}
-		pause(w.o.Every/2 + time.Duration(r.Int64N(int64(w.o.Every))))
+		pause(w.options.Every/2 + time.Duration(r.Int64N(int64(w.options.Every))))
 	}
 }
 
-// ask asks control processes in turn over their own interface.
-func (w *world) ask(ctx context.Context, method string, in any) (coordinator.MoveReply, error) {
+// requestMove asks control processes in turn over their own interface.
+func (w *siteMove) requestMove(ctx context.Context, method string, in any) (coordinator.MoveReply, error) {
 	var all error
 	for _, c := range w.controls {
-		at, _ := c.boot.State(c.boot.PortFirst)
+		at, _ := c.boot.StateAddress(c.boot.PortFirst)
 		b, err := json.Marshal(in)
 		if err != nil {
 			return coordinator.MoveReply{}, err
@@ -291,20 +293,20 @@
 
 // move moves the group; the second time with a node's links cut, the third with
 // a control process killed.
-func (w *world) move(ctx context.Context, i int, to string) (moved, error) {
-	m := moved{To: to}
-	mended := make(chan struct{})
+func (w *siteMove) move(ctx context.Context, i int, to string) (moveResult, error) {
+	m := moveResult{To: to}
+	repaired := make(chan struct{})
 	switch i {
 	case 1:
 		m.With = "the links of pool-6 cut"
-		w.nodes[5].CutLinks(true)
-		time.AfterFunc(w.o.Frozen, func() { w.nodes[5].CutLinks(false); close(mended) })
+		w.nodes[5].PartitionLinks(true)
+		time.AfterFunc(w.options.Frozen, func() { w.nodes[5].PartitionLinks(false); close(repaired) })
 	default:
-		close(mended)
+		close(repaired)
 	}
 	began := time.Now()
 	if err := w.until(ctx, "the move to "+to+" was taken", func() bool {
-		r, err := w.ask(ctx, http.MethodPost, coordinator.MoveAsked{Group: group, Site: to})
+		r, err := w.requestMove(ctx, http.MethodPost, coordinator.MoveRequest{Group: group, Site: to})
 		m.Table = r.Table
 		return err == nil && r.Code == result.OK
 	}); err != nil {
@@ -314,12 +316,12 @@
 	if i == 2 {
 		m.With = "control-2 killed"
 		c := w.controls[1]
-		c.p.Load().CutLinks(true)
+		c.process.Load().SetLinksBroken(true)
 		c.stop()
 	}
 	var seen coordinator.MoveReply
 	if err := w.until(ctx, "the move to "+to+" was switched", func() bool {
-		r, err := w.ask(ctx, http.MethodGet, nil)
+		r, err := w.requestMove(ctx, http.MethodGet, nil)
 		seen = r
 		if err != nil || len(r.Moves) != 1 || r.Moves[0].Table != m.Table {
 			return false
@@ -336,7 +338,7 @@
 			// It serves where it did: an operator asks again.
 			m.Failed = append(m.Failed, r.Moves[0].Cause)
 			m.AgreedMs = 0
-			if a, err := w.ask(ctx, http.MethodPost, coordinator.MoveAsked{Group: group, Site: to}); err == nil && a.Code == result.OK {
+			if a, err := w.requestMove(ctx, http.MethodPost, coordinator.MoveRequest{Group: group, Site: to}); err == nil && a.Code == result.OK {
 				m.Table = a.Table
 			}
 		}
@@ -347,15 +349,15 @@
 	if m.AgreedMs == 0 {
 		m.AgreedMs = m.SwitchedMs
 	}
-	w.s.mu.Lock()
-	m.Term = w.s.terms
+	w.store.mu.Lock()
+	m.Term = w.store.terms
 	at := ""
-	for _, d := range w.s.dbs {
-		if d.primary && d.term == w.s.terms {
+	for _, d := range w.store.databases {
+		if d.primary && d.term == w.store.terms {
 			at = d.zone
 		}
 	}
-	w.s.mu.Unlock()
+	w.store.mu.Unlock()
 	if at != to {
 		return m, fmt.Errorf("switched to %s, and the primary is at %q", to, at)
 	}
@@ -368,17 +370,17 @@
 			return m, err
 		}
 	}
-	rest := time.After(w.o.Rest)
-	<-mended
+	rest := time.After(w.options.Rest)
+	<-repaired
 	<-rest
 	w.mu.Lock()
-	m.OutageMs = gap(w.ackedAt, began).Milliseconds()
+	m.OutageMs = callerInterval(w.acknowledgedAt, began).Milliseconds()
 	w.mu.Unlock()
 	return m, nil
 }
 
-// gap is the longest time without an acknowledgement since a moment.
-func gap(at []time.Time, since time.Time) time.Duration {
+// callerInterval is the longest time without an acknowledgement since a moment.
+func callerInterval(at []time.Time, since time.Time) time.Duration {
 	var most time.Duration
 	last := since
 	for _, t := range at {
@@ -391,15 +393,15 @@
 }
 
 // check holds what was acknowledged against the newest primary's log.
-func (w *world) check(r *report) {
-	w.s.mu.Lock()
-	defer w.s.mu.Unlock()
+func (w *siteMove) check(r *report) {
+	w.store.mu.Lock()
+	defer w.store.mu.Unlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r.Acknowledged, r.InDoubt = len(w.acked), w.inDoubt
+	r.Acknowledged, r.InDoubt = len(w.acknowledged), w.inDoubt
 	var p *database
-	for _, d := range w.s.dbs {
-		if d.primary && d.term == w.s.terms {
+	for _, d := range w.store.databases {
+		if d.primary && d.term == w.store.terms {
 			p = d
 		}
 	}
@@ -410,11 +412,11 @@
 	times := map[string]int{}
 	for _, e := range p.log {
 		times[e.text]++
-		if w.acked[e.text] && slices.ContainsFunc(r.Moves, func(m moved) bool { return m.Term > 0 && e.term >= m.Term && e.table < m.Table }) {
+		if w.acknowledged[e.text] && slices.ContainsFunc(r.Moves, func(m moveResult) bool { return m.Term > 0 && e.term >= m.Term && e.table < m.Table }) {
 			r.Older++
 		}
 	}
-	for id := range w.acked {
+	for id := range w.acknowledged {
 		if times[id] == 0 {
 			r.Lost++
 		}
--- a/standin/standin-database/main.go
+++ b/standin/standin-database/main.go
@@ -30,7 +30,7 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			s, err := databasecopy.NewServer(c.String("name"), rand.Text(), c.String("folder"), c.Int("connections"), links.Local(c.String("listen")),
+			s, err := databasecopy.NewServer(c.String("name"), rand.Text(), c.String("folder"), c.Int("connections"), links.LocalAddress(c.String("listen")),
 				databasecopy.Faults{ServiceUs: c.Int64("service-us"), LagUs: c.Int64("lag-us")})
 			if err != nil {
 				return err
--- a/step/step.go
+++ b/step/step.go
@@ -13,23 +13,23 @@
 
 // Send is an envelope bound for one neighbour.
 type Send struct {
-	To  string
-	Env *schema.Envelope
+	To       string
+	Envelope *schema.Envelope
 }
 
 // numberShift keeps numbers short on the wire.
 const numberShift = 28
 
-// FirstNumber is where a run of a process begins to number what it asks. Replies
+// FirstRequestNumber is where a run of a process begins to number what it asks. Replies
 // name that number and no run: begun at 1 by each, a late reply to an earlier run
 // would be taken for one to the same question of this run.
-func FirstNumber(of ...string) uint64 { return Hash(of...) >> numberShift }
+func FirstRequestNumber(of ...string) uint64 { return Hash(of...) >> numberShift }
 
 // Hash is the one hash by which nodes are ranked and keys digested; it is the
 // same in every process and every build.
-func Hash(ps ...string) uint64 {
+func Hash(parts ...string) uint64 {
 	h := fnv.New64a()
-	for _, p := range ps {
+	for _, p := range parts {
 		h.Write([]byte(p))
 		h.Write([]byte{0})
 	}
@@ -45,7 +45,7 @@
 // Rank orders names by the hash of key and name, as every process does: the
 // rendezvous of whoever knows the same names.
 func Rank(key string, names []string) []string {
-	ns := slices.Clone(names)
-	slices.SortFunc(ns, func(a, b string) int { return cmp.Compare(Hash(key, a), Hash(key, b)) })
-	return ns
+	ranked := slices.Clone(names)
+	slices.SortFunc(ranked, func(a, b string) int { return cmp.Compare(Hash(key, a), Hash(key, b)) })
+	return ranked
 }
--- a/switchover/duty.go
+++ b/switchover/duty.go
@@ -11,8 +11,8 @@
 // that moment, met a majority after the newest change of the register, and has
 // waited out the lease of the holder before.
 
-// Duty is what a process knows of its own standing towards a group's duty.
-type Duty struct {
+// RoleState is what a process knows of its own standing towards a group's duty.
+type RoleState struct {
 	Self string
 	Run  uint64 // of this process
 	// Lease is when the newest look that a majority of voters returned was sent,
@@ -23,143 +23,143 @@
 	Eligible bool
 	// Successor says that it is the one to claim the duty of a holder that is lost.
 	Successor bool
-	// HolderPresent says that the agreed holder was heard lately in the run that
+	// OwnerPresent says that the agreed holder was heard lately in the run that
 	// claimed, and that it neither leaves nor lacks a lease.
-	HolderPresent bool
+	OwnerPresent bool
 }
 
 // Lease is a time on one process's clock within which it may act.
-type Lease struct{ From, Until int64 }
-
-// commandAgain is how soon a command that is not allowed yet is tried again.
-const commandAgain = 10_000
-
-// proposeExpiry is how long a revision that was asked for is waited for.
-const proposeExpiry = 4_000_000
-
-// tenure is this run's time as the holder of a group's duty.
-type tenure struct {
-	fence    uint64 // that it holds the duty under, 0 for none
-	since    int64  // when its claim was first seen as agreed
-	free     uint64 // fence that follows a holder that handed over, or none: nothing is waited out
-	resigned uint64 // newest fence that it offered to hand over: it acts no more under that one
-	rev      uint64 // newest revision of the register seen
-	revAt    int64  // when it was first seen
-	until    int64  // end of the lease
-	commands bool   // databases may be commanded and the platform called now
-	mayAt    int64  // since when, without a break
-	actedAt  int64  // when the holder's step last went through
-	calls    int    // to the platform, under way
-	unsureAt int64  // when a command or call last ended without an answer
+type Lease struct{ ConfirmedAt, Until int64 }
+
+// commandRetryInterval is how soon a command that is not allowed yet is tried again.
+const commandRetryInterval = 10_000
+
+// proposalTimeout is how long a revision that was asked for is waited for.
+const proposalTimeout = 4_000_000
+
+// leaseState is this run's time as the holder of a group's duty.
+type leaseState struct {
+	fencingToken     uint64 // that it holds the duty under, 0 for none
+	claimedAt        int64  // when its claim was first seen as agreed
+	uncontestedToken uint64 // fence that follows a holder that handed over, or none: nothing is waited out
+	resignedToken    uint64 // newest fence that it offered to hand over: it acts no more under that one
+	revision         uint64 // newest revision of the register seen
+	revisionSeenAt   int64  // when it was first seen
+	expiresAt        int64  // end of the lease
+	mayCommand       bool   // databases may be commanded and the platform called now
+	mayCommandSince  int64  // since when, without a break
+	lastStepAt       int64  // when the holder's step last went through
+	platformCalls    int    // to the platform, under way
+	lastUncertainAt  int64  // when a command or call last ended without an answer
 }
 
-// observe notes when the newest revision, and the claim in it, were first seen.
-func (g *Group) observe(now int64, in Input) {
-	t := &g.tenure
-	if in.Rev != t.rev {
-		t.rev, t.revAt = in.Rev, now
+// observeRole notes when the newest revision, and the claim in it, were first seen.
+func (g *Group) observeRole(now int64, input Input) {
+	t := &g.leaseState
+	if input.Revision != t.revision {
+		t.revision, t.revisionSeenAt = input.Revision, now
 	}
 	switch {
-	case !in.holds():
-		t.fence = 0
-	case t.fence != in.State.Fence:
-		t.fence, t.since = in.State.Fence, now
+	case !input.ownsRole():
+		t.fencingToken = 0
+	case t.fencingToken != input.State.FencingToken:
+		t.fencingToken, t.claimedAt = input.State.FencingToken, now
 	}
-	t.until = in.Duty.Lease.Until
-	may := in.Settled && g.Acts(now, in) && in.Duty.Lease.From >= t.revAt && g.waitedOut(now)
-	if may && !t.commands {
-		t.mayAt = now
+	t.expiresAt = input.Role.Lease.Until
+	mayCommand := input.UpToDate && g.CanAct(now, input) && input.Role.Lease.ConfirmedAt >= t.revisionSeenAt && g.previousLeaseExpired(now)
+	if mayCommand && !t.mayCommand {
+		t.mayCommandSince = now
 	}
-	t.commands = may
+	t.mayCommand = mayCommand
 }
 
-// holds says that this run of this process is the agreed holder.
-func (in Input) holds() bool {
-	return in.Rev > 0 && in.State.Holder == in.Duty.Self && in.State.HolderRun == in.Duty.Run
+// ownsRole says that this run of this process is the agreed holder.
+func (input Input) ownsRole() bool {
+	return input.Revision > 0 && input.State.RoleOwner == input.Role.Self && input.State.RoleOwnerRun == input.Role.Run
 }
 
-// leased says that a majority's word counts now.
-func (in Input) leased(now int64) bool { return now < in.Duty.Lease.Until }
+// hasLease says that a majority's word counts now.
+func (input Input) hasLease(now int64) bool { return now < input.Role.Lease.Until }
 
-// Acts says that this process carries the group's changes out: it is the agreed
+// CanAct says that this process carries the group's changes out: it is the agreed
 // holder, and a majority's word counts.
-func (g *Group) Acts(now int64, in Input) bool {
-	if !in.leased(now) || !in.Duty.Eligible {
+func (g *Group) CanAct(now int64, input Input) bool {
+	if !input.hasLease(now) || !input.Role.Eligible {
 		return false
 	}
-	if in.Rev == 0 {
-		return in.Duty.Successor // it founds the group
+	if input.Revision == 0 {
+		return input.Role.Successor // it founds the group
 	}
-	return in.holds() && in.State.Fence > g.tenure.resigned
+	return input.ownsRole() && input.State.FencingToken > g.leaseState.resignedToken
 }
 
-// waitedOut says that no lease of the holder before is left. Each of its leases
+// previousLeaseExpired says that no lease of the holder before is left. Each of its leases
 // began with a look that a majority returned before that majority accepted the
 // claim, so before the claim was seen as agreed here; a tenth more than a lease,
 // on this clock, covers both clocks' rates.
-func (g *Group) waitedOut(now int64) bool {
-	t := &g.tenure
-	if t.fence == 0 {
+func (g *Group) previousLeaseExpired(now int64) bool {
+	t := &g.leaseState
+	if t.fencingToken == 0 {
 		return false
 	}
-	if t.free == t.fence || now-t.since >= voterview.WaitUs {
+	if t.uncontestedToken == t.fencingToken || now-t.claimedAt >= voterview.LeaseEndBoundUs {
 		return true
 	}
-	g.wake(t.since + voterview.WaitUs)
+	g.wakeAt(t.claimedAt + voterview.LeaseEndBoundUs)
 	return false
 }
 
-func (g *Group) proposing(now int64) bool {
-	return g.putting > 0 && now-g.putting < proposeExpiry
+func (g *Group) proposalPending(now int64) bool {
+	return g.proposedAt > 0 && now-g.proposedAt < proposalTimeout
 }
 
-// changeHolder claims the duty of a holder that is lost, or hands this process's
+// changeOwner claims the duty of a holder that is lost, or hands this process's
 // own over.
-func (g *Group) changeHolder(now int64, in Input) {
-	if in.Rev == 0 || !in.Settled || !in.leased(now) || g.proposing(now) {
+func (g *Group) changeOwner(now int64, input Input) {
+	if input.Revision == 0 || !input.UpToDate || !input.hasLease(now) || g.proposalPending(now) {
 		return
 	}
 	switch {
-	case !in.Duty.Eligible:
-		if in.holds() {
-			g.handOver(now, in)
+	case !input.Role.Eligible:
+		if input.ownsRole() {
+			g.handOver(now, input)
 		}
-	case in.holds(), in.Duty.Successor && !in.Duty.HolderPresent:
-		g.claim(now, in)
+	case input.ownsRole(), input.Role.Successor && !input.Role.OwnerPresent:
+		g.claim(now, input)
 	}
 }
 
 // claim asks for the duty under the next fence.
-func (g *Group) claim(now int64, in Input) {
-	n := next(in, ports.Phase(in.State.Phase), in.State.Cause)
-	n.Holder, n.HolderRun, n.Fence = in.Duty.Self, in.Duty.Run, in.State.Fence+1
-	if in.State.Holder == "" {
-		g.tenure.free = n.Fence
+func (g *Group) claim(now int64, input Input) {
+	n := nextState(input, ports.Phase(input.State.Phase), input.State.Cause)
+	n.RoleOwner, n.RoleOwnerRun, n.FencingToken = input.Role.Self, input.Role.Run, input.State.FencingToken+1
+	if input.State.RoleOwner == "" {
+		g.leaseState.uncontestedToken = n.FencingToken
 	}
-	g.put(now, in, n)
+	g.propose(now, input, n)
 }
 
 // handOver leaves the duty without a holder, so that the next one waits for
 // nothing. It is done only where nothing of this holder's can take effect any
 // more, and where the one before it was waited out.
-func (g *Group) handOver(now int64, in Input) {
-	t := &g.tenure
-	if !g.waitedOut(now) || g.underWay() || t.unsureAt > 0 && now-t.unsureAt < voterview.WaitUs {
-		g.wake(now + commandAgain)
+func (g *Group) handOver(now int64, input Input) {
+	t := &g.leaseState
+	if !g.previousLeaseExpired(now) || g.commandInFlight() || t.lastUncertainAt > 0 && now-t.lastUncertainAt < voterview.LeaseEndBoundUs {
+		g.wakeAt(now + commandRetryInterval)
 		return
 	}
-	t.resigned = in.State.Fence
-	n := next(in, ports.Phase(in.State.Phase), in.State.Cause)
-	n.Holder, n.HolderRun = "", 0
-	g.put(now, in, n)
+	t.resignedToken = input.State.FencingToken
+	n := nextState(input, ports.Phase(input.State.Phase), input.State.Cause)
+	n.RoleOwner, n.RoleOwnerRun = "", 0
+	g.propose(now, input, n)
 }
 
-// underWay says that a command or a call to the platform has not ended.
-func (g *Group) underWay() bool {
-	if g.tenure.calls > 0 {
+// commandInFlight says that a command or a call to the platform has not ended.
+func (g *Group) commandInFlight() bool {
+	if g.leaseState.platformCalls > 0 {
 		return true
 	}
-	for _, q := range g.qs {
+	for _, q := range g.calls {
 		if q.kind != ports.Status {
 			return true
 		}
@@ -167,10 +167,10 @@
 	return false
 }
 
-// called notes the end of a call to the platform.
-func (t *tenure) called(now int64, ok bool) {
-	t.calls--
+// platformCallDone notes the end of a call to the platform.
+func (t *leaseState) platformCallDone(now int64, ok bool) {
+	t.platformCalls--
 	if !ok {
-		t.unsureAt = now
+		t.lastUncertainAt = now
 	}
 }
--- a/switchover/duty_model_test.go
+++ b/switchover/duty_model_test.go
@@ -24,19 +24,19 @@
 // reached with it, and each accepts it at a time of its own.
 
 var (
-	modelSeeds = flag.Uint64("model-seeds", 170, "schedules of the model of duties")
-	modelFrom  = flag.Uint64("model-from", 0, "first of them")
-	modelTell  = flag.Bool("model-tell", false, "print what happened")
+	modelSeeds   = flag.Uint64("model-seeds", 170, "schedules of the model of duties")
+	modelFrom    = flag.Uint64("model-from", 0, "first of them")
+	modelVerbose = flag.Bool("model-tell", false, "print what happened")
 )
 
-type plant int
+type mutation int
 
 const (
-	noPlant          plant = iota
-	holderNotChecked       // a process takes itself for the holder if it would be the successor
-	fenceNotRaised         // a claim keeps the fence
-	leaseNotWaited         // a claim counts as one after a hand-over
-	effectsUnchecked       // what was decided under a lease leaves however late
+	noMutation          mutation = iota
+	ownerNotChecked              // a process takes itself for the holder if it would be the successor
+	tokenNotIncremented          // a claim keeps the fence
+	leaseNotAwaited              // a claim counts as one after a hand-over
+	expiredEffectsSent           // what was decided under a lease leaves however late
 )
 
 const (
@@ -45,15 +45,15 @@
 	tickEvery      = 10_000
 	faultsUntil    = 16_000_000
 	modelEnd       = 32_000_000
-	edgeMost       = 400 // from a decision until its effect leaves
+	maxSendDelay   = 400 // from a decision until its effect leaves
 )
 
 type modelProcess struct {
-	m      *model
-	i      int
+	model  *model
+	index  int
 	name   string
 	run    uint64
-	g      *Group
+	group  *Group
 	up     bool
 	frozen bool
 	stalls int64    // it is frozen so long as soon as it has decided on a command or a call
@@ -62,15 +62,15 @@
 	rate   float64
 	syncUs int64
 
-	known   [modelProcesses]uint64 // newest revision that each voter is known to have accepted
-	lease   Lease
-	looks   map[uint64]*modelLook
-	number  uint64
-	nextAt  int64
-	heard   [modelProcesses]modelHeard
-	node    modelWord
-	nodeAt  int64
-	leaving bool
+	known    [modelProcesses]uint64 // newest revision that each voter is known to have accepted
+	lease    Lease
+	polls    map[uint64]*modelPoll
+	number   uint64
+	nextAt   int64
+	heard    [modelProcesses]modelHeard
+	node     modelStatus
+	nodeAt   int64
+	draining bool
 
 	// The voter's own, on disk:
 	accepted   uint64
@@ -78,34 +78,34 @@
 }
 
 type modelHeard struct {
-	at      int64
-	run     uint64
-	lacks   bool
-	leaving bool
-	cleared uint64
+	at              int64
+	run             uint64
+	lacks           bool
+	draining        bool
+	clearedRevision uint64
 }
 
-// modelWord is what the pool node tells with a look.
-type modelWord struct {
-	revision uint64
-	acked    ports.Position
-	failing  map[string]int64
+// modelStatus is what the pool node tells with a look.
+type modelStatus struct {
+	revision     uint64
+	acknowledged ports.Position
+	failing      map[string]int64
 }
 
-type modelLook struct {
-	at int64
-	by map[int]bool
+type modelPoll struct {
+	sentAt     int64
+	responders map[int]bool
 }
 
-type modelDB struct {
-	id      string
-	up      bool
-	dark    bool
-	primary bool
-	term    uint64
-	log     []modelCommit
-	held    uint64
-	leaving bool
+type modelDatabase struct {
+	id           string
+	up           bool
+	unresponsive bool
+	primary      bool
+	term         uint64
+	log          []modelCommit
+	frozenTerm   uint64
+	draining     bool
 }
 
 type modelCommit struct {
@@ -114,65 +114,65 @@
 }
 
 type model struct {
-	*simulation.World
-	plant   plant
-	says    []string
-	bad     []string
-	ps      []*modelProcess
-	states  []*schema.Leadership // decided, by revision from 1
-	members []string
-	membRev uint64
-	dbs     []*modelDB
-	order   []int
-	cuts    map[[2]string]bool
-	waiting []modelHeldUp
-
-	nodeKnown  [modelProcesses]uint64
-	nodeLease  Lease
-	nodeLooks  map[uint64]*modelLook
-	nodeNumber uint64
-	nodeFails  map[string]int64
-	nodeAcked  ports.Position
-	commits    int
-	acked      []modelCommit
-	lastAck    int64
-
-	slowUs    int64 // of the platform
-	loses     float64
-	releases  bool // a promotion ends the holds of the others
-	fences    map[uint64]string
-	highest   uint64
-	commandBy uint64
-	calls     int
-	commands  int
-	changes   int
-	hit       bool
+	*simulation.Scheduler
+	mutation        mutation
+	log             []string
+	violations      []string
+	processes       []*modelProcess
+	states          []*schema.Leadership // decided, by revision from 1
+	members         []string
+	membersRevision uint64
+	databases       []*modelDatabase
+	databaseOrder   []int
+	disconnected    map[[2]string]bool
+	delayed         []delayedMessage
+
+	nodeKnown        [modelProcesses]uint64
+	nodeLease        Lease
+	nodePolls        map[uint64]*modelPoll
+	nodeNumber       uint64
+	nodeFails        map[string]int64
+	nodeAcknowledged ports.Position
+	commits          int
+	acknowledged     []modelCommit
+	lastAck          int64
+
+	slowUs                   int64 // of the platform
+	lossProbability          float64
+	promotionResumesReplicas bool // a promotion ends the holds of the others
+	fences                   map[uint64]string
+	highest                  uint64
+	commandBy                uint64
+	calls                    int
+	commands                 int
+	changes                  int
+	mutationTriggered        bool
 }
 
-type modelHeldUp struct {
+type delayedMessage struct {
 	from, to string
-	f        func()
+	deliver  func()
 }
 
-func (m *model) say(f string, a ...any) {
-	m.says = append(m.says, fmt.Sprintf("%.4f ", float64(m.Now)/1e6)+fmt.Sprintf(f, a...))
+func (m *model) logf(f string, a ...any) {
+	m.log = append(m.log, fmt.Sprintf("%.4f ", float64(m.Now)/1e6)+fmt.Sprintf(f, a...))
 }
 
-func (m *model) wrong(f string, a ...any) {
-	m.say("WRONG "+f, a...)
-	m.bad = append(m.bad, fmt.Sprintf(f, a...))
+func (m *model) violationf(f string, a ...any) {
+	m.logf("WRONG "+f, a...)
+	m.violations = append(m.violations, fmt.Sprintf(f, a...))
 }
 
-func newModel(seed uint64, p plant) *model {
-	m := &model{World: simulation.NewWorld(seed), plant: p, cuts: map[[2]string]bool{}, nodeLooks: map[uint64]*modelLook{}, nodeFails: map[string]int64{}, fences: map[uint64]string{}}
-	m.releases, m.slowUs = m.Chance(0.5), m.Between(2_000, 20_000)
-	m.order = m.R.Perm(modelProcesses)
+func newModel(seed uint64, p mutation) *model {
+	m := &model{Scheduler: simulation.NewScheduler(seed), mutation: p, disconnected: map[[2]string]bool{}, nodePolls: map[uint64]*modelPoll{}, nodeFails: map[string]int64{}, fences: map[uint64]string{}}
+	m.promotionResumesReplicas, m.slowUs = m.Chance(0.5), m.Between(2_000, 20_000)
+	m.databaseOrder = m.Random.Perm(modelProcesses)
 	for j, id := range []string{"a", "b", "c"} {
-		m.dbs = append(m.dbs, &modelDB{id: id, up: true, primary: j == 0, term: 1})
+		m.databases = append(m.databases, &modelDatabase{id: id, up: true, primary: j == 0, term: 1})
 	}
 	for i := range modelProcesses {
-		p := &modelProcess{m: m, i: i, name: fmt.Sprint("control-", i+1)}
-		m.ps = append(m.ps, p)
+		p := &modelProcess{model: m, index: i, name: fmt.Sprint("control-", i+1)}
+		m.processes = append(m.processes, p)
 		p.start()
 	}
 	m.After(0, m.nodeTick)
@@ -184,30 +184,30 @@
 // carry takes something from one to another; a cut holds it up.
 func (m *model) carry(from, to string, f func()) {
 	m.After(m.Between(300, 9_000), func() {
-		if m.cuts[[2]string{from, to}] {
-			m.waiting = append(m.waiting, modelHeldUp{from, to, f})
+		if m.disconnected[[2]string{from, to}] {
+			m.delayed = append(m.delayed, delayedMessage{from, to, f})
 			return
 		}
 		f()
 	})
 }
 
-// cut breaks one direction; mend brings what waited late, in any order.
-func (m *model) cut(from, to string) { m.cuts[[2]string{from, to}] = true }
+// disconnect breaks one direction; mend brings what waited late, in any order.
+func (m *model) disconnect(from, to string) { m.disconnected[[2]string{from, to}] = true }
 
-func (m *model) mend(from, to string) {
-	delete(m.cuts, [2]string{from, to})
-	m.waiting = slices.DeleteFunc(m.waiting, func(h modelHeldUp) bool {
+func (m *model) reconnect(from, to string) {
+	delete(m.disconnected, [2]string{from, to})
+	m.delayed = slices.DeleteFunc(m.delayed, func(h delayedMessage) bool {
 		if h.from != from || h.to != to {
 			return false
 		}
-		m.After(m.Between(500, 400_000), h.f)
+		m.After(m.Between(500, 400_000), h.deliver)
 		return true
 	})
 }
 
 func (p *modelProcess) now() int64 {
-	return 1_000_000 + int64(float64(p.m.Now-p.began)*p.rate)
+	return 1_000_000 + int64(float64(p.model.Now-p.began)*p.rate)
 }
 
 // enter has the process take something in, in this run.
@@ -222,16 +222,16 @@
 }
 
 func (p *modelProcess) start() {
-	m := p.m
-	p.run += 1 + uint64(m.R.IntN(5))*10 + uint64(p.i)*100_000
-	p.g, p.up, p.frozen, p.stalls, p.inbox, p.began, p.rate = New(), true, false, 0, nil, m.Now, 1+(m.R.Float64()-0.5)*0.09
-	p.known, p.lease, p.looks, p.heard, p.nextAt, p.leaving = [modelProcesses]uint64{}, Lease{}, map[uint64]*modelLook{}, [modelProcesses]modelHeard{}, 0, false
+	m := p.model
+	p.run += 1 + uint64(m.Random.IntN(5))*10 + uint64(p.index)*100_000
+	p.group, p.up, p.frozen, p.stalls, p.inbox, p.began, p.rate = New(), true, false, 0, nil, m.Now, 1+(m.Random.Float64()-0.5)*0.09
+	p.known, p.lease, p.polls, p.heard, p.nextAt, p.draining = [modelProcesses]uint64{}, Lease{}, map[uint64]*modelPoll{}, [modelProcesses]modelHeard{}, 0, false
 	p.number += 1_000_000
 	p.acceptedAt = map[uint64]int64{}
 	for r := uint64(1); r <= p.accepted; r++ {
 		p.acceptedAt[r] = p.now()
 	}
-	p.known[p.i] = p.accepted
+	p.known[p.index] = p.accepted
 	run := p.run
 	var tick func()
 	tick = func() {
@@ -244,9 +244,9 @@
 }
 
 func (p *modelProcess) kill(backAfter int64) {
-	p.m.say("%s is killed", p.name)
+	p.model.logf("%s is killed", p.name)
 	p.up = false
-	p.m.After(backAfter, func() {
+	p.model.After(backAfter, func() {
 		if !p.up {
 			p.start()
 		}
@@ -254,19 +254,19 @@
 }
 
 func (p *modelProcess) freeze(us int64) {
-	p.m.say("%s is frozen", p.name)
+	p.model.logf("%s is frozen", p.name)
 	p.frozen = true
 	run := p.run
-	p.m.After(us, func() {
+	p.model.After(us, func() {
 		if p.run != run || !p.frozen {
 			return
 		}
 		p.frozen = false
-		p.m.say("%s thaws", p.name)
+		p.model.logf("%s thaws", p.name)
 		fs := p.inbox
 		p.inbox = nil
 		for _, f := range fs {
-			p.m.After(p.m.Between(0, 2_000), func() {
+			p.model.After(p.model.Between(0, 2_000), func() {
 				if p.run == run {
 					p.enter(f)
 				}
@@ -279,7 +279,7 @@
 // it is frozen.
 func (p *modelProcess) later(us int64, f func()) {
 	run := p.run
-	p.m.After(us, func() {
+	p.model.After(us, func() {
 		if p.run == run {
 			p.enter(f)
 		}
@@ -292,40 +292,40 @@
 
 // propose brings a revision to the voters.
 func (p *modelProcess) propose(base uint64, s *schema.Leadership) {
-	m, run := p.m, p.run
+	m, run := p.model, p.run
 	reached := map[int]bool{}
 	rev, ended := uint64(0), false
-	for _, v := range m.ps {
+	for _, v := range m.processes {
 		m.carry(p.name, v.name, func() {
 			v.enter(func() {
-				reached[v.i] = true
+				reached[v.index] = true
 				switch {
 				case rev > 0:
 					v.accept(rev)
 				case len(reached) == modelMajority && m.decided() == base && !ended:
 					m.states = append(m.states, s)
 					rev = m.decided()
-					m.say("revision %d: phase %d, %s, holder %q run %d fence %d: %s", rev, s.Phase, s.Primary, s.Holder, s.HolderRun, s.Fence, s.Cause)
+					m.logf("revision %d: phase %d, %s, holder %q run %d fence %d: %s", rev, s.Phase, s.Primary, s.RoleOwner, s.RoleOwnerRun, s.FencingToken, s.Cause)
 					for i := range reached {
-						m.ps[i].accept(rev)
+						m.processes[i].accept(rev)
 					}
 				case len(reached) == modelMajority:
 					ended = true
 				}
 				m.carry(v.name, p.name, func() {
 					if p.run == run && len(reached) >= modelMajority {
-						p.enter(p.g.PutDone)
+						p.enter(p.group.StateProposalDone)
 					}
 				})
 			})
 		})
 	}
-	p.later(3_900_000, p.g.PutDone)
+	p.later(3_900_000, p.group.StateProposalDone)
 }
 
 // accept has a voter accept a revision, and tell all, once it is on disk.
 func (p *modelProcess) accept(rev uint64) {
-	m := p.m
+	m := p.model
 	p.later(m.Between(1_000, 4_000)+p.syncUs, func() {
 		if rev <= p.accepted {
 			return
@@ -334,22 +334,22 @@
 			p.acceptedAt[r] = p.now()
 		}
 		p.accepted = rev
-		p.known[p.i] = rev
-		for _, o := range m.ps {
+		p.known[p.index] = rev
+		for _, o := range m.processes {
 			if o != p {
-				m.carry(p.name, o.name, func() { o.enter(func() { o.known[p.i] = max(o.known[p.i], rev) }) })
+				m.carry(p.name, o.name, func() { o.enter(func() { o.known[p.index] = max(o.known[p.index], rev) }) })
 			}
 		}
-		m.carry(p.name, "node", func() { m.nodeKnown[p.i] = max(m.nodeKnown[p.i], rev) })
+		m.carry(p.name, "node", func() { m.nodeKnown[p.index] = max(m.nodeKnown[p.index], rev) })
 	})
 }
 
 // catchUp has voters accept what others hold.
 func (m *model) catchUp() {
-	for _, p := range m.ps {
+	for _, p := range m.processes {
 		if p.up && !p.frozen && p.accepted < m.decided() {
-			for _, o := range m.ps {
-				if o.up && !o.frozen && o.accepted > p.accepted && !m.cuts[[2]string{o.name, p.name}] && !m.cuts[[2]string{p.name, o.name}] {
+			for _, o := range m.processes {
+				if o.up && !o.frozen && o.accepted > p.accepted && !m.disconnected[[2]string{o.name, p.name}] && !m.disconnected[[2]string{p.name, o.name}] {
 					p.accept(o.accepted)
 				}
 			}
@@ -374,10 +374,10 @@
 
 // Looks.
 
-func (p *modelProcess) lacks() bool { return p.now()-max(p.lease.From, 1_000_000) > 1_300_000 }
+func (p *modelProcess) lacks() bool { return p.now()-max(p.lease.ConfirmedAt, 1_000_000) > 1_300_000 }
 
-func (p *modelProcess) look() {
-	m := p.m
+func (p *modelProcess) poll() {
+	m := p.model
 	if p.now() < p.nextAt {
 		return
 	}
@@ -387,24 +387,24 @@
 	}
 	p.number++
 	n, at, run := p.number, p.now(), p.run
-	l := &modelLook{at: at, by: map[int]bool{}}
-	p.looks[n] = l
-	w := modelHeard{run: run, lacks: p.lacks(), leaving: p.leaving, cleared: p.clearedHere()}
-	for _, v := range m.ps {
+	l := &modelPoll{sentAt: at, responders: map[int]bool{}}
+	p.polls[n] = l
+	w := modelHeard{run: run, lacks: p.lacks(), draining: p.draining, clearedRevision: p.clearedHere()}
+	for _, v := range m.processes {
 		deliver := func() {
 			v.enter(func() {
 				w := w
 				w.at = v.now()
-				v.heard[p.i] = w
+				v.heard[p.index] = w
 				rev := v.accepted
 				back := func() {
 					p.enter(func() {
 						if p.run != run {
 							return
 						}
-						p.known[v.i] = max(p.known[v.i], rev)
-						if l.by[v.i] = true; len(l.by) >= modelMajority && at > p.lease.From {
-							p.lease = Lease{From: at, Until: at + voterview.LeaseUs}
+						p.known[v.index] = max(p.known[v.index], rev)
+						if l.responders[v.index] = true; len(l.responders) >= modelMajority && at > p.lease.ConfirmedAt {
+							p.lease = Lease{ConfirmedAt: at, Until: at + voterview.LeaseDurationUs}
 						}
 					})
 				}
@@ -428,7 +428,7 @@
 func (p *modelProcess) clearedHere() uint64 {
 	c := uint64(0)
 	for r := uint64(1); r <= p.accepted; r++ {
-		if p.now()-p.acceptedAt[r] >= voterview.WaitUs {
+		if p.now()-p.acceptedAt[r] >= voterview.LeaseEndBoundUs {
 			c = r
 		}
 	}
@@ -436,123 +436,123 @@
 }
 
 func (p *modelProcess) step() {
-	m := p.m
-	p.look()
+	m := p.model
+	p.poll()
 	now := p.now()
 	rev := agreed(p.known)
-	in := Input{Group: "g", Sync: 1, State: proto.Clone(m.state(rev)).(*schema.Leadership), Rev: rev, Settled: slices.Max(p.known[:]) == rev,
-		Members: m.members, MembersRev: m.membRev, Heard: map[string]int64{}, Sights: map[string]Sight{}, Gone: map[string]bool{}, Complete: true}
+	input := Input{Group: "g", RequiredReplicaAcks: 1, State: proto.Clone(m.state(rev)).(*schema.Leadership), Revision: rev, UpToDate: slices.Max(p.known[:]) == rev,
+		Members: m.members, MembersRevision: m.membersRevision, LastAnnounced: map[string]int64{}, HealthReports: map[string]HealthReport{}, Gone: map[string]bool{}, InventoryComplete: true}
 	able := func(i int) bool {
 		h := p.heard[i]
-		return h.at > 0 && now-h.at < 1_300_000 && !h.lacks && !h.leaving
+		return h.at > 0 && now-h.at < 1_300_000 && !h.lacks && !h.draining
 	}
-	in.Duty = Duty{Self: p.name, Run: p.run, Lease: p.lease, Eligible: !p.leaving, Successor: now-1_000_000 > 1_300_000}
-	for _, i := range m.order {
-		if i == p.i {
+	input.Role = RoleState{Self: p.name, Run: p.run, Lease: p.lease, Eligible: !p.draining, Successor: now-1_000_000 > 1_300_000}
+	for _, i := range m.databaseOrder {
+		if i == p.index {
 			break
 		}
-		in.Duty.Successor = in.Duty.Successor && !able(i)
+		input.Role.Successor = input.Role.Successor && !able(i)
 	}
-	for i, o := range m.ps {
-		if i != p.i && o.name == in.State.Holder && p.heard[i].run == in.State.HolderRun && able(i) {
-			in.Duty.HolderPresent = true
+	for i, o := range m.processes {
+		if i != p.index && o.name == input.State.RoleOwner && p.heard[i].run == input.State.RoleOwnerRun && able(i) {
+			input.Role.OwnerPresent = true
 		}
 	}
 	cleared := 0
-	for i := range m.ps {
-		c := p.heard[i].cleared
-		if i == p.i {
+	for i := range m.processes {
+		c := p.heard[i].clearedRevision
+		if i == p.index {
 			c = p.clearedHere()
 		}
-		if in.State.SealRev > 0 && c >= in.State.SealRev {
+		if input.State.FreezeRevision > 0 && c >= input.State.FreezeRevision {
 			cleared++
 		}
 	}
-	in.Cleared = cleared >= modelMajority
-	for _, d := range m.dbs {
-		in.Instances = append(in.Instances, ports.Instance{ID: d.id, Group: "g", Address: d.id, Primary: d.primary, Leaving: d.leaving})
-		in.Heard[d.id] = now
+	input.NoOlderRevisionInUse = cleared >= modelMajority
+	for _, d := range m.databases {
+		input.Instances = append(input.Instances, ports.Instance{ID: d.id, Group: "g", Address: d.id, Primary: d.primary, Draining: d.draining})
+		input.LastAnnounced[d.id] = now
 	}
 	if now-p.nodeAt < 4_000_000 && p.nodeAt > 0 {
-		in.Nodes = 1
-		in.Told = p.node.revision >= in.State.SealRev
-		in.Quiet = p.node.revision >= in.Rev
-		in.Acked = p.node.acked
+		input.ReportingNodes = 1
+		input.AllNotified = p.node.revision >= input.State.FreezeRevision
+		input.Idle = p.node.revision >= input.Revision
+		input.Acknowledged = p.node.acknowledged
 		for id, us := range p.node.failing {
-			in.Sights[id] = Sight{Nodes: 1, FailingUs: us}
+			input.HealthReports[id] = HealthReport{UnreachableFrom: 1, LongestFailingUs: us}
 		}
 	}
-	if m.plant == holderNotChecked && in.Duty.Successor && rev > 0 {
-		in.State.Holder, in.State.HolderRun = p.name, p.run
+	if m.mutation == ownerNotChecked && input.Role.Successor && rev > 0 {
+		input.State.RoleOwner, input.State.RoleOwnerRun = p.name, p.run
 	}
-	if m.plant == leaseNotWaited {
-		p.g.tenure.free = in.State.Fence
+	if m.mutation == leaseNotAwaited {
+		p.group.leaseState.uncontestedToken = input.State.FencingToken
 	}
-	fx := p.g.Step(now, in)
-	if p.stalls > 0 && slices.ContainsFunc(fx, acting) {
+	effects := p.group.Step(now, input)
+	if p.stalls > 0 && slices.ContainsFunc(effects, acting) {
 		p.freeze(p.stalls)
 		p.stalls = 0
 	}
-	for _, e := range fx {
-		p.later(m.Between(0, edgeMost), func() { p.do(e, in) })
+	for _, e := range effects {
+		p.later(m.Between(0, maxSendDelay), func() { p.do(e, input) })
 	}
 	m.alone()
 }
 
 // acting says that an effect commands a database or calls the platform.
 func acting(e any) bool {
-	a, ok := e.(Ask)
+	a, ok := e.(DatabaseCall)
 	_, promote := e.(Promote)
 	return promote || ok && a.Kind != ports.Status
 }
 
 // alone checks that at most one process may command now.
 func (m *model) alone() {
-	var who []string
-	for _, p := range m.ps {
-		if p.up && p.g.tenure.commands && p.now() < p.g.tenure.until {
-			who = append(who, p.name)
+	var names []string
+	for _, p := range m.processes {
+		if p.up && p.group.leaseState.mayCommand && p.now() < p.group.leaseState.expiresAt {
+			names = append(names, p.name)
 		}
 	}
-	if len(who) > 1 {
-		m.wrong("%v may command at once", who)
+	if len(names) > 1 {
+		m.violationf("%v may command at once", names)
 	}
 }
 
-func (p *modelProcess) do(e any, in Input) {
-	m := p.m
-	unchecked := m.plant == effectsUnchecked
+func (p *modelProcess) do(e any, input Input) {
+	m := p.model
+	unchecked := m.mutation == expiredEffectsSent
 	switch e := e.(type) {
-	case Put:
+	case ProposeState:
 		s := &schema.Leadership{}
 		if err := proto.Unmarshal(e.Data, s); err != nil {
 			panic(err)
 		}
-		if m.plant == fenceNotRaised && s.Fence > 1 {
-			s.Fence = 1
+		if m.mutation == tokenNotIncremented && s.FencingToken > 1 {
+			s.FencingToken = 1
 		}
-		p.propose(e.Base, s)
-	case PutMembers:
-		if e.Base == m.membRev {
-			m.members, m.membRev = e.IDs, m.membRev+1
+		p.propose(e.BaseRevision, s)
+	case ProposeMembers:
+		if e.BaseRevision == m.membersRevision {
+			m.members, m.membersRevision = e.IDs, m.membersRevision+1
 		}
-		p.g.MembersDone()
-	case Say:
-		m.say("%s: %s", p.name, e.Text)
-	case Ask:
-		left := e.WaitUs
+		p.group.MembersProposalDone()
+	case LogEntry:
+		m.logf("%s: %s", p.name, e.Message)
+	case DatabaseCall:
+		left := e.TimeoutUs
 		if e.Kind != ports.Status {
 			if left = min(left, e.Until-p.now()); left <= 0 && !unchecked {
-				p.g.Said(p.now(), Said{ID: e.ID, Withdrawn: true})
+				p.group.HandleDatabaseReply(p.now(), DatabaseReply{ID: e.ID, NotSent: true})
 				return
 			}
-			m.commanded(p, e, in)
+			m.commanded(p, e, input)
 		}
-		p.ask(e, max(left, 1_000))
+		p.call(e, max(left, 1_000))
 	case Promote:
 		left := min(1_500_000, e.Until-p.now())
 		if left <= 0 && !unchecked {
-			p.g.Promoted(p.now(), false, false)
+			p.group.HandlePromotionResult(p.now(), false, false)
 			return
 		}
 		p.promote(e, max(left, 1_000))
@@ -560,73 +560,73 @@
 }
 
 // commanded holds a command against the rule.
-func (m *model) commanded(p *modelProcess, e Ask, in Input) {
+func (m *model) commanded(p *modelProcess, e DatabaseCall, input Input) {
 	m.commands++
-	m.used(p, in.State.Fence)
-	if in.State.Fence < m.commandBy {
-		m.wrong("%s commands %s with fence %d after %d", p.name, e.Instance.ID, in.State.Fence, m.commandBy)
+	m.used(p, input.State.FencingToken)
+	if input.State.FencingToken < m.commandBy {
+		m.violationf("%s commands %s with fence %d after %d", p.name, e.Instance.ID, input.State.FencingToken, m.commandBy)
 	}
-	m.commandBy = max(m.commandBy, in.State.Fence)
+	m.commandBy = max(m.commandBy, input.State.FencingToken)
 }
 
 func (m *model) used(p *modelProcess, fence uint64) {
 	run := fmt.Sprint(p.name, " run ", p.run)
 	if o := m.fences[fence]; o != "" && o != run {
-		m.wrong("two holders with fence %d: %s and %s", fence, o, run)
+		m.violationf("two holders with fence %d: %s and %s", fence, o, run)
 	}
 	m.fences[fence] = run
 }
 
-func (m *model) db(id string) *modelDB {
-	return m.dbs[slices.IndexFunc(m.dbs, func(d *modelDB) bool { return d.id == id })]
+func (m *model) database(id string) *modelDatabase {
+	return m.databases[slices.IndexFunc(m.databases, func(d *modelDatabase) bool { return d.id == id })]
 }
 
-func (p *modelProcess) ask(e Ask, wait int64) {
-	m := p.m
-	d, ended := m.db(e.Instance.ID), false
-	end := func(s Said) {
+func (p *modelProcess) call(e DatabaseCall, wait int64) {
+	m := p.model
+	d, ended := m.database(e.Instance.ID), false
+	end := func(s DatabaseReply) {
 		if !ended {
 			ended = true
 			s.ID = e.ID
-			p.g.Said(p.now(), s)
+			p.group.HandleDatabaseReply(p.now(), s)
 		}
 	}
-	p.later(int64(float64(wait)/p.rate), func() { end(Said{Err: "no answer in time"}) })
+	p.later(int64(float64(wait)/p.rate), func() { end(DatabaseReply{Err: "no answer in time"}) })
 	run := p.run
 	m.carry(p.name, d.id, func() {
-		back := func(s Said) {
+		back := func(s DatabaseReply) {
 			m.carry(d.id, p.name, func() {
 				if p.run == run {
 					p.enter(func() { end(s) })
 				}
 			})
 		}
-		if d.dark {
+		if d.unresponsive {
 			return
 		}
 		if !d.up {
-			back(Said{Err: "refused", NotThere: true})
+			back(DatabaseReply{Err: "refused", Absent: true})
 			return
 		}
 		switch e.Kind {
-		case ports.Hold:
+		case ports.FreezeReplication:
 			if d.primary || e.Term <= d.term {
-				back(Said{Err: "the database bounced it"})
+				back(DatabaseReply{Err: "the database bounced it"})
 				return
 			}
-			d.held = max(d.held, e.Term)
-		case ports.Resume:
-			d.held = 0
+			d.frozenTerm = max(d.frozenTerm, e.Term)
+		case ports.ResumeReplication:
+			d.frozenTerm = 0
 		case ports.StepDown:
 			if d.primary && d.term < e.Term {
 				d.primary = false
 			}
 		}
-		back(Said{Status: ports.DatabaseStatus{Primary: d.primary, Term: d.term, Received: d.position(), Held: d.held}})
+		back(DatabaseReply{Status: ports.DatabaseStatus{Primary: d.primary, Term: d.term, Received: d.position(), FrozenTerm: d.frozenTerm}})
 	})
 }
 
-func (d *modelDB) position() ports.Position {
+func (d *modelDatabase) position() ports.Position {
 	if len(d.log) == 0 {
 		return ports.Position{Term: 1}
 	}
@@ -636,31 +636,31 @@
 // promote is a call to the platform. One that has not arrived when its time is
 // over is withdrawn by its sender, if that runs.
 func (p *modelProcess) promote(e Promote, wait int64) {
-	m, run, until := p.m, p.run, p.m.Now+int64(float64(wait)/p.rate)
+	m, run, until := p.model, p.run, p.model.Now+int64(float64(wait)/p.rate)
 	ended := false
 	end := func(ok bool) {
 		if !ended {
 			ended = true
-			p.g.Promoted(p.now(), ok, false)
+			p.group.HandlePromotionResult(p.now(), ok, false)
 		}
 	}
 	p.later(int64(float64(wait)/p.rate), func() { end(false) })
 	m.carry(p.name, "platform", func() {
-		if m.Now > until && m.plant != effectsUnchecked {
+		if m.Now > until && m.mutation != expiredEffectsSent {
 			return
 		}
 		m.calls++
-		m.say("%s has %s lead, fence %d", p.name, e.ID, e.Fence)
-		m.used(p, e.Fence)
+		m.logf("%s has %s lead, fence %d", p.name, e.ID, e.FencingToken)
+		m.used(p, e.FencingToken)
 		if e.Owner != p.name {
-			m.wrong("%s calls as %s", p.name, e.Owner)
+			m.violationf("%s calls as %s", p.name, e.Owner)
 		}
-		if e.Fence < m.highest {
-			m.wrong("%s calls with fence %d after %d was seen", p.name, e.Fence, m.highest)
+		if e.FencingToken < m.highest {
+			m.violationf("%s calls with fence %d after %d was seen", p.name, e.FencingToken, m.highest)
 		}
-		m.highest = max(m.highest, e.Fence)
-		d := m.db(e.ID)
-		lost := m.Chance(m.loses)
+		m.highest = max(m.highest, e.FencingToken)
+		d := m.database(e.ID)
+		lost := m.Chance(m.lossProbability)
 		m.After(m.slowUs, func() {
 			if !lost {
 				m.carry("platform", p.name, func() {
@@ -677,28 +677,28 @@
 	})
 }
 
-func (m *model) lead(d *modelDB) {
+func (m *model) lead(d *modelDatabase) {
 	if !d.up || d.primary {
 		return
 	}
 	t := uint64(0)
-	for _, o := range m.dbs {
+	for _, o := range m.databases {
 		t = max(t, o.term)
-		if m.releases && o != d {
-			o.held = 0
+		if m.promotionResumesReplicas && o != d {
+			o.frozenTerm = 0
 		}
 	}
-	d.primary, d.term, d.held = true, t+1, 0
+	d.primary, d.term, d.frozenTerm = true, t+1, 0
 	m.changes++
-	m.say("%s leads term %d at %v", d.id, d.term, d.position())
-	m.holds(d)
+	m.logf("%s leads term %d at %v", d.id, d.term, d.position())
+	m.ownsRole(d)
 }
 
-// holds checks that a database has all that was acknowledged.
-func (m *model) holds(d *modelDB) {
-	for _, c := range m.acked {
+// ownsRole checks that a database has all that was acknowledged.
+func (m *model) ownsRole(d *modelDatabase) {
+	for _, c := range m.acknowledged {
 		if !slices.Contains(d.log, c) {
-			m.wrong("%s leads term %d without commit %d, which was acknowledged", d.id, d.term, c.id)
+			m.violationf("%s leads term %d without commit %d, which was acknowledged", d.id, d.term, c.id)
 			return
 		}
 	}
@@ -709,21 +709,21 @@
 func (m *model) nodeTick() {
 	if m.nodeNumber++; true {
 		n, at := m.nodeNumber, m.Now
-		l := &modelLook{at: at, by: map[int]bool{}}
-		m.nodeLooks[n] = l
-		w := modelWord{revision: agreed(m.nodeKnown), acked: m.nodeAcked, failing: map[string]int64{}}
+		l := &modelPoll{sentAt: at, responders: map[int]bool{}}
+		m.nodePolls[n] = l
+		w := modelStatus{revision: agreed(m.nodeKnown), acknowledged: m.nodeAcknowledged, failing: map[string]int64{}}
 		for id, since := range m.nodeFails {
 			w.failing[id] = m.Now - since
 		}
-		for _, v := range m.ps {
+		for _, v := range m.processes {
 			m.carry("node", v.name, func() {
 				v.enter(func() {
 					v.node, v.nodeAt = w, v.now()
 					rev := v.accepted
 					m.carry(v.name, "node", func() {
-						m.nodeKnown[v.i] = max(m.nodeKnown[v.i], rev)
-						if l.by[v.i] = true; len(l.by) >= modelMajority && at > m.nodeLease.From {
-							m.nodeLease = Lease{From: at, Until: at + voterview.LeaseUs}
+						m.nodeKnown[v.index] = max(m.nodeKnown[v.index], rev)
+						if l.responders[v.index] = true; len(l.responders) >= modelMajority && at > m.nodeLease.ConfirmedAt {
+							m.nodeLease = Lease{ConfirmedAt: at, Until: at + voterview.LeaseDurationUs}
 						}
 					})
 				})
@@ -739,7 +739,7 @@
 	if r == 0 || slices.Max(m.nodeKnown[:]) > r || m.Now >= m.nodeLease.Until {
 		return ""
 	}
-	if s := m.state(r); ports.Phase(s.Phase) == ports.PhaseOpen {
+	if s := m.state(r); ports.Phase(s.Phase) == ports.PhaseServing {
 		return s.Primary
 	}
 	return ""
@@ -749,10 +749,10 @@
 func (m *model) client() {
 	m.After(m.Between(20_000, 60_000), m.client)
 	r := agreed(m.nodeKnown)
-	if r == 0 || ports.Phase(m.state(r).Phase) != ports.PhaseOpen {
+	if r == 0 || ports.Phase(m.state(r).Phase) != ports.PhaseServing {
 		return
 	}
-	d := m.db(m.state(r).Primary)
+	d := m.database(m.state(r).Primary)
 	answered := false
 	m.After(350_000, func() {
 		if !answered && m.nodeFails[d.id] == 0 {
@@ -760,7 +760,7 @@
 		}
 	})
 	m.carry("node", d.id, func() {
-		if !d.up || d.dark || !d.primary {
+		if !d.up || d.unresponsive || !d.primary {
 			return
 		}
 		m.commits++
@@ -768,7 +768,7 @@
 		d.log = append(d.log, c)
 		term, log := d.term, slices.Clone(d.log)
 		done := false
-		for _, o := range m.dbs {
+		for _, o := range m.databases {
 			if o == d {
 				continue
 			}
@@ -777,7 +777,7 @@
 					return
 				}
 				m.carry(o.id, d.id, func() {
-					if done || !d.up || d.dark || !d.primary || d.term != term {
+					if done || !d.up || d.unresponsive || !d.primary || d.term != term {
 						return
 					}
 					done = true
@@ -785,9 +785,9 @@
 						answered = true
 						delete(m.nodeFails, d.id)
 						if m.serves() == d.id {
-							m.acked, m.lastAck = append(m.acked, c), m.Now
-							if p := (ports.Position{Term: c.term, Number: int64(len(log))}); m.nodeAcked.Before(p) {
-								m.nodeAcked = p
+							m.acknowledged, m.lastAck = append(m.acknowledged, c), m.Now
+							if p := (ports.Position{Term: c.term, Number: int64(len(log))}); m.nodeAcknowledged.Before(p) {
+								m.nodeAcknowledged = p
 							}
 						}
 					})
@@ -798,8 +798,8 @@
 }
 
 // receive takes a primary's log.
-func (d *modelDB) receive(log []modelCommit, term uint64) bool {
-	if !d.up || d.dark || d.primary || term < d.term || d.held > 0 {
+func (d *modelDatabase) receive(log []modelCommit, term uint64) bool {
+	if !d.up || d.unresponsive || d.primary || term < d.term || d.frozenTerm > 0 {
 		return false
 	}
 	if term == d.term && len(log) <= len(d.log) && slices.Equal(log, d.log[:len(log)]) {
@@ -811,21 +811,21 @@
 
 // Faults.
 
-func (m *model) holder() *modelProcess {
+func (m *model) roleOwner() *modelProcess {
 	s := m.state(m.decided())
-	for _, p := range m.ps {
-		if p.name == s.Holder {
+	for _, p := range m.processes {
+		if p.name == s.RoleOwner {
 			return p
 		}
 	}
-	return m.ps[m.R.IntN(modelProcesses)]
+	return m.processes[m.Random.IntN(modelProcesses)]
 }
 
-func (m *model) primary() *modelDB {
+func (m *model) primary() *modelDatabase {
 	if m.decided() > 0 {
-		return m.db(m.state(m.decided()).Primary)
+		return m.database(m.state(m.decided()).Primary)
 	}
-	return m.dbs[0]
+	return m.databases[0]
 }
 
 // points are the moments of a change of primary at which a fault strikes.
@@ -834,14 +834,16 @@
 	now  func(m *model) bool
 }{
 	{"before the change", func(m *model) bool { return true }},
-	{"a change begins", func(m *model) bool { return ports.Phase(m.state(m.decided()).Phase) != ports.PhaseOpen }},
-	{"sealed", func(m *model) bool { return ports.Phase(m.state(m.decided()).Phase) == ports.PhaseSealing }},
-	{"a follower is held", func(m *model) bool { return slices.ContainsFunc(m.dbs, func(d *modelDB) bool { return d.held > 0 }) }},
+	{"a change begins", func(m *model) bool { return ports.Phase(m.state(m.decided()).Phase) != ports.PhaseServing }},
+	{"sealed", func(m *model) bool { return ports.Phase(m.state(m.decided()).Phase) == ports.PhaseFreezing }},
+	{"a follower is held", func(m *model) bool {
+		return slices.ContainsFunc(m.databases, func(d *modelDatabase) bool { return d.frozenTerm > 0 })
+	}},
 	{"chosen", func(m *model) bool { return ports.Phase(m.state(m.decided()).Phase) == ports.PhasePromoting }},
 	{"the platform is called", func(m *model) bool { return m.calls > 0 }},
 	{"the new one leads", func(m *model) bool { return m.changes > 0 }},
 	{"open again", func(m *model) bool {
-		return m.changes > 0 && ports.Phase(m.state(m.decided()).Phase) == ports.PhaseOpen
+		return m.changes > 0 && ports.Phase(m.state(m.decided()).Phase) == ports.PhaseServing
 	}},
 }
 
@@ -851,13 +853,13 @@
 }{
 	{"freeze", func(m *model, p *modelProcess) { p.freeze(m.Between(200_000, 5_000_000)) }},
 	{"freeze about a lease", func(m *model, p *modelProcess) {
-		p.freeze(m.Between(voterview.LeaseUs-100_000, 3*voterview.LeaseUs))
+		p.freeze(m.Between(voterview.LeaseDurationUs-100_000, 3*voterview.LeaseDurationUs))
 	}},
 	{"freeze between decision and effect", func(m *model, p *modelProcess) { p.stalls = m.Between(600_000, 5_000_000) }},
 	{"kill", func(m *model, p *modelProcess) { p.kill(m.Between(100_000, 5_000_000)) }},
 	{"leave", func(m *model, p *modelProcess) {
-		m.say("%s leaves", p.name)
-		p.leaving = true
+		m.logf("%s leaves", p.name)
+		p.draining = true
 		run := p.run
 		m.After(400_000, func() {
 			if p.run == run {
@@ -865,31 +867,31 @@
 			}
 		})
 	}},
-	{"hears nobody", func(m *model, p *modelProcess) { m.cutOff(p, true, false) }},
-	{"reaches nobody", func(m *model, p *modelProcess) { m.cutOff(p, false, true) }},
-	{"cut off", func(m *model, p *modelProcess) { m.cutOff(p, true, true) }},
+	{"hears nobody", func(m *model, p *modelProcess) { m.isolate(p, true, false) }},
+	{"reaches nobody", func(m *model, p *modelProcess) { m.isolate(p, false, true) }},
+	{"cut off", func(m *model, p *modelProcess) { m.isolate(p, true, true) }},
 	{"unheard by one other", func(m *model, p *modelProcess) {
 		o, us := m.other(p), m.Between(1_500_000, 5_000_000)
-		m.say("%s does not hear %s", o.name, p.name)
-		m.cut(p.name, o.name)
-		m.After(us, func() { m.mend(p.name, o.name) })
+		m.logf("%s does not hear %s", o.name, p.name)
+		m.disconnect(p.name, o.name)
+		m.After(us, func() { m.reconnect(p.name, o.name) })
 	}},
 	{"another freezes", func(m *model, p *modelProcess) { m.other(p).freeze(m.Between(1_400_000, 4_000_000)) }},
 	{"cut from the platform", func(m *model, p *modelProcess) {
 		us := m.Between(300_000, 5_000_000)
-		m.cut(p.name, "platform")
-		m.After(us, func() { m.mend(p.name, "platform") })
+		m.disconnect(p.name, "platform")
+		m.After(us, func() { m.reconnect(p.name, "platform") })
 	}},
 	{"answers of the platform lost", func(m *model, p *modelProcess) {
-		m.loses = 1
-		m.After(m.Between(1_000_000, 4_000_000), func() { m.loses = 0 })
+		m.lossProbability = 1
+		m.After(m.Between(1_000_000, 4_000_000), func() { m.lossProbability = 0 })
 	}},
 	{"platform slow", func(m *model, p *modelProcess) {
 		m.slowUs = m.Between(300_000, 2_500_000)
 		m.After(m.Between(2_000_000, 5_000_000), func() { m.slowUs = 5_000 })
 	}},
 	{"slow disks", func(m *model, p *modelProcess) {
-		for _, o := range m.ps {
+		for _, o := range m.processes {
 			if m.Chance(0.7) {
 				o.syncUs = m.Between(20_000, 600_000)
 				m.After(m.Between(1_000_000, 4_000_000), func() { o.syncUs = 0 })
@@ -900,34 +902,34 @@
 
 // other is the first in line of the others.
 func (m *model) other(p *modelProcess) *modelProcess {
-	for _, i := range m.order {
-		if m.ps[i] != p {
-			return m.ps[i]
+	for _, i := range m.databaseOrder {
+		if m.processes[i] != p {
+			return m.processes[i]
 		}
 	}
 	panic("alone")
 }
 
-func (m *model) cutOff(p *modelProcess, in, out bool) {
+func (m *model) isolate(p *modelProcess, input, out bool) {
 	us := m.Between(500_000, 5_000_000)
-	m.say("%s is cut, in %t out %t, for %d ms", p.name, in, out, us/1000)
+	m.logf("%s is cut, in %t out %t, for %d ms", p.name, input, out, us/1000)
 	all := []string{"node", "platform", "a", "b", "c"}
 	if m.Chance(0.5) {
 		all = nil // of the core only
 	}
-	for _, o := range m.ps {
+	for _, o := range m.processes {
 		if o != p {
 			all = append(all, o.name)
 		}
 	}
 	for _, o := range all {
-		if in {
-			m.cut(o, p.name)
-			m.After(us, func() { m.mend(o, p.name) })
+		if input {
+			m.disconnect(o, p.name)
+			m.After(us, func() { m.reconnect(o, p.name) })
 		}
 		if out {
-			m.cut(p.name, o)
-			m.After(us, func() { m.mend(p.name, o) })
+			m.disconnect(p.name, o)
+			m.After(us, func() { m.reconnect(p.name, o) })
 		}
 	}
 }
@@ -935,48 +937,48 @@
 // begin starts a change of primary.
 func (m *model) begin() {
 	d := m.primary()
-	switch m.R.IntN(4) {
+	switch m.Random.IntN(4) {
 	case 0:
 		d.up = false
-		m.After(m.Between(500_000, 6_000_000), func() { d.up = true; d.held = 0 })
+		m.After(m.Between(500_000, 6_000_000), func() { d.up = true; d.frozenTerm = 0 })
 	case 1:
-		d.dark = true
-		m.After(m.Between(1_500_000, 6_000_000), func() { d.dark = false })
+		d.unresponsive = true
+		m.After(m.Between(1_500_000, 6_000_000), func() { d.unresponsive = false })
 	case 2:
-		d.leaving = true
-		m.After(9_000_000, func() { d.leaving = false })
+		d.draining = true
+		m.After(9_000_000, func() { d.draining = false })
 	default: // the node and the core do not reach it, its followers do
 		us := m.Between(1_500_000, 5_000_000)
 		for _, o := range []string{"node", "control-1", "control-2", "control-3"} {
-			m.cut(o, d.id)
-			m.After(us, func() { m.mend(o, d.id) })
+			m.disconnect(o, d.id)
+			m.After(us, func() { m.reconnect(o, d.id) })
 		}
 	}
-	m.say("%s is in trouble: up %t, dark %t, leaving %t", d.id, d.up, d.dark, d.leaving)
+	m.logf("%s is in trouble: up %t, dark %t, leaving %t", d.id, d.up, d.unresponsive, d.draining)
 }
 
 // strike waits for a point and lets a fault strike the holder, or at times the
 // one that follows it.
 func (m *model) strike(point int, fault int) {
-	if m.Now > faultsUntil || m.hit {
+	if m.Now > faultsUntil || m.mutationTriggered {
 		return
 	}
 	if !points[point].now(m) {
 		m.After(1_000, func() { m.strike(point, fault) })
 		return
 	}
-	m.hit = true
-	m.After(m.Between(0, 120_000)*int64(m.R.IntN(2)), func() {
-		p := m.holder()
+	m.mutationTriggered = true
+	m.After(m.Between(0, 120_000)*int64(m.Random.IntN(2)), func() {
+		p := m.roleOwner()
 		if m.Chance(0.15) {
-			p = m.ps[m.R.IntN(modelProcesses)]
+			p = m.processes[m.Random.IntN(modelProcesses)]
 		}
-		m.say("%s, at %q: %s", modelFaults[fault].name, points[point].name, p.name)
+		m.logf("%s, at %q: %s", modelFaults[fault].name, points[point].name, p.name)
 		modelFaults[fault].do(m, p)
 		if m.Chance(0.4) { // once more
 			m.After(m.Between(200_000, 4_000_000), func() {
 				if m.Now < faultsUntil {
-					modelFaults[m.R.IntN(len(modelFaults))].do(m, m.holder())
+					modelFaults[m.Random.IntN(len(modelFaults))].do(m, m.roleOwner())
 				}
 			})
 		}
@@ -984,21 +986,21 @@
 }
 
 func (m *model) heal() {
-	for k := range m.cuts {
-		delete(m.cuts, k)
+	for k := range m.disconnected {
+		delete(m.disconnected, k)
 	}
-	for _, h := range m.waiting {
-		m.After(m.Between(500, 400_000), h.f)
+	for _, h := range m.delayed {
+		m.After(m.Between(500, 400_000), h.deliver)
 	}
-	m.waiting = nil
-	m.loses, m.slowUs = 0, 5_000
-	for _, d := range m.dbs {
-		d.up, d.dark, d.leaving = true, false, false
+	m.delayed = nil
+	m.lossProbability, m.slowUs = 0, 5_000
+	for _, d := range m.databases {
+		d.up, d.unresponsive, d.draining = true, false, false
 	}
 }
 
 // runModel plays one schedule: each point with each fault in turn, by the seed.
-func runModel(seed uint64, p plant) *model {
+func runModel(seed uint64, p mutation) *model {
 	m := newModel(seed, p)
 	point, fault := int(seed)%len(points), int(seed)/len(points)%len(modelFaults)
 	if point == 0 {
@@ -1010,33 +1012,33 @@
 	}
 	m.After(faultsUntil, m.heal)
 	m.Run(modelEnd)
-	if p == noPlant && m.Now-m.lastAck > 3_000_000 {
-		m.wrong("nothing was acknowledged since %.3f: %v", float64(m.lastAck)/1e6, m.state(m.decided()))
+	if p == noMutation && m.Now-m.lastAck > 3_000_000 {
+		m.violationf("nothing was acknowledged since %.3f: %v", float64(m.lastAck)/1e6, m.state(m.decided()))
 	}
 	return m
 }
 
-// TestDutyModel: under freezes, cuts of one way and both, kills, leaves, slow
+// TestRoleModel: under freezes, cuts of one way and both, kills, leaves, slow
 // disks, a slow platform and lost answers, at each point of a change of primary,
 // no two holders act at once or under one fence, the platform never sees a lower
 // fence, nothing acknowledged is lost, and the group serves in the end.
-func TestDutyModel(t *testing.T) {
+func TestRoleModel(t *testing.T) {
 	var mu sync.Mutex
-	calls, commands, changes, acked, claims := 0, 0, 0, 0, uint64(0)
+	calls, commands, changes, acknowledged, claims := 0, 0, 0, 0, uint64(0)
 	shared(*modelFrom, *modelSeeds, func(seed uint64) bool {
-		m := runModel(seed, noPlant)
+		m := runModel(seed, noMutation)
 		mu.Lock()
 		defer mu.Unlock()
-		calls, commands, changes, acked, claims = calls+m.calls, commands+m.commands, changes+m.changes, acked+len(m.acked), claims+m.state(m.decided()).Fence
-		if len(m.bad) > 0 {
-			t.Errorf("seed %d: %s", seed, strings.Join(m.bad[:min(3, len(m.bad))], "; "))
+		calls, commands, changes, acknowledged, claims = calls+m.calls, commands+m.commands, changes+m.changes, acknowledged+len(m.acknowledged), claims+m.state(m.decided()).FencingToken
+		if len(m.violations) > 0 {
+			t.Errorf("seed %d: %s", seed, strings.Join(m.violations[:min(3, len(m.violations))], "; "))
 		}
-		if *modelTell {
-			t.Log(strings.Join(m.says, "\n"))
+		if *modelVerbose {
+			t.Log(strings.Join(m.log, "\n"))
 		}
 		return true
 	})
-	t.Logf("%d schedules: %d claims, %d commands, %d calls to the platform, %d changes of primary, %d commits acknowledged", *modelSeeds, claims, commands, calls, changes, acked)
+	t.Logf("%d schedules: %d claims, %d commands, %d calls to the platform, %d changes of primary, %d commits acknowledged", *modelSeeds, claims, commands, calls, changes, acknowledged)
 }
 
 // shared plays seeds on a few threads, until one says that it is enough.
@@ -1057,12 +1059,12 @@
 
 const modelThreads = 3
 
-// TestPlantedDuties: each fault planted turns the model red.
-func TestPlantedDuties(t *testing.T) {
+// TestRoleModelFindsMutations: each fault planted turns the model red.
+func TestRoleModelFindsMutations(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		p    plant
-	}{{"holder not checked", holderNotChecked}, {"fence not raised", fenceNotRaised}, {"lease not waited out", leaseNotWaited}, {"effects unchecked", effectsUnchecked}} {
+		p    mutation
+	}{{"holder not checked", ownerNotChecked}, {"fence not raised", tokenNotIncremented}, {"lease not waited out", leaseNotAwaited}, {"effects unchecked", expiredEffectsSent}} {
 		t.Run(x.name, func(t *testing.T) {
 			var mu sync.Mutex
 			red := 0
@@ -1070,11 +1072,11 @@
 				m := runModel(seed, x.p)
 				mu.Lock()
 				defer mu.Unlock()
-				if len(m.bad) == 0 {
+				if len(m.violations) == 0 {
 					return true
 				}
 				red++
-				t.Logf("seed %d: %s", seed, m.bad[0])
+				t.Logf("seed %d: %s", seed, m.violations[0])
 				return false
 			})
 			if red == 0 {
--- a/switchover/retire.go
+++ b/switchover/retire.go
@@ -7,65 +7,67 @@
 // so that what is acknowledged from then on stands on one that stays (design 22).
 
 const (
-	retireAfter = 1_000_000 // from when a replica was seen to leave
-	retireAgain = 3_000_000 // so long it may be needed once more; after that it is about to go
-	followsFor  = 3 * planEvery
+	drainingFreezeDelay  = 1_000_000 // from when a replica was seen to leave
+	drainingResumePeriod = 3_000_000 // so long it may be needed once more; after that it is about to go
+	caughtUpValidity     = 3 * replicaPollInterval
 )
 
-// retire holds the replicas that leave, or has them go on where they are needed.
-func (g *Group) retire(now int64, in Input, p ports.Instance) {
-	var leaving, staying []ports.Instance
-	for _, i := range in.Instances {
+// freezeDrainingReplicas holds the replicas that leave, or has them go on where they are needed.
+func (g *Group) freezeDrainingReplicas(now int64, input Input, p ports.Instance) {
+	var draining, staying []ports.Instance
+	for _, i := range input.Instances {
 		switch {
 		case i.ID == p.ID || i.Primary:
-		case i.Leaving:
-			leaving = append(leaving, i)
+		case i.Draining:
+			draining = append(draining, i)
 		default:
 			staying = append(staying, i)
 		}
 	}
-	if len(leaving) == 0 || in.Sync == 0 || p.Leaving {
+	if len(draining) == 0 || input.RequiredReplicaAcks == 0 || p.Draining {
 		return
 	}
-	enough := g.following(now, in, p, staying) >= in.Sync
-	for _, i := range leaving {
-		s := g.m[i.ID]
-		held, since := s.known && s.status.Held > 0, now-g.leaving[i.ID]
+	enough := g.caughtUpReplicas(now, input, p, staying) >= input.RequiredReplicaAcks
+	for _, i := range draining {
+		s := g.databases[i.ID]
+		frozen, since := s.known && s.status.FrozenTerm > 0, now-g.drainingSince[i.ID]
 		switch {
-		case enough && !held && since >= retireAfter:
-			g.ask(now, i, ports.Hold, g.holdTerm(in), planEvery)
-		case !enough && held && since < retireAgain:
-			g.ask(now, i, ports.Resume, 0, planEvery)
+		case enough && !frozen && since >= drainingFreezeDelay:
+			g.call(now, i, ports.FreezeReplication, g.freezeTerm(input), replicaPollInterval)
+		case !enough && frozen && since < drainingResumePeriod:
+			g.call(now, i, ports.ResumeReplication, 0, replicaPollInterval)
 		default:
-			g.ask(now, i, ports.Status, 0, planEvery)
+			g.call(now, i, ports.Status, 0, replicaPollInterval)
 		}
 	}
 }
 
-// following counts the replicas that were lately seen to have what the primary
+// caughtUpReplicas counts the replicas that were lately seen to have what the primary
 // had before they were asked.
-func (g *Group) following(now int64, in Input, p ports.Instance, replicas []ports.Instance) int {
-	ps, n := g.m[p.ID], 0
-	caught := ps.known && ps.err == 0
+func (g *Group) caughtUpReplicas(now int64, input Input, p ports.Instance, replicas []ports.Instance) int {
+	primaryState, n := g.databases[p.ID], 0
+	caught := primaryState.known && primaryState.failingSince == 0
 	for _, i := range replicas {
-		s := g.m[i.ID]
-		if caught && s.known && s.err == 0 && s.status.Held == 0 && s.at > ps.at && !s.status.Received.Before(ps.status.Received) {
-			s.levelAt = s.at
+		s := g.databases[i.ID]
+		if caught && s.known && s.failingSince == 0 && s.status.FrozenTerm == 0 && s.observedAt > primaryState.observedAt && !s.status.Received.Before(primaryState.status.Received) {
+			s.caughtUpAt = s.observedAt
 		}
-		if s.err == 0 && s.levelAt > 0 && now-s.levelAt < followsFor {
+		if s.failingSince == 0 && s.caughtUpAt > 0 && now-s.caughtUpAt < caughtUpValidity {
 			n++
 		}
-		if caught && s.at <= ps.at {
-			g.ask(now, i, ports.Status, 0, lookEvery)
+		if caught && s.observedAt <= primaryState.observedAt {
+			g.call(now, i, ports.Status, 0, promotionPollInterval)
 		}
 	}
-	if now-ps.at >= planEvery {
-		g.ask(now, p, ports.Status, 0, planEvery)
+	if now-primaryState.observedAt >= replicaPollInterval {
+		g.call(now, p, ports.Status, 0, replicaPollInterval)
 	} else {
-		g.wake(ps.at + planEvery)
+		g.wakeAt(primaryState.observedAt + replicaPollInterval)
 	}
 	return n
 }
 
-// retires says that a replica's holds are retire's matter.
-func (in Input) retires(i ports.Instance) bool { return i.Leaving && in.Sync > 0 }
+// managedByRetirement says that a replica's holds are retire's matter.
+func (input Input) managedByRetirement(i ports.Instance) bool {
+	return i.Draining && input.RequiredReplicaAcks > 0
+}
