--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -10,69 +10,69 @@
 	"stoneford/schema"
 )
 
-// group is a decider with databases and a register that take what it asks for.
-type group struct {
-	g    *Group
-	in   Input
-	dbs  map[string]*Status
-	down map[string]bool
-	now  int64
-	plat []string
-	says []string
+// testGroup is a decider with databases and a register that take what it asks for.
+type testGroup struct {
+	group      *Group
+	input      Input
+	databases  map[string]*Status
+	down       map[string]bool
+	now        int64
+	reparents  []string
+	logEntries []string
 }
 
-func newGroup() *group {
-	g := &group{g: New(), now: 1_000_000, dbs: map[string]*Status{}, down: map[string]bool{}, in: Input{First: "a", State: &schema.GroupState{}, Known: true, Acts: true}}
+func newGroup() *testGroup {
+	g := &testGroup{group: New(), now: 1_000_000, databases: map[string]*Status{}, down: map[string]bool{}, input: Input{InitialPrimary: "a", State: &schema.GroupState{}, UpToDate: true, HasRole: true}}
 	for _, n := range []string{"a", "b", "c"} {
-		g.in.Places = append(g.in.Places, Place{Name: n, Address: n})
-		g.dbs[n] = &Status{Identity: n + "#1", Role: "sealed"}
+		g.input.Endpoints = append(g.input.Endpoints, Endpoint{Name: n, Address: n})
+		g.databases[n] = &Status{Identity: n + "#1", Role: "sealed"}
 	}
 	return g
 }
 
 // run lets so much time pass.
-func (g *group) run(us int64) {
+func (g *testGroup) run(us int64) {
 	for end := g.now + us; g.now < end; g.now += 20_000 {
-		for _, e := range g.g.Step(g.now, g.in) {
+		for _, e := range g.group.Step(g.now, g.input) {
 			switch e := e.(type) {
-			case Ask:
-				d := g.dbs[e.Address]
+			case DatabaseCall:
+				d := g.databases[e.Address]
 				if g.down[e.Address] {
-					g.g.Said(g.now, e.ID, true, Status{})
+					g.group.HandleReply(g.now, e.ID, true, Status{})
 					continue
 				}
-				if e.Seal > d.Epoch {
-					d.Epoch, d.Role, d.Following = e.Seal, "sealed", ""
+				if e.SealEpoch > d.Epoch {
+					d.Epoch, d.Role, d.Following = e.SealEpoch, "sealed", ""
 				}
-				g.g.Said(g.now, e.ID, false, *d)
-			case Put:
-				if e.Base == g.in.Rev {
-					st := &schema.GroupState{}
-					if err := proto.Unmarshal(e.Data, st); err != nil {
+				g.group.HandleReply(g.now, e.ID, false, *d)
+			case ProposeState:
+				if e.BaseRevision == g.input.Revision {
+					state := &schema.GroupState{}
+					if err := proto.Unmarshal(e.Data, state); err != nil {
 						panic(err)
 					}
-					g.in.State, g.in.Rev = st, g.in.Rev+1
+					g.input.State, g.input.Revision = state, g.input.Revision+1
 				}
-				g.g.PutDone()
-			case Platform:
-				g.plat = append(g.plat, fmt.Sprintf("%s@%d", e.Target, e.Epoch))
+				g.group.ProposalDone()
+			case Reparent:
+				g.reparents = append(g.reparents, fmt.Sprintf("%s@%d", e.Target, e.Epoch))
 				g.promote(e)
-			case Say:
-				g.says = append(g.says, fmt.Sprintf("%d %s", e.Code, e.Text))
+			case LogEntry:
+				g.logEntries = append(g.logEntries, fmt.Sprintf("%d %s", e.Code, e.Message))
 			}
 		}
 	}
 }
 
-func (g *group) promote(e Platform) {
-	t := g.dbs[e.Target]
+func (g *testGroup) promote(e Reparent) {
+	t := g.databases[e.Target]
 	if g.down[e.Target] || t.Epoch > e.Epoch {
 		return
 	}
 	if t.Role != "primary" || t.Epoch != e.Epoch {
 		t.Epoch, t.Role, t.LogEpoch, t.Received = e.Epoch, "primary", e.Epoch, t.Received+1
 	}
-	for n, d := range g.dbs {
+	for n, d := range g.databases {
 		if n != e.Target && !g.down[n] && d.Epoch <= e.Epoch {
 			d.Epoch, d.Role, d.Following = e.Epoch, "replica", e.Target
 			d.LogEpoch, d.Received = t.LogEpoch, t.Received
@@ -80,29 +80,29 @@
 	}
 }
 
-func (g *group) write(n int64, holders ...string) {
+func (g *testGroup) write(n int64, holders ...string) {
 	for _, h := range holders {
-		g.dbs[h].Received += n
+		g.databases[h].Received += n
 	}
 }
 
-func (g *group) is(t *testing.T, phase schema.Phase, primary string, epoch uint64) {
+func (g *testGroup) requireState(t *testing.T, phase schema.Phase, primary string, epoch uint64) {
 	t.Helper()
-	if st := g.in.State; st.Phase != phase || st.Primary != primary || epoch > 0 && st.Epoch != epoch {
-		t.Fatalf("epoch %d, %s, primary %q, not %s, %q\n%s", st.Epoch, st.Phase, st.Primary, phase, primary, strings.Join(g.says, "\n"))
+	if state := g.input.State; state.Phase != phase || state.Primary != primary || epoch > 0 && state.Epoch != epoch {
+		t.Fatalf("epoch %d, %s, primary %q, not %s, %q\n%s", state.Epoch, state.Phase, state.Primary, phase, primary, strings.Join(g.logEntries, "\n"))
 	}
 }
 
-func TestTheFurthestIsChosen(t *testing.T) {
+func TestMostAdvancedReplicaIsChosen(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
-	g.is(t, schema.Phase_OPEN, "a", 1)
+	g.requireState(t, schema.Phase_OPEN, "a", 1)
 	g.write(5, "a", "b")
 	g.write(2, "a")
 	g.down["a"] = true
 	g.run(5_000_000)
-	g.is(t, schema.Phase_OPEN, "b", 2)
-	if got := strings.Join(g.plat, " "); !strings.Contains(got, "b@2") || strings.Contains(got, "c@2") {
+	g.requireState(t, schema.Phase_OPEN, "b", 2)
+	if got := strings.Join(g.reparents, " "); !strings.Contains(got, "b@2") || strings.Contains(got, "c@2") {
 		t.Errorf("the platform was asked for %s", got)
 	}
 	// The old primary is further by two that nobody acknowledged, in an older
@@ -111,27 +111,27 @@
 	g.run(3_000_000)
 	g.down["b"] = true
 	g.run(5_000_000)
-	if g.in.State.Phase != schema.Phase_OPEN || g.in.State.Primary == "b" {
-		t.Errorf("%v", g.in.State)
+	if g.input.State.Phase != schema.Phase_OPEN || g.input.State.Primary == "b" {
+		t.Errorf("%v", g.input.State)
 	}
 }
 
 // A copy on another disk counts for nothing until its identity is agreed: with
 // only that one and one more left, nobody is chosen.
-func TestANewDiskDoesNotCount(t *testing.T) {
+func TestNewDiskDoesNotCount(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
 	g.write(5, "a", "c")
-	g.dbs["c"] = &Status{Identity: "c#2", Role: "sealed"}
+	g.databases["c"] = &Status{Identity: "c#2", Role: "sealed"}
 	g.down["a"] = true
 	g.run(6_000_000)
-	g.is(t, schema.Phase_SEALING, "", 2)
+	g.requireState(t, schema.Phase_SEALING, "", 2)
 	g.down["a"] = false
 	g.run(6_000_000)
-	g.is(t, schema.Phase_OPEN, "a", 0)
-	for _, m := range g.in.State.Members {
-		if m.Identity != g.dbs[m.Database].Identity {
-			t.Errorf("%s counts as %s and is %s", m.Database, m.Identity, g.dbs[m.Database].Identity)
+	g.requireState(t, schema.Phase_OPEN, "a", 0)
+	for _, m := range g.input.State.Members {
+		if m.Identity != g.databases[m.Database].Identity {
+			t.Errorf("%s counts as %s and is %s", m.Database, m.Identity, g.databases[m.Database].Identity)
 		}
 	}
 }
@@ -139,48 +139,48 @@
 // Set aside: the copy counts no longer only once the other replica holds all the
 // primary held after it was sealed, in the same epoch; then one of the two others
 // is enough to go on from.
-func TestSetAsideThenOneIsEnough(t *testing.T) {
+func TestOneSealSufficesAfterSetAside(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
 	g.write(3, "a", "c") // acknowledged on the word of c; b is behind
-	g.in.Aside = "c"
+	g.input.SetAside = "c"
 	g.run(2_000_000)
-	if m := g.in.State.Members[2]; m.Identity == "" || g.dbs["c"].Role != "sealed" || g.in.State.Epoch != 1 {
-		t.Fatalf("c counts as %q with b behind, and is %s in epoch %d", m.Identity, g.dbs["c"].Role, g.in.State.Epoch)
+	if m := g.input.State.Members[2]; m.Identity == "" || g.databases["c"].Role != "sealed" || g.input.State.Epoch != 1 {
+		t.Fatalf("c counts as %q with b behind, and is %s in epoch %d", m.Identity, g.databases["c"].Role, g.input.State.Epoch)
 	}
-	g.dbs["b"].Received = g.dbs["a"].Received
+	g.databases["b"].Received = g.databases["a"].Received
 	g.run(1_000_000)
-	if m := g.in.State.Members[2]; m.Identity != "" || m.Retiring != "c#1" || g.in.State.Epoch != 1 {
-		t.Fatalf("%v in epoch %d", m, g.in.State.Epoch)
+	if m := g.input.State.Members[2]; m.Identity != "" || m.Retiring != "c#1" || g.input.State.Epoch != 1 {
+		t.Fatalf("%v in epoch %d", m, g.input.State.Epoch)
 	}
-	g.in.Aside = ""
+	g.input.SetAside = ""
 	g.down["a"], g.down["c"] = true, true
 	g.run(5_000_000)
-	g.is(t, schema.Phase_PROMOTING, "b", 0) // nobody follows it yet
+	g.requireState(t, schema.Phase_PROMOTING, "b", 0) // nobody follows it yet
 	g.down["c"] = false
-	g.dbs["c"] = &Status{Identity: "c#2", Role: "sealed"}
+	g.databases["c"] = &Status{Identity: "c#2", Role: "sealed"}
 	g.run(5_000_000)
-	g.is(t, schema.Phase_OPEN, "b", 0)
-	if m := g.in.State.Members[2]; m.Identity != "c#2" || m.Retiring != "" {
+	g.requireState(t, schema.Phase_OPEN, "b", 0)
+	if m := g.input.State.Members[2]; m.Identity != "c#2" || m.Retiring != "" {
 		t.Errorf("the new copy counts as %v", m)
 	}
 }
 
 // Another copy is lost while one is set aside: the one follows again.
-func TestSetAsideIsTakenBack(t *testing.T) {
+func TestSetAsideMemberIsReadmitted(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
-	g.in.Aside = "c"
-	g.dbs["b"].Received-- // it cannot be done with yet
+	g.input.SetAside = "c"
+	g.databases["b"].Received-- // it cannot be done with yet
 	g.run(500_000)
-	if g.dbs["c"].Role != "sealed" {
+	if g.databases["c"].Role != "sealed" {
 		t.Fatal("c was not sealed")
 	}
 	g.down["b"] = true
 	g.run(5_000_000)
-	g.is(t, schema.Phase_OPEN, "a", 0)
-	if d := g.dbs["c"]; d.Role != "replica" || d.Epoch != g.in.State.Epoch || g.in.State.Members[2].Identity != "c#1" {
-		t.Errorf("c is %v; members %v", d, g.in.State.Members)
+	g.requireState(t, schema.Phase_OPEN, "a", 0)
+	if d := g.databases["c"]; d.Role != "replica" || d.Epoch != g.input.State.Epoch || g.input.State.Members[2].Identity != "c#1" {
+		t.Errorf("c is %v; members %v", d, g.input.State.Members)
 	}
 }
 
@@ -189,11 +189,11 @@
 func ExampleGroup() {
 	g := newGroup()
 	g.run(2_000_000)
-	fmt.Println(g.in.State.Epoch, g.in.State.Phase, g.in.State.Primary)
+	fmt.Println(g.input.State.Epoch, g.input.State.Phase, g.input.State.Primary)
 	g.write(4, "a", "c")
 	g.down["a"] = true
 	g.run(4_000_000)
-	fmt.Println(g.in.State.Epoch, g.in.State.Phase, g.in.State.Primary)
+	fmt.Println(g.input.State.Epoch, g.input.State.Phase, g.input.State.Primary)
 	// Output:
 	// 1 OPEN a
 	// 2 OPEN c
--- a/tools/check-lint/main_test.go
+++ b/tools/check-lint/main_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestPlantedFindingsAreFound runs the pinned linters with our rules over a
+// TestSeededFindingsAreFound runs the pinned linters with our rules over a
 // package that breaks the ones with stated limits, and some of the others.
-func TestPlantedFindingsAreFound(t *testing.T) {
+func TestSeededFindingsAreFound(t *testing.T) {
 	t.Chdir("../..")
 	findings, err := lint("./tools/check-lint/testdata/planted")
 	if err != nil {
--- a/tools/generate-docs/main.go
+++ b/tools/generate-docs/main.go
@@ -33,7 +33,7 @@
 		if r.HTTP == 0 {
 			h = "log"
 		}
-		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", r.Code, h, r.Text, r.Then)
+		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", r.Code, h, r.Meaning, r.Action)
 	}
 	return b.String()
 }
@@ -63,7 +63,7 @@
 	fs := d.Fields()
 	for i := range fs.Len() {
 		f := fs.Get(i)
-		s := settings.Meta(f)
+		s := settings.FieldSetting(f)
 		def := s.GetDefault()
 		if s.GetRequired() {
 			def = "required"
--- a/tools/run-tests/main.go
+++ b/tools/run-tests/main.go
@@ -42,16 +42,16 @@
 	}
 	r := newRun(known, out)
 	r.all = slices.Contains(args, "-v")
-	r.some = slices.ContainsFunc(args, func(a string) bool {
+	r.list = slices.ContainsFunc(args, func(a string) bool {
 		return a == "-run" || a == "-skip" || strings.HasPrefix(a, "-run=") || strings.HasPrefix(a, "-skip=")
 	})
 	read := r.read(events)
 	ended := c.Wait()
-	sum := r.sum()
+	sum := r.summary()
 	switch {
 	case read != nil:
 		return errors.Join(read, sum)
-	case sum == nil && ended != nil && r.red == 0:
+	case sum == nil && ended != nil && r.failing == 0:
 		return fmt.Errorf("go test ended with %w, and no test said why", ended)
 	}
 	return sum
@@ -90,39 +90,39 @@
 	Action, Package, ImportPath, Test, Output, FailedBuild string
 }
 
-// pack is a package under test.
-type pack struct {
-	text  strings.Builder
-	tests map[string]*strings.Builder // that have not ended
-	fails []string
-	ended map[string]bool
-	whole bool // all its tests ended
-	stray bool // something beside them failed
+// packageRun is a package under test.
+type packageRun struct {
+	text         strings.Builder
+	tests        map[string]*strings.Builder // that have not ended
+	fails        []string
+	ended        map[string]bool
+	complete     bool // all its tests ended
+	unattributed bool // something beside them failed
 }
 
 type tests struct {
-	known  map[test]string
-	out    io.Writer
-	all    bool // print what passed too
-	some   bool // not all tests of the packages are run
-	packs  map[string]*pack
-	builds map[string]*strings.Builder
-	passed int
-	failed int
-	red    int // of known ones
-	whole  []string
-	green  []test // listed ones that passed
+	known    map[test]string
+	output   io.Writer
+	all      bool // print what passed too
+	list     bool // not all tests of the packages are run
+	packages map[string]*packageRun
+	builds   map[string]*strings.Builder
+	passed   int
+	failed   int
+	failing  int // of known ones
+	complete []string
+	green    []test // listed ones that passed
 }
 
 func newRun(known map[test]string, out io.Writer) *tests {
-	return &tests{known: known, out: out, packs: map[string]*pack{}, builds: map[string]*strings.Builder{}}
+	return &tests{known: known, output: out, packages: map[string]*packageRun{}, builds: map[string]*strings.Builder{}}
 }
 
-func (r *tests) pack(n string) *pack {
-	p := r.packs[n]
+func (r *tests) packageOf(n string) *packageRun {
+	p := r.packages[n]
 	if p == nil {
-		p = &pack{tests: map[string]*strings.Builder{}, ended: map[string]bool{}}
-		r.packs[n] = p
+		p = &packageRun{tests: map[string]*strings.Builder{}, ended: map[string]bool{}}
+		r.packages[n] = p
 	}
 	return p
 }
@@ -136,7 +136,7 @@
 		case len(l) == 0 && err == io.EOF:
 			return nil
 		case json.Unmarshal(l, &e) != nil:
-			fmt.Fprintf(r.out, "%s", l) // go's own words
+			fmt.Fprintf(r.output, "%s", l) // go's own words
 		default:
 			r.event(e)
 		}
@@ -159,7 +159,7 @@
 	if e.Package == "" {
 		return
 	}
-	p := r.pack(e.Package)
+	p := r.packageOf(e.Package)
 	if e.Test == "" {
 		r.ofPackage(e, p)
 		return
@@ -171,7 +171,7 @@
 	switch e.Action {
 	case "output":
 		if r.all {
-			fmt.Fprint(r.out, e.Output)
+			fmt.Fprint(r.output, e.Output)
 		} else if !strings.HasPrefix(e.Output, "=== ") {
 			p.tests[top].WriteString(e.Output)
 		}
@@ -182,7 +182,7 @@
 	}
 }
 
-func (r *tests) end(pkg string, p *pack, name, action string) {
+func (r *tests) end(pkg string, p *packageRun, name, action string) {
 	text := p.tests[name].String()
 	delete(p.tests, name)
 	p.ended[name] = true
@@ -196,80 +196,80 @@
 		}
 	case "fail":
 		p.fails = append(p.fails, name)
-		fmt.Fprint(r.out, text)
+		fmt.Fprint(r.output, text)
 		if !listed {
 			r.failed++
 		}
 	}
 }
 
-func (r *tests) ofPackage(e event, p *pack) {
+func (r *tests) ofPackage(e event, p *packageRun) {
 	switch e.Action {
 	case "output":
-		p.whole = p.whole || e.Output == "FAIL\n" // which a panic leaves out
-		p.stray = p.stray || strings.Contains(e.Output, "race detected outside of test execution")
+		p.complete = p.complete || e.Output == "FAIL\n" // which a panic leaves out
+		p.unattributed = p.unattributed || strings.Contains(e.Output, "race detected outside of test execution")
 		if !strings.HasPrefix(e.Output, "=== ") && e.Output != "PASS\n" {
 			p.text.WriteString(e.Output)
 		}
 	case "pass", "skip":
-		fmt.Fprint(r.out, p.text.String())
+		fmt.Fprint(r.output, p.text.String())
 	case "fail":
 		if w := r.builds[e.FailedBuild]; w != nil {
-			fmt.Fprint(r.out, w)
+			fmt.Fprint(r.output, w)
 		}
 		for _, n := range slices.Sorted(maps.Keys(p.tests)) { // those it ended in the middle of
 			r.end(e.Package, p, n, "fail")
-			p.whole = false
+			p.complete = false
 		}
-		fmt.Fprint(r.out, p.text.String())
+		fmt.Fprint(r.output, p.text.String())
 		r.packageFailed(e, p)
 	}
 }
 
 // packageFailed counts known failures; where the package did not end in order,
 // tests behind them never ran, so nothing in it is excused.
-func (r *tests) packageFailed(e event, p *pack) {
+func (r *tests) packageFailed(e event, p *packageRun) {
 	listed := 0
 	for _, n := range p.fails {
 		if _, ok := r.known[test{e.Package, n}]; ok {
 			listed++
 		}
 	}
-	if len(p.fails) == 0 || !p.whole || p.stray {
-		r.whole = append(r.whole, e.Package)
+	if len(p.fails) == 0 || !p.complete || p.unattributed {
+		r.complete = append(r.complete, e.Package)
 		if listed == len(p.fails) {
 			r.failed++
 		}
 		return
 	}
-	r.red += listed
+	r.failing += listed
 }
 
-// sum prints the counts and says whether all is well.
-func (r *tests) sum() error {
+// summary prints the counts and says whether all is well.
+func (r *tests) summary() error {
 	bad := r.failed > 0
 	for _, t := range slices.SortedFunc(maps.Keys(r.known), func(a, b test) int { return strings.Compare(a.String(), b.String()) }) {
-		p := r.packs[t.pkg]
+		p := r.packages[t.pkg]
 		switch {
 		case p == nil:
 		case slices.Contains(p.fails, t.name):
-			fmt.Fprintf(r.out, "known red: %s: %s\n", t, r.known[t])
+			fmt.Fprintf(r.output, "known red: %s: %s\n", t, r.known[t])
 		case slices.Contains(r.green, t):
-			fmt.Fprintf(r.out, "%s passes: remove it from the list in %s\n", t, knownFile)
+			fmt.Fprintf(r.output, "%s passes: remove it from the list in %s\n", t, knownFile)
 			bad = true
-		case !p.ended[t.name] && !r.some && !slices.Contains(r.whole, t.pkg):
-			fmt.Fprintf(r.out, "%s names no test that ran: remove it from the list in %s\n", t, knownFile)
+		case !p.ended[t.name] && !r.list && !slices.Contains(r.complete, t.pkg):
+			fmt.Fprintf(r.output, "%s names no test that ran: remove it from the list in %s\n", t, knownFile)
 			bad = true
 		}
 	}
-	for _, p := range r.whole {
-		fmt.Fprintf(r.out, "%s did not end in order\n", p)
+	for _, p := range r.complete {
+		fmt.Fprintf(r.output, "%s did not end in order\n", p)
 	}
-	fmt.Fprintf(r.out, "%d passed, %d failed", r.passed, r.failed)
-	if r.red > 0 {
-		fmt.Fprintf(r.out, ", %d known red", r.red)
+	fmt.Fprintf(r.output, "%d passed, %d failed", r.passed, r.failed)
+	if r.failing > 0 {
+		fmt.Fprintf(r.output, ", %d known red", r.failing)
 	}
-	fmt.Fprintln(r.out)
+	fmt.Fprintln(r.output)
 	if bad {
 		return errors.New("not all is well")
 	}
--- a/tools/run-tests/main_test.go
+++ b/tools/run-tests/main_test.go
@@ -43,8 +43,8 @@
 	return b
 }
 
-// of is the part of a stream that says something of some packages.
-func of(all []byte, packages string) (part []byte) {
+// percentage is the part of a stream that says something of some packages.
+func percentage(all []byte, packages string) (part []byte) {
 	for _, l := range bytes.SplitAfter(all, []byte("\n")) {
 		for _, p := range strings.Fields(packages) {
 			if bytes.Contains(l, []byte(`Package":"trial/`+p+`"`)) || bytes.Contains(l, []byte(`ImportPath":"trial/`+p+` `)) {
@@ -56,7 +56,7 @@
 }
 
 func TestOutcomes(t *testing.T) {
-	whole := stream(t)
+	complete := stream(t)
 	for _, c := range []struct {
 		packages string
 		known    map[test]string
@@ -79,10 +79,10 @@
 	} {
 		var out bytes.Buffer
 		r := newRun(c.known, &out)
-		if err := r.read(bytes.NewReader(of(whole, c.packages))); err != nil {
+		if err := r.read(bytes.NewReader(percentage(complete, c.packages))); err != nil {
 			t.Fatal(err)
 		}
-		err := r.sum()
+		err := r.summary()
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 		if (err == nil) != c.ok || lines[len(lines)-1] != c.last {
 			t.Errorf("%s %v: %v\n%s", c.packages, c.known, err, &out)
@@ -100,16 +100,16 @@
 	}
 }
 
-func TestAllIsPrintedWhereAsked(t *testing.T) {
+func TestAllIsPrintedOnRequest(t *testing.T) {
 	var out bytes.Buffer
 	r := newRun(nil, &out)
 	r.all = true
-	if err := r.read(bytes.NewReader(of(stream(t), "well"))); err != nil || r.sum() != nil || !strings.Contains(out.String(), "quiet") {
+	if err := r.read(bytes.NewReader(percentage(stream(t), "well"))); err != nil || r.summary() != nil || !strings.Contains(out.String(), "quiet") {
 		t.Errorf("%v\n%s", err, &out)
 	}
 }
 
-func TestTheListIsRead(t *testing.T) {
+func TestKnownListIsRead(t *testing.T) {
 	p := filepath.Join(t.TempDir(), knownFile)
 	if k, err := readKnown(p); err != nil || len(k) != 0 {
 		t.Error(k, err)
--- a/tools/shrinking/shrinking_test.go
+++ b/tools/shrinking/shrinking_test.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestEarlierCommitsHold: what the list once got rid of doesn't come back, even
+// TestEarlierCommitsBindTheList: what the list once got rid of doesn't come back, even
 // if the newest commit has let it in.
-func TestEarlierCommitsHold(t *testing.T) {
+func TestEarlierCommitsBindTheList(t *testing.T) {
 	t.Chdir(t.TempDir())
 	git(t, "init", "-q")
 	name := filepath.Join("tools", "list.txt")
--- a/voterlog/crashdisk/disk.go
+++ b/voterlog/crashdisk/disk.go
@@ -21,354 +21,354 @@
 var (
 	// ErrRefused ends a call that the disk refuses.
 	ErrRefused = errs.New("the disk refuses")
-	// ErrPower ends every call once the power is gone.
-	ErrPower = errs.New("the power is gone")
+	// ErrPowerLost ends every call once the power is gone.
+	ErrPowerLost = errs.New("the power is gone")
 	// ErrFull ends a write that the disk has no room for.
 	ErrFull = errs.New("no space left on the disk")
 )
 
-// Plant is a fault put into the disk on purpose, to show that a test sees it.
-type Plant int
+// Mutation is a fault put into the disk on purpose, to show that a test sees it.
+type Mutation int
 
 // Plants.
 const (
-	None           Plant = iota
-	SyncsNothing         // a sync of a file returns and syncs nothing
-	SnapshotUnsync       // as before, for files that are not renamed yet
-	FolderUnsync         // a sync of a folder returns and syncs nothing
-	OldRemoved           // a rename removes the other files, lasting, before it lasts itself
+	NoMutation           Mutation = iota
+	SyncDoesNothing               // a sync of a file returns and syncs nothing
+	SnapshotNotSynced             // as before, for files that are not renamed yet
+	DirNotSynced                  // a sync of a folder returns and syncs nothing
+	OldFilesRemovedEarly          // a rename removes the other files, lasting, before it lasts itself
 )
 
-// Planted names the plants.
-var Planted = []struct {
-	What  string
-	Plant Plant
+// Mutations names the plants.
+var Mutations = []struct {
+	Name     string
+	Mutation Mutation
 }{
-	{"syncs do nothing", SyncsNothing},
-	{"a snapshot is not synced before it is renamed", SnapshotUnsync},
-	{"the folder is not synced", FolderUnsync},
-	{"the log is removed before the snapshot lasts", OldRemoved},
+	{"syncs do nothing", SyncDoesNothing},
+	{"a snapshot is not synced before it is renamed", SnapshotNotSynced},
+	{"the folder is not synced", DirNotSynced},
+	{"the log is removed before the snapshot lasts", OldFilesRemovedEarly},
 }
 
 // Disk is one disk with one folder.
 type Disk struct {
 	// Choose picks one of n ways in which a loss of power may go.
 	Choose func(n int) int
-	// Refuse is the share of the calls that write which are refused.
-	Refuse float64
-	// Steps is how many more calls that write are made until the power goes,
+	// RefusalRate is the share of the calls that write which are refused.
+	RefusalRate float64
+	// StepsLeft is how many more calls that write are made until the power goes,
 	// negative for never.
-	Steps int
-	// Room is how many bytes the disk holds, 0 for any number. Full has it take no
+	StepsLeft int
+	// Capacity is how many bytes the disk holds, 0 for any number. Full has it take no
 	// more bytes whatever room there is.
-	Room int
-	Full bool
-	// Coarse tears writes at their ends and middle only, so that all ways in which
+	Capacity int
+	Full     bool
+	// CoarseTears tears writes at their ends and middle only, so that all ways in which
 	// a loss of power may go can be gone through.
-	Coarse bool
-	Plant  Plant
+	CoarseTears bool
+	Mutation    Mutation
 
-	// Peak is the largest number of bytes in use so far, Synced how many syncs were
+	// PeakBytes is the largest number of bytes in use so far, Synced how many syncs were
 	// made and Written how many bytes were written.
-	Peak, Synced, Written int
+	PeakBytes, SyncCount, WrittenBytes int
 
-	r     *rand.Rand
-	names map[string]*content   // as the process sees them
-	since map[string][]*content // states of a name: the lasting one, then those after it
+	random        *rand.Rand
+	files         map[string]*fileContent   // as the process sees them
+	unsyncedNames map[string][]*fileContent // states of a name: the lasting one, then those after it
 }
 
-// content is what a file holds: what its last sync covered, and the writes since.
-type content struct {
+// fileContent is what a file holds: what its last sync covered, and the writes since.
+type fileContent struct {
 	synced []byte
 	writes []write
 }
 
 // write puts bytes at a place, or cuts the file off there.
 type write struct {
-	at  int
-	b   []byte
-	cut bool
+	offset   int
+	data     []byte
+	truncate bool
 }
 
 // New makes an empty disk; all that happens by chance is of r.
 func New(r *rand.Rand) *Disk {
-	return &Disk{r: r, Choose: r.IntN, Steps: -1, names: map[string]*content{}, since: map[string][]*content{}}
+	return &Disk{random: r, Choose: r.IntN, StepsLeft: -1, files: map[string]*fileContent{}, unsyncedNames: map[string][]*fileContent{}}
 }
 
-func (w write) to(b []byte) []byte {
-	if w.cut {
-		return b[:min(w.at, len(b))]
+func (w write) applyTo(b []byte) []byte {
+	if w.truncate {
+		return b[:min(w.offset, len(b))]
 	}
-	if d := w.at + len(w.b) - len(b); d > 0 {
+	if d := w.offset + len(w.data) - len(b); d > 0 {
 		b = append(b, make([]byte, d)...)
 	}
-	copy(b[w.at:], w.b)
+	copy(b[w.offset:], w.data)
 	return b
 }
 
-func (c *content) now() []byte {
+func (c *fileContent) current() []byte {
 	b := bytes.Clone(c.synced)
 	for _, w := range c.writes {
-		b = w.to(b)
+		b = w.applyTo(b)
 	}
 	return b
 }
 
-func (c *content) length() int {
+func (c *fileContent) length() int {
 	n := len(c.synced)
 	for _, w := range c.writes {
-		if w.cut {
-			n = min(n, w.at)
+		if w.truncate {
+			n = min(n, w.offset)
 		} else {
-			n = max(n, w.at+len(w.b))
+			n = max(n, w.offset+len(w.data))
 		}
 	}
 	return n
 }
 
-// Used is how many bytes the files take.
-func (d *Disk) Used() int {
+// UsedBytes is how many bytes the files take.
+func (d *Disk) UsedBytes() int {
 	n := 0
-	for _, c := range d.names {
+	for _, c := range d.files {
 		n += c.length()
 	}
 	return n
 }
 
-func (d *Disk) may() error {
-	if d.Steps == 0 {
-		return ErrPower
+func (d *Disk) allow() error {
+	if d.StepsLeft == 0 {
+		return ErrPowerLost
 	}
-	if d.Steps > 0 {
-		d.Steps--
+	if d.StepsLeft > 0 {
+		d.StepsLeft--
 	}
-	if d.Refuse > 0 && d.r.Float64() < d.Refuse {
+	if d.RefusalRate > 0 && d.random.Float64() < d.RefusalRate {
 		return ErrRefused
 	}
 	return nil
 }
 
-// name gives a name another content, nil for none.
-func (d *Disk) name(p string, c *content) {
-	if len(d.since[p]) == 0 {
-		d.since[p] = []*content{d.names[p]}
+// setFile gives a name another content, nil for none.
+func (d *Disk) setFile(p string, c *fileContent) {
+	if len(d.unsyncedNames[p]) == 0 {
+		d.unsyncedNames[p] = []*fileContent{d.files[p]}
 	}
-	d.since[p] = append(d.since[p], c)
+	d.unsyncedNames[p] = append(d.unsyncedNames[p], c)
 	if c == nil {
-		delete(d.names, p)
+		delete(d.files, p)
 	} else {
-		d.names[p] = c
+		d.files[p] = c
 	}
 }
 
 // PowerLoss leaves what a loss of power leaves, and brings the power back.
 func (d *Disk) PowerLoss() {
-	none := d.Choose(4) == 0 // all that was not synced is gone
-	for _, p := range slices.Sorted(maps.Keys(d.since)) {
-		states := d.since[p]
+	loseUnsynced := d.Choose(4) == 0 // all that was not synced is gone
+	for _, p := range slices.Sorted(maps.Keys(d.unsyncedNames)) {
+		states := d.unsyncedNames[p]
 		kept := states[0]
-		if !none {
+		if !loseUnsynced {
 			kept = states[d.Choose(len(states))]
 		}
-		delete(d.names, p)
+		delete(d.files, p)
 		if kept != nil {
-			d.names[p] = kept
+			d.files[p] = kept
 		}
 	}
-	for _, p := range slices.Sorted(maps.Keys(d.names)) {
-		c := d.names[p]
-		b := bytes.Clone(c.synced)
-		for _, w := range c.writes {
-			if !none {
-				b = d.torn(b, w)
+	for _, p := range slices.Sorted(maps.Keys(d.files)) {
+		content := d.files[p]
+		b := bytes.Clone(content.synced)
+		for _, w := range content.writes {
+			if !loseUnsynced {
+				b = d.applyTorn(b, w)
 			}
 		}
-		d.names[p] = &content{synced: b}
+		d.files[p] = &fileContent{synced: b}
 	}
-	clear(d.since)
-	d.Steps = -1
+	clear(d.unsyncedNames)
+	d.StepsLeft = -1
 }
 
-// torn is what is left of a write: all, nothing, a part, or the length alone.
-func (d *Disk) torn(b []byte, w write) []byte {
-	way := d.Choose(4)
+// applyTorn is what is left of a write: all, nothing, a part, or the length alone.
+func (d *Disk) applyTorn(b []byte, w write) []byte {
+	outcome := d.Choose(4)
 	switch {
-	case way == 0:
-		return w.to(b)
-	case way == 1 || w.cut || len(w.b) == 0:
+	case outcome == 0:
+		return w.applyTo(b)
+	case outcome == 1 || w.truncate || len(w.data) == 0:
 		return b
 	}
-	k := 0
-	if d.Coarse {
-		k = []int{1, len(w.b) / 2, len(w.b) - 1}[d.Choose(3)]
+	length := 0
+	if d.CoarseTears {
+		length = []int{1, len(w.data) / 2, len(w.data) - 1}[d.Choose(3)]
 	} else {
-		k = d.Choose(len(w.b) + 1)
+		length = d.Choose(len(w.data) + 1)
 	}
-	if k > 0 {
-		b = write{at: w.at, b: w.b[:k]}.to(b)
+	if length > 0 {
+		b = write{offset: w.offset, data: w.data[:length]}.applyTo(b)
 	}
-	if way == 3 { // the length arrived, the rest did not
-		b = write{at: w.at + len(w.b)}.to(b)
+	if outcome == 3 { // the length arrived, the rest did not
+		b = write{offset: w.offset + len(w.data)}.applyTo(b)
 	}
 	return b
 }
 
 // Wipe loses the disk: an empty one is in its place.
 func (d *Disk) Wipe() {
-	clear(d.names)
-	clear(d.since)
-	d.Steps = -1
+	clear(d.files)
+	clear(d.unsyncedNames)
+	d.StepsLeft = -1
 }
 
-// Put has a file hold bytes, lasting.
-func (d *Disk) Put(path string, b []byte) {
-	d.names[path] = &content{synced: bytes.Clone(b)}
-	delete(d.since, path)
+// PutFile has a file hold bytes, lasting.
+func (d *Disk) PutFile(path string, b []byte) {
+	d.files[path] = &fileContent{synced: bytes.Clone(b)}
+	delete(d.unsyncedNames, path)
 }
 
-// Names implements voterlog.Files.
-func (d *Disk) Names(string) ([]string, error) {
+// List implements voterlog.FileSystem.
+func (d *Disk) List(string) ([]string, error) {
 	var ns []string
-	for p := range d.names {
+	for p := range d.files {
 		ns = append(ns, filepath.Base(p))
 	}
 	slices.Sort(ns)
 	return ns, nil
 }
 
-// Read implements voterlog.Files.
-func (d *Disk) Read(p string) ([]byte, error) {
-	c := d.names[p]
+// ReadFile implements voterlog.FileSystem.
+func (d *Disk) ReadFile(p string) ([]byte, error) {
+	c := d.files[p]
 	if c == nil {
 		return nil, fs.ErrNotExist
 	}
-	return c.now(), nil
+	return c.current(), nil
 }
 
-// Create implements voterlog.Files.
+// Create implements voterlog.FileSystem.
 func (d *Disk) Create(p string) (voterlog.File, error) {
-	if err := d.may(); err != nil {
+	if err := d.allow(); err != nil {
 		return nil, err
 	}
-	if c := d.names[p]; c != nil {
-		c.writes = append(c.writes, write{cut: true})
-		return &file{d: d, path: p, c: c}, nil
+	if c := d.files[p]; c != nil {
+		c.writes = append(c.writes, write{truncate: true})
+		return &file{disk: d, path: p, content: c}, nil
 	}
-	c := &content{}
-	d.name(p, c)
-	return &file{d: d, path: p, c: c}, nil
+	c := &fileContent{}
+	d.setFile(p, c)
+	return &file{disk: d, path: p, content: c}, nil
 }
 
-// Append implements voterlog.Files.
-func (d *Disk) Append(p string) (voterlog.File, error) {
-	c := d.names[p]
+// OpenAppend implements voterlog.FileSystem.
+func (d *Disk) OpenAppend(p string) (voterlog.File, error) {
+	c := d.files[p]
 	if c == nil {
 		return nil, fs.ErrNotExist
 	}
-	return &file{d: d, path: p, c: c, at: c.length()}, nil
+	return &file{disk: d, path: p, content: c, offset: c.length()}, nil
 }
 
-// Cut implements voterlog.Files.
-func (d *Disk) Cut(p string, l int64) error {
-	if err := d.may(); err != nil {
+// Truncate implements voterlog.FileSystem.
+func (d *Disk) Truncate(p string, l int64) error {
+	if err := d.allow(); err != nil {
 		return err
 	}
-	c := d.names[p]
+	c := d.files[p]
 	if c == nil {
 		return fs.ErrNotExist
 	}
-	c.writes = append(c.writes, write{at: int(l), cut: true})
+	c.writes = append(c.writes, write{offset: int(l), truncate: true})
 	return nil
 }
 
-// Rename implements voterlog.Files.
+// Rename implements voterlog.FileSystem.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.may(); err != nil {
+	if err := d.allow(); err != nil {
 		return err
 	}
-	c := d.names[from]
+	c := d.files[from]
 	if c == nil {
 		return fs.ErrNotExist
 	}
-	if d.Plant == OldRemoved {
-		for p := range d.names {
+	if d.Mutation == OldFilesRemovedEarly {
+		for p := range d.files {
 			if p != from {
-				delete(d.names, p)
-				delete(d.since, p)
+				delete(d.files, p)
+				delete(d.unsyncedNames, p)
 			}
 		}
 	}
-	d.name(from, nil)
-	d.name(to, c)
+	d.setFile(from, nil)
+	d.setFile(to, c)
 	return nil
 }
 
-// Remove implements voterlog.Files.
+// Remove implements voterlog.FileSystem.
 func (d *Disk) Remove(p string) error {
-	if err := d.may(); err != nil {
+	if err := d.allow(); err != nil {
 		return err
 	}
-	if d.names[p] == nil {
+	if d.files[p] == nil {
 		return fs.ErrNotExist
 	}
-	d.name(p, nil)
+	d.setFile(p, nil)
 	return nil
 }
 
-// MakeFolder implements voterlog.Files.
-func (d *Disk) MakeFolder(string) error { return nil }
+// MakeDir implements voterlog.FileSystem.
+func (d *Disk) MakeDir(string) error { return nil }
 
-// SyncFolder implements voterlog.Files.
-func (d *Disk) SyncFolder(string) error {
-	if err := d.may(); err != nil {
+// SyncDir implements voterlog.FileSystem.
+func (d *Disk) SyncDir(string) error {
+	if err := d.allow(); err != nil {
 		return err
 	}
-	d.Synced++
-	if d.Plant != FolderUnsync {
-		clear(d.since)
+	d.SyncCount++
+	if d.Mutation != DirNotSynced {
+		clear(d.unsyncedNames)
 	}
 	return nil
 }
 
 type file struct {
-	d    *Disk
-	path string
-	c    *content
-	at   int
+	disk    *Disk
+	path    string
+	content *fileContent
+	offset  int
 }
 
 // Write implements io.Writer.
 func (f *file) Write(b []byte) (int, error) {
-	err := f.d.may()
+	err := f.disk.allow()
 	k := len(b)
 	switch {
 	case err != nil: // some of it may be there all the same
-		k = f.d.r.IntN(len(b) + 1)
-	case f.d.Full:
+		k = f.disk.random.IntN(len(b) + 1)
+	case f.disk.Full:
 		k, err = 0, ErrFull
-	case f.d.Room > 0 && f.d.Used()+len(b) > f.d.Room:
-		k, err = max(f.d.Room-f.d.Used(), 0), ErrFull
+	case f.disk.Capacity > 0 && f.disk.UsedBytes()+len(b) > f.disk.Capacity:
+		k, err = max(f.disk.Capacity-f.disk.UsedBytes(), 0), ErrFull
 	}
-	f.c.writes = append(f.c.writes, write{at: f.at, b: bytes.Clone(b[:k])})
-	f.at += k
-	f.d.Written += k
-	f.d.Peak = max(f.d.Peak, f.d.Used())
+	f.content.writes = append(f.content.writes, write{offset: f.offset, data: bytes.Clone(b[:k])})
+	f.offset += k
+	f.disk.WrittenBytes += k
+	f.disk.PeakBytes = max(f.disk.PeakBytes, f.disk.UsedBytes())
 	return k, err
 }
 
 // Sync syncs the file's content, not its name.
 func (f *file) Sync() error {
-	if err := f.d.may(); err != nil {
+	if err := f.disk.allow(); err != nil {
 		return err
 	}
-	f.d.Synced++
-	if f.d.Plant == SyncsNothing || f.d.Plant == SnapshotUnsync && filepath.Ext(f.path) == ".new" {
+	f.disk.SyncCount++
+	if f.disk.Mutation == SyncDoesNothing || f.disk.Mutation == SnapshotNotSynced && filepath.Ext(f.path) == ".new" {
 		return nil
 	}
-	for _, w := range f.c.writes {
-		f.c.synced = w.to(f.c.synced)
+	for _, w := range f.content.writes {
+		f.content.synced = w.applyTo(f.content.synced)
 	}
-	f.c.writes = nil
+	f.content.writes = nil
 	return nil
 }
 
--- a/voterlog/folder.go
+++ b/voterlog/folder.go
@@ -20,49 +20,49 @@
 	// TornBytes lie behind the last sound frame: a write that a loss of power cut
 	// short. Nothing rests on them; the next start drops them.
 	TornBytes int
-	// LeftOver are files that the next start removes.
-	LeftOver []string
+	// Leftovers are files that the next start removes.
+	Leftovers []string
 	// What a voter started on this log holds:
-	Life       uint64             // identity of the disk
-	Membership *schema.Membership // newest known to be chosen, nil before the first
-	Active     uint64             // number of the membership that it votes, or last voted, under
-	Cells      []*schema.Cell     // newest of each key, in order of the keys
+	DiskID           uint64                  // identity of the disk
+	Membership       *schema.Membership      // newest known to be chosen, nil before the first
+	ActiveMembership uint64                  // number of the membership that it votes, or last voted, under
+	Registers        []*schema.RegisterState // newest of each key, in order of the keys
 }
 
 // Inspect reads the log in a folder and changes nothing, so that it can be used
-// on the folder of a process that runs. ErrDamaged and ErrFormat as in Open; a
+// on the folder of a process that runs. ErrCorrupt and ErrFormat as in Open; a
 // folder without a log is a Report without a File.
-func Inspect(folder string) (Report, error) {
-	c, err := read(osFiles{}, folder)
-	r := Report{Format: Format, LeftOver: c.others}
-	if err != nil || c.number == 0 {
-		return r, err
+func Inspect(dir string) (Report, error) {
+	content, err := readDir(osFileSystem{}, dir)
+	report := Report{Format: Format, Leftovers: content.leftovers}
+	if err != nil || content.fileNumber == 0 {
+		return report, err
 	}
-	l := &Log{folder: folder}
-	r.File, r.Bytes, r.Frames, r.Entries, r.TornBytes = filepath.Base(l.path(c.number)), c.length, int(c.frames), len(c.entries), c.length-c.good
+	l := &Log{dir: dir}
+	report.File, report.Bytes, report.Frames, report.Entries, report.TornBytes = filepath.Base(l.path(content.fileNumber)), content.length, int(content.frames), len(content.entries), content.length-content.validLength
 	keys := map[string]int{}
-	for _, e := range c.entries {
+	for _, e := range content.entries {
 		if e.Snapshot {
-			r.Cells = nil
+			report.Registers = nil
 			clear(keys)
 		}
-		if e.Life != 0 {
-			r.Life = e.Life
+		if e.DiskId != 0 {
+			report.DiskID = e.DiskId
 		}
 		if e.Membership != nil {
-			r.Membership = e.Membership
+			report.Membership = e.Membership
 		}
-		r.Active = max(r.Active, e.Active)
-		for _, k := range e.Cells {
-			if i, ok := keys[k.Key]; ok {
-				r.Cells[i] = k
+		report.ActiveMembership = max(report.ActiveMembership, e.ActiveMembership)
+		for _, register := range e.Registers {
+			if i, ok := keys[register.Key]; ok {
+				report.Registers[i] = register
 			} else {
-				keys[k.Key] = len(r.Cells)
-				r.Cells = append(r.Cells, k)
+				keys[register.Key] = len(report.Registers)
+				report.Registers = append(report.Registers, register)
 			}
 		}
 	}
-	return r, nil
+	return report, nil
 }
 
 // Copy writes the log in a folder into another one, which must hold none, and
@@ -73,26 +73,26 @@
 // vote against what it said later. It goes on with an empty folder instead and
 // joins anew (design 3.3).
 func Copy(from, to string) error {
-	fs := osFiles{}
-	there, err := read(fs, to)
+	fs := osFileSystem{}
+	existing, err := readDir(fs, to)
 	if err != nil {
 		return err
 	}
-	if there.number > 0 || len(there.others) > 0 {
+	if existing.fileNumber > 0 || len(existing.leftovers) > 0 {
 		return errs.New("%s holds a log already", to)
 	}
-	var c content
+	var source fileContent
 	var b []byte
 	for range 5 {
 		// The file may be replaced by a snapshot meanwhile.
-		if c, err = read(fs, from); err != nil && !os.IsNotExist(err) {
+		if source, err = readDir(fs, from); err != nil && !os.IsNotExist(err) {
 			return err
 		}
-		if err == nil && c.number == 0 {
+		if err == nil && source.fileNumber == 0 {
 			return errs.New("%s holds no log", from)
 		}
 		if err == nil {
-			if b, err = fs.Read((&Log{folder: from}).path(c.number)); err == nil {
+			if b, err = fs.ReadFile((&Log{dir: from}).path(source.fileNumber)); err == nil {
 				break
 			}
 		}
@@ -100,12 +100,12 @@
 	if err != nil {
 		return err
 	}
-	b = b[:c.good]
-	if err := fs.MakeFolder(to); err != nil {
+	b = b[:source.validLength]
+	if err := fs.MakeDir(to); err != nil {
 		return err
 	}
-	p := (&Log{folder: to}).path(c.number)
-	f, err := fs.Create(p + ".new")
+	path := (&Log{dir: to}).path(source.fileNumber)
+	f, err := fs.Create(path + ".new")
 	if err != nil {
 		return err
 	}
@@ -115,22 +115,22 @@
 	if err = errs.Combine(err, f.Close()); err != nil {
 		return err
 	}
-	if err := fs.Rename(p+".new", p); err != nil {
+	if err := fs.Rename(path+".new", path); err != nil {
 		return err
 	}
-	if err := errs.Combine(fs.SyncFolder(to), fs.SyncFolder(filepath.Dir(filepath.Clean(to)))); err != nil {
+	if err := errs.Combine(fs.SyncDir(to), fs.SyncDir(filepath.Dir(filepath.Clean(to)))); err != nil {
 		return err
 	}
-	back, err := fs.Read(p)
+	readBack, err := fs.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(back, b) {
-		return ErrDamaged.New("the copy in %s reads back otherwise than it was written", to)
+	if !bytes.Equal(readBack, b) {
+		return ErrCorrupt.New("the copy in %s reads back otherwise than it was written", to)
 	}
-	v, err := read(fs, to)
-	if err == nil && len(v.entries) != len(c.entries) {
-		err = ErrDamaged.New("the copy in %s holds %d entries, not %d", to, len(v.entries), len(c.entries))
+	written, err := readDir(fs, to)
+	if err == nil && len(written.entries) != len(source.entries) {
+		err = ErrCorrupt.New("the copy in %s holds %d entries, not %d", to, len(written.entries), len(source.entries))
 	}
 	return err
 }
--- a/voterlog/history_test.go
+++ b/voterlog/history_test.go
@@ -18,24 +18,24 @@
 	size     int
 }
 
-func (s *state) cell() *schema.Cell {
-	return &schema.Cell{Key: "table", Value: &schema.Value{Revision: s.revision, Data: bytes.Repeat([]byte{byte(s.revision)}, s.size)}}
+func (s *state) register() *schema.RegisterState {
+	return &schema.RegisterState{Key: "table", Value: &schema.Value{Revision: s.revision, Data: bytes.Repeat([]byte{byte(s.revision)}, s.size)}}
 }
 
-func (s *state) change() []*schema.VoterLog {
+func (s *state) change() []*schema.WALEntry {
 	s.revision++
-	return []*schema.VoterLog{{Cells: []*schema.Cell{s.cell()}}}
+	return []*schema.WALEntry{{Registers: []*schema.RegisterState{s.register()}}}
 }
 
-func (s *state) snapshot() *schema.VoterLog {
-	return &schema.VoterLog{Snapshot: true, Cells: []*schema.Cell{s.cell()}}
+func (s *state) snapshot() *schema.WALEntry {
+	return &schema.WALEntry{Snapshot: true, Registers: []*schema.RegisterState{s.register()}}
 }
 
-func (s *state) restore(e *schema.VoterLog) {
+func (s *state) restore(e *schema.WALEntry) {
 	if e.Snapshot {
 		s.revision = 0
 	}
-	for _, c := range e.Cells {
+	for _, c := range e.Registers {
 		if !bytes.Equal(c.Value.Data, bytes.Repeat([]byte{byte(c.Value.Revision)}, len(c.Value.Data))) {
 			panic("a register holds another revision's data")
 		}
@@ -43,20 +43,20 @@
 	}
 }
 
-// opened plays a disk's log back.
-func opened(d *crashdisk.Disk) (*voterlog.Log, *state, error) {
+// openLog plays a disk's log back.
+func openLog(d *crashdisk.Disk) (*voterlog.Log, *state, error) {
 	s := &state{}
-	l, err := voterlog.OpenIn(d, "/v", s.restore)
+	l, err := voterlog.OpenWith(d, "/v", s.restore)
 	return l, s, err
 }
 
-// ways goes through all ways in which the choices of a run can be made.
-type ways struct {
+// choices goes through all ways in which the choices of a run can be made.
+type choices struct {
 	picks, of []int
 	at        int
 }
 
-func (w *ways) choose(n int) int {
+func (w *choices) choose(n int) int {
 	if w.at == len(w.picks) {
 		w.picks, w.of = append(w.picks, 0), append(w.of, n)
 	}
@@ -65,7 +65,7 @@
 }
 
 // next says whether there is another way, and takes it.
-func (w *ways) next() bool {
+func (w *choices) next() bool {
 	w.at = 0
 	for n := len(w.picks); n > 0; n-- {
 		if w.picks[n-1]+1 < w.of[n-1] {
@@ -79,8 +79,8 @@
 
 // script makes changes, and snapshots among them, until the power goes. It says
 // which revision was told last and which was written last.
-func script(d *crashdisk.Disk) (told, written uint64, whole bool) {
-	l, s, err := opened(d)
+func script(d *crashdisk.Disk) (acknowledged, written uint64, complete bool) {
+	l, s, err := openLog(d)
 	if err != nil {
 		return 0, 0, false
 	}
@@ -88,51 +88,51 @@
 	for i := range 6 {
 		es := s.change()
 		if i == 2 || i == 4 {
-			es = []*schema.VoterLog{s.snapshot()}
+			es = []*schema.WALEntry{s.snapshot()}
 		}
 		if l.Write(es, nil) != nil {
-			return told, s.revision, false
+			return acknowledged, s.revision, false
 		}
-		told = s.revision
+		acknowledged = s.revision
 	}
-	return told, s.revision, true
+	return acknowledged, s.revision, true
 }
 
 // powerLosses loses the power at each operation in turn, in each way, and once
 // more at each operation of the start that follows.
-func powerLosses(plant crashdisk.Plant) (runs int, bad string) {
-	for at, whole := 0, false; !whole; at++ {
-		for again := range 8 {
-			w := &ways{}
+func powerLosses(mutation crashdisk.Mutation) (runs int, bad string) {
+	for at, complete := 0, false; !complete; at++ {
+		for restartStep := range 8 {
+			w := &choices{}
 			for more := true; more; more = w.next() {
 				runs++
 				d := crashdisk.New(rand.New(rand.NewPCG(1, 1)))
-				d.Choose, d.Coarse, d.Plant, d.Steps = w.choose, true, plant, at
-				var told, written uint64
-				told, written, whole = script(d)
+				d.Choose, d.CoarseTears, d.Mutation, d.StepsLeft = w.choose, true, mutation, at
+				var acknowledged, written uint64
+				acknowledged, written, complete = script(d)
 				d.PowerLoss()
-				d.Steps = again
-				l, s, err := opened(d)
-				if errors.Is(err, crashdisk.ErrPower) {
+				d.StepsLeft = restartStep
+				l, s, err := openLog(d)
+				if errors.Is(err, crashdisk.ErrPowerLost) {
 					d.PowerLoss()
-					l, s, err = opened(d)
+					l, s, err = openLog(d)
 				}
 				switch {
 				case err != nil:
-					return runs, fmt.Sprintf("power lost at operation %d, at %d of the start: %v %v", at, again, err, d)
-				case s.revision < told || s.revision > written:
-					return runs, fmt.Sprintf("power lost at operation %d: revision %d is there, %d was told, %d written", at, s.revision, told, written)
+					return runs, fmt.Sprintf("power lost at operation %d, at %d of the start: %v %v", at, restartStep, err, d)
+				case s.revision < acknowledged || s.revision > written:
+					return runs, fmt.Sprintf("power lost at operation %d: revision %d is there, %d was told, %d written", at, s.revision, acknowledged, written)
 				}
 				// And it goes on.
 				if err := l.Write(s.change(), nil); err != nil {
-					if errors.Is(err, crashdisk.ErrPower) {
+					if errors.Is(err, crashdisk.ErrPowerLost) {
 						continue
 					}
 					return runs, fmt.Sprintf("power lost at operation %d: %v", at, err)
 				}
-				d.Steps = -1
+				d.StepsLeft = -1
 				d.PowerLoss()
-				if _, back, err := opened(d); err != nil || back.revision != s.revision {
+				if _, back, err := openLog(d); err != nil || back.revision != s.revision {
 					return runs, fmt.Sprintf("power lost at operation %d, and after the next write: revision %d, not %d: %v", at, back.revision, s.revision, err)
 				}
 			}
@@ -146,7 +146,7 @@
 // last is there and the log goes on; also if it is lost again at each operation
 // of the start.
 func TestPowerLostAtEachOperation(t *testing.T) {
-	runs, bad := powerLosses(crashdisk.None)
+	runs, bad := powerLosses(crashdisk.NoMutation)
 	if bad != "" {
 		t.Fatal(bad)
 	}
@@ -154,11 +154,11 @@
 	if runs < 5_000 {
 		t.Error("the runs show little")
 	}
-	for _, x := range crashdisk.Planted {
-		n, bad := powerLosses(x.Plant)
-		t.Logf("planted, %s: after %d runs: %s", x.What, n, bad)
+	for _, x := range crashdisk.Mutations {
+		n, bad := powerLosses(x.Mutation)
+		t.Logf("planted, %s: after %d runs: %s", x.Name, n, bad)
 		if bad == "" {
-			t.Errorf("planted, %s: not seen", x.What)
+			t.Errorf("planted, %s: not seen", x.Name)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 func TestSnapshotTornAtEachByte(t *testing.T) {
 	made := func(snapshot bool) (*crashdisk.Disk, *state) {
 		d := crashdisk.New(rand.New(rand.NewPCG(1, 1)))
-		l, s, err := opened(d)
+		l, s, err := openLog(d)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -187,42 +187,42 @@
 		}
 		if snapshot {
 			s.revision++
-			if err := l.Write([]*schema.VoterLog{s.snapshot()}, nil); err != nil {
+			if err := l.Write([]*schema.WALEntry{s.snapshot()}, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 		return d, s
 	}
-	whole, _ := made(true)
-	b, err := whole.Read(secondFile)
+	complete, _ := made(true)
+	b, err := complete.ReadFile(secondFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := range b {
+	for length := range b {
 		for _, zeros := range []bool{false, true} {
-			x := bytes.Clone(b[:cut])
+			x := bytes.Clone(b[:length])
 			if zeros {
-				x = append(x, make([]byte, len(b)-cut)...)
+				x = append(x, make([]byte, len(b)-length)...)
 			}
 			if bytes.Equal(x, b) {
 				continue
 			}
 			d, s := made(false)
-			d.Put(secondFile+".new", x)
-			l, back, err := opened(d)
+			d.PutFile(secondFile+".new", x)
+			l, back, err := openLog(d)
 			if err != nil || back.revision != s.revision {
-				t.Fatalf("cut at %d, zeros %t, not renamed: revision %d, not %d: %v", cut, zeros, back.revision, s.revision, err)
+				t.Fatalf("cut at %d, zeros %t, not renamed: revision %d, not %d: %v", length, zeros, back.revision, s.revision, err)
 			}
-			if ns, _ := d.Names(""); len(ns) != 1 {
-				t.Fatalf("cut at %d, zeros %t: %v are left", cut, zeros, ns)
+			if ns, _ := d.List(""); len(ns) != 1 {
+				t.Fatalf("cut at %d, zeros %t: %v are left", length, zeros, ns)
 			}
-			if err := l.Write(append([]*schema.VoterLog{back.snapshot()}, back.change()...), nil); err != nil {
+			if err := l.Write(append([]*schema.WALEntry{back.snapshot()}, back.change()...), nil); err != nil {
 				t.Fatal(err)
 			}
 			d, _ = made(true)
-			d.Put(secondFile, x)
-			if _, back, err := opened(d); !voterlog.ErrDamaged.Has(err) && !voterlog.ErrFormat.Has(err) {
-				t.Fatalf("cut at %d, zeros %t: the torn snapshot is taken for a log at revision %d: %v", cut, zeros, back.revision, err)
+			d.PutFile(secondFile, x)
+			if _, back, err := openLog(d); !voterlog.ErrCorrupt.Has(err) && !voterlog.ErrFormat.Has(err) {
+				t.Fatalf("cut at %d, zeros %t: the torn snapshot is taken for a log at revision %d: %v", length, zeros, back.revision, err)
 			}
 		}
 	}
@@ -235,10 +235,10 @@
 // once there is room again the snapshot is written.
 func TestDiskFullInASnapshot(t *testing.T) {
 	const size = 200
-	for room := range 3 * size {
+	for capacity := range 3 * size {
 		for how := range 3 {
-			d := crashdisk.New(rand.New(rand.NewPCG(uint64(room), uint64(how))))
-			l, s, err := opened(d)
+			d := crashdisk.New(rand.New(rand.NewPCG(uint64(capacity), uint64(how))))
+			l, s, err := openLog(d)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -248,16 +248,16 @@
 					t.Fatal(err)
 				}
 			}
-			told, used := s.revision, d.Used()
-			d.Room = used + room
+			acknowledged, used := s.revision, d.UsedBytes()
+			d.Capacity = used + capacity
 			for range 20 {
 				s.revision++
-				if l.Write([]*schema.VoterLog{s.snapshot()}, nil) == nil {
-					told = s.revision
+				if l.Write([]*schema.WALEntry{s.snapshot()}, nil) == nil {
+					acknowledged = s.revision
 				}
 			}
-			if d.Used() > max(used, 2*size) {
-				t.Fatalf("room %d: tries leave %d bytes, %d before them", room, d.Used(), used)
+			if d.UsedBytes() > max(used, 2*size) {
+				t.Fatalf("room %d: tries leave %d bytes, %d before them", capacity, d.UsedBytes(), used)
 			}
 			switch how {
 			case 1:
@@ -265,20 +265,20 @@
 				fallthrough
 			case 0:
 				var back *state
-				if l, back, err = opened(d); err != nil || back.revision < told {
-					t.Fatalf("room %d: revision %d is there, %d was told: %v", room, back.revision, told, err)
+				if l, back, err = openLog(d); err != nil || back.revision < acknowledged {
+					t.Fatalf("room %d: revision %d is there, %d was told: %v", capacity, back.revision, acknowledged, err)
 				}
 				s.revision = back.revision
 			}
 			// The room that a snapshot needs comes back, and no more.
-			d.Room = max(d.Room, d.Used()+2*size)
+			d.Capacity = max(d.Capacity, d.UsedBytes()+2*size)
 			s.revision++
-			if err := l.Write([]*schema.VoterLog{s.snapshot()}, nil); err != nil {
-				t.Fatalf("room %d, way %d: with room again: %v", room, how, err)
+			if err := l.Write([]*schema.WALEntry{s.snapshot()}, nil); err != nil {
+				t.Fatalf("room %d, way %d: with room again: %v", capacity, how, err)
 			}
 			d.PowerLoss()
-			if _, back, err := opened(d); err != nil || back.revision != s.revision {
-				t.Fatalf("room %d: revision %d, not %d: %v", room, back.revision, s.revision, err)
+			if _, back, err := openLog(d); err != nil || back.revision != s.revision {
+				t.Fatalf("room %d: revision %d, not %d: %v", capacity, back.revision, s.revision, err)
 			}
 		}
 	}
@@ -293,8 +293,8 @@
 		{8 << 20, 24 << 10, 2_000}, {4 << 20, 40 << 10, 2_000}, {1 << 20, 40 << 10, 2_000}, {0, 24 << 10, 2_000},
 	} {
 		d := crashdisk.New(rand.New(rand.NewPCG(1, 1)))
-		d.Room = x.disk
-		l, s, err := opened(d)
+		d.Capacity = x.disk
+		l, s, err := openLog(d)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -305,16 +305,16 @@
 			if err := l.Write(s.change(), s.snapshot); err != nil {
 				t.Fatalf("%+v, revision %d: %v", x, s.revision, err)
 			}
-			read = max(read, d.Used())
+			read = max(read, d.UsedBytes())
 		}
 		t.Logf("disk of %d KB, state of %d KB, %d changes: at most %d KB on disk, %d KB for a start to read, %.2f bytes written for each of a change",
-			x.disk>>10, x.size>>10, x.changes, d.Peak>>10, read>>10, float64(d.Written)/float64(x.size*(x.changes/voterlog.Slower)))
+			x.disk>>10, x.size>>10, x.changes, d.PeakBytes>>10, read>>10, float64(d.WrittenBytes)/float64(x.size*(x.changes/voterlog.Slower)))
 		limit := max(8*x.size, 512<<10) + 3*x.size
-		if read > limit || d.Peak > limit+2*x.size {
-			t.Errorf("%+v: %d bytes at most, %d for a start", x, d.Peak, read)
+		if read > limit || d.PeakBytes > limit+2*x.size {
+			t.Errorf("%+v: %d bytes at most, %d for a start", x, d.PeakBytes, read)
 		}
-		if x.disk > 0 && x.size <= x.disk/16 && d.Peak > x.disk/2 {
-			t.Errorf("%+v: %d bytes are over half of the disk", x, d.Peak)
+		if x.disk > 0 && x.size <= x.disk/16 && d.PeakBytes > x.disk/2 {
+			t.Errorf("%+v: %d bytes are over half of the disk", x, d.PeakBytes)
 		}
 	}
 }
--- a/voterlog/stored_test.go
+++ b/voterlog/stored_test.go
@@ -26,14 +26,14 @@
 // storedFolders are the fixtures: what is in each, entry by entry, and what an
 // acceptor and Inspect make of it.
 var storedFolders = []struct {
-	folder   string
-	record   func(t *testing.T, folder string)
+	dir      string
+	record   func(t *testing.T, dir string)
 	entries  []string
 	acceptor []string
 	report   string
 }{
 	{
-		folder: "voter", record: recordVoter,
+		dir: "voter", record: recordVoter,
 		entries: []string{
 			// the snapshot that the file begins with
 			"snapshot life a1a2a3a4a5a6a7a9 active 2",
@@ -62,7 +62,7 @@
 		report: "format 3, log-00000000000000000002: 5 frames, 5 entries, 0 torn; life a1a2a3a4a5a6a7a9, membership 2, active 2, 5 registers",
 	},
 	{
-		folder: "founder", record: recordFounder,
+		dir: "founder", record: recordFounder,
 		entries: []string{
 			"entry life a1a2a3a4a5a6a7a9 active 0",
 			"  founders 10.0.0.1:7001=a1a2a3a4a5a6a7a9 10.0.0.2:7001=0 10.0.0.3:7001=0",
@@ -75,12 +75,12 @@
 }
 
 func ballot(membership, round uint64, proposer string) *schema.Ballot {
-	return &schema.Ballot{Membership: membership, Round: round, Proposer: proposer}
+	return &schema.Ballot{Membership: membership, Number: round, Proposer: proposer}
 }
 
 func acceptMessage(key string, b *schema.Ballot, revision uint64, data string, changes ...string) *schema.Envelope {
 	return &schema.Envelope{From: b.Proposer, Body: &schema.Envelope_Accept{Accept: &schema.Accept{
-		Key: key, Membership: b.Membership, Ballot: b, Value: &schema.Value{Revision: revision, Changes: changes, Data: []byte(data)}}}}
+		Key: key, Membership: b.Membership, Ballot: b, Value: &schema.Value{Revision: revision, ChangeIds: changes, Data: []byte(data)}}}}
 }
 
 func prepareMessage(key string, b *schema.Ballot) *schema.Envelope {
@@ -94,13 +94,13 @@
 	l *voterlog.Log
 }
 
-func newRecorder(t *testing.T, folder string, founders ...string) recorder {
+func newRecorder(t *testing.T, dir string, founders ...string) recorder {
 	t.Helper()
-	l, err := voterlog.Open(folder, func(*schema.VoterLog) { t.Fatal("the folder is not empty") })
+	l, err := voterlog.Open(dir, func(*schema.WALEntry) { t.Fatal("the folder is not empty") })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return recorder{t: t, a: paxos.NewAcceptor(voterA, lifeA, paxos.Place{}, founders), l: l}
+	return recorder{t: t, a: paxos.NewAcceptor(voterA, lifeA, paxos.Location{}, founders), l: l}
 }
 
 func (r recorder) write(fx paxos.Effects) {
@@ -119,8 +119,8 @@
 
 // recordVoter has a voter form alone, go over to a membership of three, write a
 // snapshot and go on.
-func recordVoter(t *testing.T, folder string) {
-	r := newRecorder(t, folder, voterA)
+func recordVoter(t *testing.T, dir string) {
+	r := newRecorder(t, dir, voterA)
 	r.write(r.a.Tick(1))
 	next := r.a.Membership().Next(map[string]uint64{voterA: lifeA, voterB: lifeB, voterC: lifeC})
 	r.step(
@@ -128,12 +128,12 @@
 		acceptMessage("leader/shop/orders", ballot(1, 3, voterA), 1, "term one", "claim-1"),
 		acceptMessage(paxos.MembershipKey, ballot(1, 5, voterA), 2, string(next.Encode()), "join-1"),
 	)
-	r.write(r.a.Adopt(next))
+	r.write(r.a.AdoptMembership(next))
 	r.step(
 		acceptMessage("bookings", ballot(2, 4, voterB), 2, "two bookings", "book-2", "book-1"),
 		prepareMessage("bookings", ballot(2, 9, voterC)),
 	)
-	if err := r.l.Write([]*schema.VoterLog{r.a.Snapshot()}, nil); err != nil {
+	if err := r.l.Write([]*schema.WALEntry{r.a.Snapshot()}, nil); err != nil {
 		t.Fatal(err)
 	}
 	r.step(
@@ -148,27 +148,27 @@
 }
 
 // recordFounder has one of three founders hear of one other.
-func recordFounder(t *testing.T, folder string) {
-	r := newRecorder(t, folder, voterA, voterB, voterC)
+func recordFounder(t *testing.T, dir string) {
+	r := newRecorder(t, dir, voterA, voterB, voterC)
 	r.write(r.a.Tick(1))
-	r.step(&schema.Envelope{From: voterB, Body: &schema.Envelope_Found{Found: &schema.Found{
-		Founders: []string{voterA, voterB, voterC}, Voters: []*schema.Voter{{Address: voterB, Life: lifeB}}}}})
+	r.step(&schema.Envelope{From: voterB, Body: &schema.Envelope_FounderReport{FounderReport: &schema.FounderReport{
+		Founders: []string{voterA, voterB, voterC}, Voters: []*schema.Voter{{Address: voterB, DiskId: lifeB}}}}})
 	if err := r.l.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func showBallot(b *schema.Ballot) string {
-	if b == nil || b.Round == 0 && b.Proposer == "" && b.Membership == 0 {
+	if b == nil || b.Number == 0 && b.Proposer == "" && b.Membership == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%d/%d/%s", b.Membership, b.Round, b.Proposer)
+	return fmt.Sprintf("%d/%d/%s", b.Membership, b.Number, b.Proposer)
 }
 
-func showCell(c *schema.Cell) string {
+func showCell(c *schema.RegisterState) string {
 	value := "none"
 	if v := c.Value; v != nil {
-		value = fmt.Sprintf("revision %d %v %q", v.Revision, v.Changes, v.Data)
+		value = fmt.Sprintf("revision %d %v %q", v.Revision, v.ChangeIds, v.Data)
 	}
 	return fmt.Sprintf("  %s: promised %s, accepted %s, %s", c.Key, showBallot(c.Promised), showBallot(c.Accepted), value)
 }
@@ -176,24 +176,24 @@
 func showVoters(vs []*schema.Voter) string {
 	var out []string
 	for _, v := range vs {
-		out = append(out, fmt.Sprintf("%s=%x", v.Address, v.Life))
+		out = append(out, fmt.Sprintf("%s=%x", v.Address, v.DiskId))
 	}
 	return strings.Join(out, " ")
 }
 
-func showEntry(e *schema.VoterLog) []string {
+func showEntry(e *schema.WALEntry) []string {
 	kind := "entry"
 	if e.Snapshot {
 		kind = "snapshot"
 	}
-	out := []string{fmt.Sprintf("%s life %x active %d", kind, e.Life, e.Active)}
+	out := []string{fmt.Sprintf("%s life %x active %d", kind, e.DiskId, e.ActiveMembership)}
 	if m := e.Membership; m != nil {
 		out = append(out, fmt.Sprintf("  membership %d: %s; previous %s", m.Number, showVoters(m.Voters), showVoters(m.Previous)))
 	}
 	if len(e.Founders) > 0 {
 		out = append(out, "  founders "+showVoters(e.Founders))
 	}
-	for _, c := range e.Cells {
+	for _, c := range e.Registers {
 		out = append(out, showCell(c))
 	}
 	return out
@@ -201,8 +201,8 @@
 
 // showAcceptor is what an acceptor holds, the membership's register left out.
 func showAcceptor(a *paxos.Acceptor) []string {
-	out := []string{fmt.Sprintf("life %x membership %d active %d votes %t", a.Life(), a.Membership().Number, a.Active(), a.Votes())}
-	for _, c := range a.Snapshot().Cells {
+	out := []string{fmt.Sprintf("life %x membership %d active %d votes %t", a.DiskID(), a.Membership().Number, a.ActiveMembership(), a.IsVoter())}
+	for _, c := range a.Snapshot().Registers {
 		if c.Key != paxos.MembershipKey {
 			out = append(out, showCell(c))
 		}
@@ -212,7 +212,7 @@
 
 func showReport(r voterlog.Report) string {
 	return fmt.Sprintf("format %d, %s: %d frames, %d entries, %d torn; life %x, membership %d, active %d, %d registers",
-		r.Format, r.File, r.Frames, r.Entries, r.TornBytes, r.Life, r.Membership.GetNumber(), r.Active, len(r.Cells))
+		r.Format, r.File, r.Frames, r.Entries, r.TornBytes, r.DiskID, r.Membership.GetNumber(), r.ActiveMembership, len(r.Registers))
 }
 
 func sameLines(t *testing.T, what string, got, want []string) {
@@ -227,22 +227,22 @@
 // memberships; and an acceptor goes on from them as a control process does.
 func TestStoredFolders(t *testing.T) {
 	for _, x := range storedFolders {
-		t.Run(x.folder, func(t *testing.T) {
-			fixture := filepath.Join("testdata", x.folder)
+		t.Run(x.dir, func(t *testing.T) {
+			fixture := filepath.Join("testdata", x.dir)
 			if _, err := os.Stat(fixture); *record && os.IsNotExist(err) {
 				x.record(t, fixture)
 			}
-			folder := filepath.Join(t.TempDir(), "voter")
-			if err := os.CopyFS(folder, os.DirFS(fixture)); err != nil {
+			dir := filepath.Join(t.TempDir(), "voter")
+			if err := os.CopyFS(dir, os.DirFS(fixture)); err != nil {
 				t.Fatal(err)
 			}
-			report, err := voterlog.Inspect(folder)
+			report, err := voterlog.Inspect(dir)
 			if err != nil || showReport(report) != x.report {
 				t.Errorf("Inspect: %s, not %s: %v", showReport(report), x.report, err)
 			}
 			var entries []string
-			a := paxos.NewAcceptor(voterA, 12345, paxos.Place{}, nil)
-			l, err := voterlog.Open(folder, func(e *schema.VoterLog) {
+			a := paxos.NewAcceptor(voterA, 12345, paxos.Location{}, nil)
+			l, err := voterlog.Open(dir, func(e *schema.WALEntry) {
 				entries = append(entries, showEntry(e)...)
 				a.Restore(e)
 			})
@@ -251,13 +251,13 @@
 			}
 			sameLines(t, "the log", entries, x.entries)
 			sameLines(t, "the acceptor", showAcceptor(a), x.acceptor)
-			goOn(t, folder, l, a)
+			goOn(t, dir, l, a)
 		})
 	}
 }
 
 // goOn has the acceptor write behind the old entries, and reads both again.
-func goOn(t *testing.T, folder string, l *voterlog.Log, a *paxos.Acceptor) {
+func goOn(t *testing.T, dir string, l *voterlog.Log, a *paxos.Acceptor) {
 	t.Helper()
 	fx := a.Step(1, acceptMessage("routes", ballot(2, 12, voterB), 3, "third table", "send-3"))
 	if err := l.Write(fx.Log, a.Snapshot); err != nil {
@@ -266,13 +266,13 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	back := paxos.NewAcceptor(voterA, 12345, paxos.Place{}, nil)
-	again, err := voterlog.Open(folder, back.Restore)
+	back := paxos.NewAcceptor(voterA, 12345, paxos.Location{}, nil)
+	restartStep, err := voterlog.Open(dir, back.Restore)
 	if err != nil {
 		t.Fatal(err)
 	}
 	sameLines(t, "after one more write", showAcceptor(back), showAcceptor(a))
-	if err := again.Close(); err != nil {
+	if err := restartStep.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -280,12 +280,12 @@
 // TestStoredFolderPromises: an acceptor rebuilt from an old folder keeps what that
 // voter promised, and tells what it accepted.
 func TestStoredFolderPromises(t *testing.T) {
-	a := paxos.NewAcceptor(voterA, 12345, paxos.Place{}, nil)
-	folder := filepath.Join(t.TempDir(), "voter")
-	if err := os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "voter"))); err != nil {
+	a := paxos.NewAcceptor(voterA, 12345, paxos.Location{}, nil)
+	dir := filepath.Join(t.TempDir(), "voter")
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "voter"))); err != nil {
 		t.Fatal(err)
 	}
-	l, err := voterlog.Open(folder, a.Restore)
+	l, err := voterlog.Open(dir, a.Restore)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -310,8 +310,8 @@
 			if len(fx.Send) != 1 {
 				t.Fatalf("%d replies", len(fx.Send))
 			}
-			p := fx.Send[0].Env.GetPromise()
-			if p.GetGiven() != x.given || showBallot(p.GetAccepted()) != x.accepted || p.GetValue().GetRevision() != x.revision || p.GetLife() != lifeA {
+			p := fx.Send[0].Envelope.GetPromise()
+			if p.GetGranted() != x.given || showBallot(p.GetAccepted()) != x.accepted || p.GetValue().GetRevision() != x.revision || p.GetDiskId() != lifeA {
 				t.Errorf("replied %v", p)
 			}
 		})
--- a/voterlog/voterlog_test.go
+++ b/voterlog/voterlog_test.go
@@ -13,8 +13,8 @@
 	"stoneford/schema"
 )
 
-func entry(i int) *schema.VoterLog {
-	return &schema.VoterLog{Cells: []*schema.Cell{{Key: fmt.Sprint("k", i%3), Promised: &schema.Ballot{Round: uint64(i), Proposer: "a"},
+func entry(i int) *schema.WALEntry {
+	return &schema.WALEntry{Registers: []*schema.RegisterState{{Key: fmt.Sprint("k", i%3), Promised: &schema.Ballot{Number: uint64(i), Proposer: "a"},
 		Value: &schema.Value{Revision: uint64(i), Data: bytes.Repeat([]byte{byte(i)}, i%40)}}}}
 }
 
@@ -23,14 +23,14 @@
 func written(t *testing.T, n int) (string, []byte, []int) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "v")
-	l, err := Open(dir, func(*schema.VoterLog) {})
+	l, err := Open(dir, func(*schema.WALEntry) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := l.path(1)
 	var ends []int
 	for i := range n {
-		if err := l.Write([]*schema.VoterLog{entry(i)}, nil); err != nil {
+		if err := l.Write([]*schema.WALEntry{entry(i)}, nil); err != nil {
 			t.Fatal(err)
 		}
 		s, err := os.Stat(p)
@@ -49,9 +49,9 @@
 	return p, b, ends
 }
 
-func played(p string) ([]*schema.VoterLog, error) {
-	var es []*schema.VoterLog
-	l, err := Open(filepath.Dir(p), func(e *schema.VoterLog) { es = append(es, e) })
+func replay(p string) ([]*schema.WALEntry, error) {
+	var es []*schema.WALEntry
+	l, err := Open(filepath.Dir(p), func(e *schema.WALEntry) { es = append(es, e) })
 	if err != nil {
 		return nil, err
 	}
@@ -63,12 +63,12 @@
 // that plays back what is whole.
 func TestTornAnywhere(t *testing.T) {
 	p, b, ends := written(t, 12)
-	head := len(fileHead())
-	for cut := head; cut < len(b); cut += min(slower, 7) {
+	head := len(fileHeader())
+	for length := head; length < len(b); length += min(slower, 7) {
 		for _, zeros := range []bool{false, true} {
-			x := bytes.Clone(b[:cut])
+			x := bytes.Clone(b[:length])
 			if zeros {
-				x = append(x, make([]byte, len(b)-cut)...)
+				x = append(x, make([]byte, len(b)-length)...)
 			}
 			want := 0
 			for _, e := range ends {
@@ -79,31 +79,31 @@
 			if err := os.WriteFile(p, x, 0o644); err != nil {
 				t.Fatal(err)
 			}
-			es, err := played(p)
+			es, err := replay(p)
 			if err != nil {
-				t.Fatalf("cut at %d, zeros %v: %v", cut, zeros, err)
+				t.Fatalf("cut at %d, zeros %v: %v", length, zeros, err)
 			}
 			if len(es) != want {
-				t.Fatalf("cut at %d, zeros %v: %d entries, not %d", cut, zeros, len(es), want)
+				t.Fatalf("cut at %d, zeros %v: %d entries, not %d", length, zeros, len(es), want)
 			}
 			for i, e := range es {
 				if !proto.Equal(e, entry(i)) {
-					t.Fatalf("cut at %d, zeros %v: entry %d is another", cut, zeros, i)
+					t.Fatalf("cut at %d, zeros %v: entry %d is another", length, zeros, i)
 				}
 			}
 			if s, err := os.Stat(p); err != nil || want > 0 && s.Size() != int64(ends[want-1]) {
-				t.Fatalf("cut at %d, zeros %v: the torn end stays", cut, zeros)
+				t.Fatalf("cut at %d, zeros %v: the torn end stays", length, zeros)
 			}
 		}
 	}
 }
 
-// TestDamageIsTold: a byte changed in place is never played back as if it were
+// TestCorruptionIsReported: a byte changed in place is never played back as if it were
 // what was written: either it is told, or only the newest entry is missing.
-func TestDamageIsTold(t *testing.T) {
+func TestCorruptionIsReported(t *testing.T) {
 	p, b, _ := written(t, 12)
 	r := rand.New(rand.NewPCG(1, 2))
-	told := 0
+	acknowledged := 0
 	const tries = 400 / min(slower, 4)
 	for range tries {
 		x := bytes.Clone(b)
@@ -112,12 +112,12 @@
 		if err := os.WriteFile(p, x, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		es, err := played(p)
+		es, err := replay(p)
 		if err != nil {
-			if !ErrDamaged.Has(err) && !ErrFormat.Has(err) {
+			if !ErrCorrupt.Has(err) && !ErrFormat.Has(err) {
 				t.Fatalf("byte %d: %v", i, err)
 			}
-			told++
+			acknowledged++
 			continue
 		}
 		if len(es) < 11 {
@@ -129,26 +129,26 @@
 			}
 		}
 	}
-	if told < tries*3/4 {
-		t.Fatalf("only %d of %d were told", told, tries)
+	if acknowledged < tries*3/4 {
+		t.Fatalf("only %d of %d were told", acknowledged, tries)
 	}
 }
 
 // TestFormat: a log of another format is told and left as it is.
 func TestFormat(t *testing.T) {
 	p, b, _ := written(t, 2)
-	b[len(opening)]++
+	b[len(magic)]++
 	if err := os.WriteFile(p, b, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := played(p); !ErrFormat.Has(err) {
+	if _, err := replay(p); !ErrFormat.Has(err) {
 		t.Fatalf("a later format: %v", err)
 	}
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf("%020d", 1)), []byte("x"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, func(*schema.VoterLog) {}); !ErrFormat.Has(err) {
+	if _, err := Open(dir, func(*schema.WALEntry) {}); !ErrFormat.Has(err) {
 		t.Fatalf("the format before: %v", err)
 	}
 }
@@ -159,9 +159,9 @@
 func TestCompaction(t *testing.T) {
 	for _, c := range []struct {
 		writes, size, disk int
-		snaps, most        int
+		snaps, limit       int
 	}{
-		{compactEntries * 2, 10, 0, 1, 512 << 10},
+		{maxEntriesPerFile * 2, 10, 0, 1, 512 << 10},
 		// The state is 0.75 MB, so the log ends at 6 MB or, on a disk of 8 MB, at
 		// twice the snapshot.
 		{200, 256 << 10, 0, 9, 6<<20 + 256<<10},
@@ -170,27 +170,27 @@
 		{300, 32 << 10, 64 << 20, 13, 768<<10 + 32<<10 + 4<<10},
 	} {
 		dir := filepath.Join(t.TempDir(), "v")
-		l, err := Open(dir, func(*schema.VoterLog) {})
+		l, err := Open(dir, func(*schema.WALEntry) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		l.SetDiskSize(c.disk)
-		snaps, state, longest := 0, map[string]*schema.Cell{}, 0
+		snaps, state, longest := 0, map[string]*schema.RegisterState{}, 0
 		for i := range c.writes {
 			e := entry(i)
-			e.Cells[0].Value.Data = bytes.Repeat([]byte{1}, c.size)
-			state[e.Cells[0].Key] = e.Cells[0]
-			if err := l.Write([]*schema.VoterLog{e}, func() *schema.VoterLog {
+			e.Registers[0].Value.Data = bytes.Repeat([]byte{1}, c.size)
+			state[e.Registers[0].Key] = e.Registers[0]
+			if err := l.Write([]*schema.WALEntry{e}, func() *schema.WALEntry {
 				snaps++
-				s := &schema.VoterLog{Snapshot: true}
+				s := &schema.WALEntry{Snapshot: true}
 				for _, c := range state {
-					s.Cells = append(s.Cells, c)
+					s.Registers = append(s.Registers, c)
 				}
 				return s
 			}); err != nil {
 				t.Fatal(err)
 			}
-			longest = max(longest, l.bytes)
+			longest = max(longest, l.size)
 		}
 		if err := l.Close(); err != nil {
 			t.Fatal(err)
@@ -200,14 +200,14 @@
 			t.Fatalf("%d files: %v", len(fs), err)
 		}
 		t.Logf("%d writes of %d bytes, a disk of %d: %d snapshots, at most %d bytes", c.writes, c.size, c.disk, snaps, longest)
-		if longest > c.most {
+		if longest > c.limit {
 			t.Errorf("%d writes of %d bytes: the log is %d bytes", c.writes, c.size, longest)
 		}
 		r, err := Inspect(dir)
-		if err != nil || snaps != c.snaps || len(r.Cells) != 3 {
-			t.Errorf("%d writes of %d bytes: %d snapshots, %d cells: %v", c.writes, c.size, snaps, len(r.Cells), err)
+		if err != nil || snaps != c.snaps || len(r.Registers) != 3 {
+			t.Errorf("%d writes of %d bytes: %d snapshots, %d cells: %v", c.writes, c.size, snaps, len(r.Registers), err)
 		}
-		for _, k := range r.Cells {
+		for _, k := range r.Registers {
 			if !proto.Equal(k, state[k.Key]) {
 				t.Errorf("%s is another", k.Key)
 			}
@@ -229,7 +229,7 @@
 	if err := Copy(filepath.Dir(p), to); err != nil {
 		t.Fatal(err)
 	}
-	es, err := played(filepath.Join(to, filepath.Base(p)))
+	es, err := replay(filepath.Join(to, filepath.Base(p)))
 	if err != nil || len(es) != 12 {
 		t.Fatalf("%d entries: %v", len(es), err)
 	}
@@ -240,7 +240,7 @@
 	if err := os.WriteFile(p, b, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := Copy(filepath.Dir(p), filepath.Join(t.TempDir(), "other")); !ErrDamaged.Has(err) {
+	if err := Copy(filepath.Dir(p), filepath.Join(t.TempDir(), "other")); !ErrCorrupt.Has(err) {
 		t.Fatalf("damage: %v", err)
 	}
 }
--- a/voterview/doubts.go
+++ b/voterview/doubts.go
@@ -15,122 +15,122 @@
 // the first halfway. Hence whoever doubts asks: a voter that knows what was agreed
 // says so, and since that is a fact its word alone is enough.
 
-// mostDoubts is how many registers are asked for at a time.
-const mostDoubts = 64
+// maxUnconfirmedPerPoll is how many registers are asked for at a time.
+const maxUnconfirmedPerPoll = 64
 
 const (
-	// askFactor is how much later each next voter is asked while no answer came.
-	askFactor = 4
-	// mostAskWait is the longest time between two questions.
-	mostAskWait = 2_400_000
+	// inquiryBackoffFactor is how much later each next voter is asked while no answer came.
+	inquiryBackoffFactor = 4
+	// maxInquiryDelay is the longest time between two questions.
+	maxInquiryDelay = 2_400_000
 )
 
 // Learn takes a value that is known to be agreed, under a membership.
-func (v *View) Learn(now int64, key string, value *schema.Value, membership uint64) {
+func (v *Learner) Learn(now int64, key string, value *schema.Value, membership uint64) {
 	if value.GetRevision() == 0 {
 		return
 	}
 	v.now = max(v.now, now)
 	v.learn(key, value.Revision, value.Data, membership)
-	v.leaseAnew()
+	v.recountLeases()
 }
 
-func (v *View) learn(key string, revision uint64, data []byte, membership uint64) {
-	known := v.chosen[key]
+func (v *Learner) learn(key string, revision uint64, data []byte, membership uint64) {
+	known := v.committed[key]
 	switch {
 	case revision < known.Revision:
 		return
 	case revision == known.Revision:
 		if !bytes.Equal(known.Data, data) {
-			v.checks.Broken(invariant.AgreedChanged, "%s revision %d is known with two contents", key, revision)
+			v.checks.Violated(invariant.CommittedValueChanged, "%s revision %d is known with two contents", key, revision)
 		}
 		known.Membership = max(known.Membership, membership)
-		v.chosen[key] = known
+		v.committed[key] = known
 		return
 	}
-	delete(v.missing, key)
-	v.chosen[key] = Chosen{Revision: revision, Data: data, Membership: membership}
-	v.seen[key] = max(v.seen[key], revision)
-	v.changed[key] = true
-	v.noteDoubt(key)
+	delete(v.missingData, key)
+	v.committed[key] = CommittedValue{Revision: revision, Data: data, Membership: membership}
+	v.highestSeen[key] = max(v.highestSeen[key], revision)
+	v.changedKeys[key] = true
+	v.updateUnconfirmed(key)
 }
 
-// noteDoubt takes down since when a register is in doubt.
-func (v *View) noteDoubt(key string) {
+// updateUnconfirmed takes down since when a register is in doubt.
+func (v *Learner) updateUnconfirmed(key string) {
 	switch {
-	case !v.Doubt(key):
-		delete(v.doubted, key)
-	case v.doubted[key] == 0:
-		v.doubted[key] = v.now
+	case !v.Unconfirmed(key):
+		delete(v.unconfirmedSince, key)
+	case v.unconfirmedSince[key] == 0:
+		v.unconfirmedSince[key] = v.now
 	}
 }
 
-// question is what the voters are asked of registers in doubt. The answer may be large
+// unconfirmedInquiry is what the voters are asked of registers in doubt. The answer may be large
 // and take seconds, so the next voter is asked ever later while none came.
-type question struct {
-	to    string // the voter that was asked last
-	look  uint64 // number of the look that asked
-	again int64  // when the next voter is asked
-	wait  int64  // how long after that the one behind it
+type unconfirmedInquiry struct {
+	askedVoter string // the voter that was asked last
+	poll       uint64 // number of the look that asked
+	retryAt    int64  // when the next voter is asked
+	retryDelay int64  // how long after that the one behind it
 }
 
-// doubts are the registers that a voter is to be asked for, each time another voter.
+// dueInquiry are the registers that a voter is to be asked for, each time another voter.
 // It also has the bodies of what changes next come from that voter.
-func (v *View) doubts(now int64) []*schema.Held {
-	if len(v.doubted) == 0 {
-		v.question = question{wait: doubtWait}
+func (v *Learner) dueInquiry(now int64) []*schema.KeyRevision {
+	if len(v.unconfirmedSince) == 0 {
+		v.inquiry = unconfirmedInquiry{retryDelay: unconfirmedTimeout}
 		return nil
 	}
-	if now < v.question.again {
+	if now < v.inquiry.retryAt {
 		return nil
 	}
-	var out []*schema.Held
-	for _, key := range slices.Sorted(maps.Keys(v.doubted)) {
-		if now-v.doubted[key] >= doubtWait && len(out) < mostDoubts {
-			out = append(out, &schema.Held{Key: key, Revision: v.chosen[key].Revision})
+	var out []*schema.KeyRevision
+	for _, key := range slices.Sorted(maps.Keys(v.unconfirmedSince)) {
+		if now-v.unconfirmedSince[key] >= unconfirmedTimeout && len(out) < maxUnconfirmedPerPoll {
+			out = append(out, &schema.KeyRevision{Key: key, Revision: v.committed[key].Revision})
 		}
 	}
 	if len(out) > 0 {
-		v.body++
-		v.question.wait = min(askFactor*v.question.wait, mostAskWait)
-		v.question.again = now + v.question.wait
-		v.question.to, v.question.look = v.bodyFrom(), v.number
+		v.dataSourceIndex++
+		v.inquiry.retryDelay = min(inquiryBackoffFactor*v.inquiry.retryDelay, maxInquiryDelay)
+		v.inquiry.retryAt = now + v.inquiry.retryDelay
+		v.inquiry.askedVoter, v.inquiry.poll = v.dataSource(), v.newestPoll
 	}
 	return out
 }
 
-// answered notes that a voter returned a look: if it was asked and did not know, the
+// inquiryAnswered notes that a voter returned a look: if it was asked and did not know, the
 // next one is asked without waiting.
-func (v *View) answered(from string, look uint64) {
-	if q := &v.question; q.to == from && look >= q.look {
-		q.to, q.again, q.wait = "", v.now, doubtWait
+func (v *Learner) inquiryAnswered(from string, look uint64) {
+	if q := &v.inquiry; q.askedVoter == from && look >= q.poll {
+		q.askedVoter, q.retryAt, q.retryDelay = "", v.now, unconfirmedTimeout
 	}
 }
 
-// newerHeld reports whether a majority of the voters holds something newer of a
+// majorityHasNewer reports whether a majority of the voters holds something newer of a
 // register than what is known here, so that it is agreed or about to be.
-func (v *View) newerHeld(key string) bool {
+func (v *Learner) majorityHasNewer(key string) bool {
 	held := 0
-	for o, x := range v.vs {
-		if v.counts(o, x) && x.cells[key].GetValue().GetRevision() > v.chosen[key].Revision {
+	for o, x := range v.voters {
+		if v.isActiveVoter(o, x) && x.cells[key].GetValue().GetRevision() > v.committed[key].Revision {
 			held++
 		}
 	}
 	return held >= v.membership.Quorum()
 }
 
-// checkDoubts holds that what a majority holds is learned soon while a majority returns
+// checkUnconfirmed holds that what a majority holds is learned soon while a majority returns
 // looks, however late.
-func (v *View) checkDoubts(now int64) {
-	if now-v.answeredAt >= heardLately {
-		v.apart = now // nobody can be asked, whoever is heard
+func (v *Learner) checkUnconfirmed(now int64) {
+	if now-v.majorityRespondedAt >= responsiveWindow {
+		v.disconnectedAt = now // nobody can be asked, whoever is heard
 	}
-	for key, since := range v.doubted {
-		if now-max(since, v.apart) >= learnWithin && v.newerHeld(key) {
-			v.checks.Broken(invariant.LearnedLate, "in doubt for %d ms: %s", (now-since)/1000, v.Standing(now, key))
+	for key, since := range v.unconfirmedSince {
+		if now-max(since, v.disconnectedAt) >= maxLearnDelay && v.majorityHasNewer(key) {
+			v.checks.Violated(invariant.LearnedTooLate, "in doubt for %d ms: %s", (now-since)/1000, v.DescribeRegister(now, key))
 		}
 	}
 }
 
 // Checks are the counts of what has to hold of what this process learned.
-func (v *View) Checks() *invariant.Checks { return &v.checks }
+func (v *Learner) Checks() *invariant.Checks { return &v.checks }
--- a/whatif/whatif.go
+++ b/whatif/whatif.go
@@ -19,32 +19,32 @@
 	"stoneford/standin/checker"
 )
 
-// Case is a deployment and its burden.
-type Case struct {
+// Scenario is a deployment and its burden.
+type Scenario struct {
 	Plan simulation.Plan
 	Rate float64 // queries a second
-	// AtUs is when what is asked about comes, ForUs how long is looked at from
+	// ChangeAtUs is when what is asked about comes, MeasureUs how long is looked at from
 	// then on.
-	AtUs  int64
-	ForUs int64
+	ChangeAtUs int64
+	MeasureUs  int64
 }
 
 // Examples are today's sizes.
-var Examples = map[string]Case{
-	"pharmacies": example("pharmacies", 11, []string{"cluj", "iasi", "brasov"}, "inventory", 65),
-	"lender":     example("lender", 10, []string{"north", "middle", "south"}, "ledger", 80),
+var Examples = map[string]Scenario{
+	"pharmacies": exampleScenario("pharmacies", 11, []string{"cluj", "iasi", "brasov"}, "inventory", 65),
+	"lender":     exampleScenario("lender", 10, []string{"north", "middle", "south"}, "ledger", 80),
 }
 
-func example(partner string, machines int, zones []string, group string, connections int32) Case {
-	return Case{Rate: 450, AtUs: 5_000_000, ForUs: 10_000_000, Plan: simulation.Plan{Partner: partner, Machines: machines, Zones: zones,
-		Groups: []string{group + "-1", group + "-2", group + "-3"}, Connections: connections, Sessions: 290, ServiceUs: 1_000, Servers: 8, LagUs: 5_000, BetweenUs: 1_000}}
+func exampleScenario(partner string, machines int, zones []string, group string, connections int32) Scenario {
+	return Scenario{Rate: 450, ChangeAtUs: 5_000_000, MeasureUs: 10_000_000, Plan: simulation.Plan{Partner: partner, Machines: machines, Zones: zones,
+		Groups: []string{group + "-1", group + "-2", group + "-3"}, Connections: connections, Sessions: 290, ServiceUs: 1_000, DatabaseServers: 8, LagUs: 5_000, CrossZoneDelayUs: 1_000}}
 }
 
 // Change is one thing asked about.
 type Change struct {
-	Text  string
-	setup func(*Case) error                    // before the start
-	event func(*simulation.Fleet, *Case) error // at its time
+	Text   string
+	apply  func(*Scenario) error                    // before the start
+	inject func(*simulation.Fleet, *Scenario) error // at its time
 }
 
 // Help lists what can be asked.
@@ -59,18 +59,18 @@
 positions only         nodes know even their own commits as positions only`
 
 var (
-	reLag    = regexp.MustCompile(`^replication lags (\d+) ?(s|ms)$`)
-	reLoad   = regexp.MustCompile(`^burden x(\d+(?:\.\d+)?)$`)
-	reConn   = regexp.MustCompile(`^connections (\d+)$`)
-	reMach   = regexp.MustCompile(`^machines (\d+)$`)
-	reZone   = regexp.MustCompile(`^(?:zone )?(\S+) gone$`)
-	reSlow   = regexp.MustCompile(`^slow (.+) (\d+) ?(s|ms)$`)
-	reChoice = regexp.MustCompile(`^choice (random|least-burden)$`)
-	reOut    = regexp.MustCompile(`^(.+?)(?: is)? out$`)
-	errName  = errs.Class("what if")
+	lagPattern         = regexp.MustCompile(`^replication lags (\d+) ?(s|ms)$`)
+	loadPattern        = regexp.MustCompile(`^burden x(\d+(?:\.\d+)?)$`)
+	connectionsPattern = regexp.MustCompile(`^connections (\d+)$`)
+	machinesPattern    = regexp.MustCompile(`^machines (\d+)$`)
+	zonePattern        = regexp.MustCompile(`^(?:zone )?(\S+) gone$`)
+	slowPattern        = regexp.MustCompile(`^slow (.+) (\d+) ?(s|ms)$`)
+	choicePattern      = regexp.MustCompile(`^choice (random|least-burden)$`)
+	databaseOutPattern = regexp.MustCompile(`^(.+?)(?: is)? out$`)
+	errWhatIf          = errs.Class("what if")
 )
 
-func us(n, unit string) int64 {
+func parseMicroseconds(n, unit string) int64 {
 	v, _ := strconv.ParseInt(n, 10, 64)
 	return v * lo.Ternary(unit == "s", int64(1_000_000), 1_000)
 }
@@ -80,14 +80,14 @@
 	t := strings.Join(strings.Fields(strings.ToLower(text)), " ")
 	c := Change{Text: t}
 	connections := func(f func(int32) int32) {
-		c.setup = func(k *Case) error {
+		c.apply = func(k *Scenario) error {
 			if k.Plan.Configuration == nil {
 				k.Plan.Connections = f(k.Plan.Connections)
 				return nil
 			}
 			cf, ps := settings.ReadConfiguration(k.Plan.Configuration)
 			if len(ps) > 0 {
-				return errName.New("%s", ps[0])
+				return errWhatIf.New("%s", ps[0])
 			}
 			for _, d := range cf.Databases {
 				d.Connections = f(d.Connections)
@@ -97,71 +97,71 @@
 			return err
 		}
 	}
-	if m := reLag.FindStringSubmatch(t); m != nil {
-		c.event = func(f *simulation.Fleet, _ *Case) error { f.Lag(us(m[1], m[2])); return nil }
-	} else if m := reLoad.FindStringSubmatch(t); m != nil {
+	if m := lagPattern.FindStringSubmatch(t); m != nil {
+		c.inject = func(f *simulation.Fleet, _ *Scenario) error { f.SetLag(parseMicroseconds(m[1], m[2])); return nil }
+	} else if m := loadPattern.FindStringSubmatch(t); m != nil {
 		x, err := strconv.ParseFloat(m[1], 64)
 		if err != nil || x <= 0 {
-			return c, errName.New("%q: not a burden", text)
+			return c, errWhatIf.New("%q: not a burden", text)
 		}
-		c.setup = func(k *Case) error { k.Rate *= x; return nil }
+		c.apply = func(k *Scenario) error { k.Rate *= x; return nil }
 	} else if t == "half the connections" {
 		connections(func(n int32) int32 { return max(1, n/2) })
-	} else if m := reConn.FindStringSubmatch(t); m != nil {
+	} else if m := connectionsPattern.FindStringSubmatch(t); m != nil {
 		n, err := strconv.ParseInt(m[1], 10, 32)
 		if err != nil || n < 1 {
-			return c, errName.New("%q: not a number of connections", text)
+			return c, errWhatIf.New("%q: not a number of connections", text)
 		}
 		connections(func(int32) int32 { return int32(n) })
-	} else if m := reMach.FindStringSubmatch(t); m != nil {
+	} else if m := machinesPattern.FindStringSubmatch(t); m != nil {
 		n, err := strconv.Atoi(m[1])
 		if err != nil || n < 1 {
-			return c, errName.New("%q: not a number of machines", text)
+			return c, errWhatIf.New("%q: not a number of machines", text)
 		}
-		c.setup = func(k *Case) error { k.Plan.Machines = n; return nil }
-	} else if m := reSlow.FindStringSubmatch(t); m != nil {
-		c.event = func(f *simulation.Fleet, _ *Case) error {
+		c.apply = func(k *Scenario) error { k.Plan.Machines = n; return nil }
+	} else if m := slowPattern.FindStringSubmatch(t); m != nil {
+		c.inject = func(f *simulation.Fleet, _ *Scenario) error {
 			n, err := database(f, m[1])
 			if err == nil {
-				f.Slow(n, us(m[2], m[3]))
+				f.SetSlow(n, parseMicroseconds(m[2], m[3]))
 			}
 			return err
 		}
-	} else if m := reChoice.FindStringSubmatch(t); m != nil {
-		c.setup = func(k *Case) error { k.Plan.Choice = m[1]; return nil }
+	} else if m := choicePattern.FindStringSubmatch(t); m != nil {
+		c.apply = func(k *Scenario) error { k.Plan.Choice = m[1]; return nil }
 	} else if t == "positions only" {
-		c.setup = func(k *Case) error { k.Plan.Position = true; return nil }
-	} else if m := reZone.FindStringSubmatch(t); m != nil {
-		c.event = func(f *simulation.Fleet, k *Case) error {
+		c.apply = func(k *Scenario) error { k.Plan.Position = true; return nil }
+	} else if m := zonePattern.FindStringSubmatch(t); m != nil {
+		c.inject = func(f *simulation.Fleet, k *Scenario) error {
 			if !slices.Contains(k.Plan.Zones, m[1]) {
-				return errName.New("no zone %q; there are: %s", m[1], strings.Join(k.Plan.Zones, ", "))
+				return errWhatIf.New("no zone %q; there are: %s", m[1], strings.Join(k.Plan.Zones, ", "))
 			}
-			f.ZoneGone(m[1])
+			f.CrashZone(m[1])
 			return nil
 		}
-	} else if m := reOut.FindStringSubmatch(t); m != nil {
-		c.event = func(f *simulation.Fleet, _ *Case) error {
+	} else if m := databaseOutPattern.FindStringSubmatch(t); m != nil {
+		c.inject = func(f *simulation.Fleet, _ *Scenario) error {
 			n, err := database(f, m[1])
 			if err == nil {
-				f.KillDB(n)
+				f.KillDatabase(n)
 			}
 			return err
 		}
 	} else {
-		return c, errName.New("%q is not understood; these are:\n%s", text, Help)
+		return c, errWhatIf.New("%q is not understood; these are:\n%s", text, Help)
 	}
 	return c, nil
 }
 
 // database finds the one database that words name.
 func database(f *simulation.Fleet, words string) (string, error) {
-	var ws []language.Word
+	var ws []language.Token
 	for i, w := range strings.Fields(words) {
-		ws = append(ws, language.Word{Text: w, Column: i + 1})
+		ws = append(ws, language.Token{Text: w, Column: i + 1})
 	}
-	p, err := language.Resolve(ws, f.Places(), false)
+	p, err := language.Resolve(ws, f.DatabasePlacements(), false)
 	if err != nil {
-		return "", errName.New("%s: %w", words, err)
+		return "", errWhatIf.New("%s: %w", words, err)
 	}
 	return p.Name, nil
 }
@@ -188,11 +188,11 @@
 	P99Us  int64   `json:"p99_us"`
 }
 
-// one runs one seed.
-func one(k Case, cs []Change, seed uint64) (Figures, error) {
+// runOnce runs one seed.
+func runOnce(k Scenario, cs []Change, seed uint64) (Figures, error) {
 	for _, c := range cs {
-		if c.setup != nil {
-			if err := c.setup(&k); err != nil {
+		if c.apply != nil {
+			if err := c.apply(&k); err != nil {
 				return Figures{}, err
 			}
 		}
@@ -205,26 +205,26 @@
 	f.PutConfiguration(nil)
 	f.Run(f.Now + 3_000_000)
 	f.Callers()
-	f.Run(f.Now + k.AtUs)
+	f.Run(f.Now + k.ChangeAtUs)
 	for _, c := range cs {
-		if c.event != nil {
-			if err := c.event(f, &k); err != nil {
+		if c.inject != nil {
+			if err := c.inject(f, &k); err != nil {
 				return Figures{}, err
 			}
 		}
 	}
 	at := f.Now
 	before := f.Counts()
-	f.Run(at + k.ForUs)
+	f.Run(at + k.MeasureUs)
 	end, after := f.Now, f.Counts()
 	v := f.Finish()
-	ss := lo.Filter(f.Truth.Samples, func(s simulation.Sample, _ int) bool { return s.AtUs >= at && s.AtUs < end })
+	ss := lo.Filter(f.Oracle.Samples, func(s simulation.Sample, _ int) bool { return s.AtUs >= at && s.AtUs < end })
 	ts := simulation.Took(ss)
 	g := Figures{Queries: len(ss), Served: simulation.Served(ss), P50Us: checker.Quantile(ts, 0.5), P99Us: checker.Quantile(ts, 0.99), Kinds: map[string]Kind{},
-		Copies: map[string]float64{}, Ages: v.Ages, Uncertain: v.Unsure, Broken: len(v.Violations)}
+		Copies: map[string]float64{}, Ages: v.Ages, Uncertain: v.InDoubt, Broken: len(v.Violations)}
 	g.Polls = float64(after.Polls-before.Polls) / float64(max(1, after.Queries-before.Queries))
 	g.FirstTry = simulation.Served(lo.Map(ss, func(s simulation.Sample, _ int) simulation.Sample {
-		if s.Tries > 1 {
+		if s.Attempts > 1 {
 			s.Outcome = ""
 		}
 		return s
@@ -234,9 +234,9 @@
 		g.Kinds[n] = Kind{Served: simulation.Served(l), P50Us: checker.Quantile(t, 0.5), P99Us: checker.Quantile(t, 0.99)}
 	}
 	reads := lo.Filter(ss, func(s simulation.Sample, _ int) bool {
-		return s.Copy != "" && s.Kind != "reservation" && s.Kind != "transaction"
+		return s.Database != "" && s.Kind != "reservation" && s.Kind != "transaction"
 	})
-	for c, n := range lo.CountValuesBy(reads, func(s simulation.Sample) string { return s.Copy }) {
+	for c, n := range lo.CountValuesBy(reads, func(s simulation.Sample) string { return s.Database }) {
 		g.Copies[c] = float64(n) / float64(len(reads))
 	}
 	return g, nil
@@ -256,18 +256,18 @@
 
 func (s Spread) String() string { return fmt.Sprintf("%.4g (%.4g to %.4g)", s.Median, s.Min, s.Max) }
 
-// Return holds the figures of all seeds.
-type Return struct {
-	Asked []string  `json:"asked"`
-	Seeds []uint64  `json:"seeds"`
-	Runs  []Figures `json:"runs"`
+// Report holds the figures of all seeds.
+type Report struct {
+	Changes []string  `json:"asked"`
+	Seeds   []uint64  `json:"seeds"`
+	Runs    []Figures `json:"runs"`
 }
 
-// Ask runs a case over seeds.
-func Ask(k Case, cs []Change, seeds []uint64) (Return, error) {
-	a := Return{Seeds: seeds, Runs: make([]Figures, len(seeds))}
+// Answer runs a case over seeds.
+func Answer(k Scenario, cs []Change, seeds []uint64) (Report, error) {
+	a := Report{Seeds: seeds, Runs: make([]Figures, len(seeds))}
 	for _, c := range cs {
-		a.Asked = append(a.Asked, c.Text)
+		a.Changes = append(a.Changes, c.Text)
 	}
 	es := make([]error, len(seeds))
 	var wg sync.WaitGroup
@@ -276,14 +276,14 @@
 		wg.Go(func() {
 			gate <- struct{}{}
 			defer func() { <-gate }()
-			a.Runs[i], es[i] = one(k, cs, s)
+			a.Runs[i], es[i] = runOnce(k, cs, s)
 		})
 	}
 	wg.Wait()
 	return a, errs.Combine(es...)
 }
 
-// Of sums one figure over the seeds.
-func (a Return) Of(f func(Figures) float64) Spread {
+// Figures sums one figure over the seeds.
+func (a Report) Figures(f func(Figures) float64) Spread {
 	return spread(lo.Map(a.Runs, func(g Figures, _ int) float64 { return f(g) }))
 }
--- a/whatif/whatif_test.go
+++ b/whatif/whatif_test.go
@@ -9,8 +9,8 @@
 func TestWhatIf(t *testing.T) {
 	k := Examples["pharmacies"]
 	k.Plan.Machines, k.Plan.Groups, k.Plan.Sessions, k.Rate = 3, []string{"inventory-1"}, 30, 60
-	k.AtUs, k.ForUs = 2_000_000, 5_000_000
-	ask := func(ts ...string) Return {
+	k.ChangeAtUs, k.MeasureUs = 2_000_000, 5_000_000
+	ask := func(ts ...string) Report {
 		t.Helper()
 		var cs []Change
 		for _, x := range ts {
@@ -20,11 +20,11 @@
 			}
 			cs = append(cs, c)
 		}
-		a, err := Ask(k, cs, []uint64{1, 2})
+		a, err := Answer(k, cs, []uint64{1, 2})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if b := a.Of(func(f Figures) float64 { return float64(f.Broken) }); b.Max > 0 {
+		if b := a.Figures(func(f Figures) float64 { return float64(f.Broken) }); b.Max > 0 {
 			t.Errorf("%v: %v promises are broken", ts, b.Max)
 		}
 		return a
@@ -32,22 +32,22 @@
 	age := func(f Figures) float64 { return float64(f.Ages["lookup"].MaxUs) }
 	queries := func(f Figures) float64 { return float64(f.Queries) }
 	is := ask()
-	if is.Of(func(f Figures) float64 { return f.Served }).Min < 0.999 {
+	if is.Figures(func(f Figures) float64 { return f.Served }).Min < 0.999 {
 		t.Errorf("as it is: %+v", is.Runs)
 	}
-	if a := ask("the Iasi replica out"); a.Of(func(f Figures) float64 { return f.Copies["inventory-1-b"] }).Max > 0.01 {
+	if a := ask("the Iasi replica out"); a.Figures(func(f Figures) float64 { return f.Copies["inventory-1-b"] }).Max > 0.01 {
 		t.Errorf("reads still go to what is out: %+v", a.Runs[0].Copies)
 	}
-	if a := ask("replication lags 700 ms"); a.Of(age).Min < 300_000 || a.Of(age).Max > 1_500_000 {
-		t.Errorf("with a lag of 700 ms the greatest age is %v", a.Of(age))
+	if a := ask("replication lags 700 ms"); a.Figures(age).Min < 300_000 || a.Figures(age).Max > 1_500_000 {
+		t.Errorf("with a lag of 700 ms the greatest age is %v", a.Figures(age))
 	}
-	if a := ask("replication lags 20 s"); a.Of(age).Max > 1_500_000 || a.Of(func(f Figures) float64 { return f.Served }).Min < 0.9 {
-		t.Errorf("with a lag of 20 s: age %v, %+v", a.Of(age), a.Runs)
+	if a := ask("replication lags 20 s"); a.Figures(age).Max > 1_500_000 || a.Figures(func(f Figures) float64 { return f.Served }).Min < 0.9 {
+		t.Errorf("with a lag of 20 s: age %v, %+v", a.Figures(age), a.Runs)
 	}
-	if a := ask("burden x3"); a.Of(queries).Min < 1.5*is.Of(queries).Max {
-		t.Errorf("three times the burden gives %v queries of %v", a.Of(queries), is.Of(queries))
+	if a := ask("burden x3"); a.Figures(queries).Min < 1.5*is.Figures(queries).Max {
+		t.Errorf("three times the burden gives %v queries of %v", a.Figures(queries), is.Figures(queries))
 	}
-	if a := ask("iasi gone", "half the connections"); a.Of(func(f Figures) float64 { return f.Served }).Min < 0.8 {
+	if a := ask("iasi gone", "half the connections"); a.Figures(func(f Figures) float64 { return f.Served }).Min < 0.8 {
 		t.Errorf("with a zone gone: %+v", a.Runs)
 	}
 	if _, err := Parse("everything is fine"); err == nil {
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Ask(k, []Change{c}, []uint64{1}); err == nil {
+	if _, err := Answer(k, []Change{c}, []uint64{1}); err == nil {
 		t.Error("a place that is not there is taken")
 	}
 }
