--- a/permits/permits.go
+++ b/permits/permits.go
@@ -130,7 +130,9 @@
 
 // Complete says whether all that may be in use is known: not yet to a holder that
 // took over from one that did not tell.
-func (h *Lessor) Complete(now int64) bool { return h.complete || now >= h.startedAt+leaseEndWithMarginUs }
+func (h *Lessor) Complete(now int64) bool {
+	return h.complete || now >= h.startedAt+leaseEndWithMarginUs
+}
 
 // MaxInUse is what may be in use of a database at the most.
 func (h *Lessor) MaxInUse(now int64, db string) int32 {
--- a/sessiontable/place.go
+++ b/sessiontable/place.go
@@ -24,7 +24,7 @@
 	if db.Zone == t.zone {
 		durationUs = t.options.LocalZoneRunUs
 	}
-	if db.runUs[i] == 0 || t.now > db.runUpdatedUs[i]+t.options.RunTimeExpiryUs && db.runUs[i] > durationUs {
+	if db.runUs[i] == 0 || t.now > db.runUpdatedUs[i]+t.options.RunTimeRetentionUs && db.runUs[i] > durationUs {
 		return durationUs // unknown, or so long ago that it is worth a try
 	}
 	return db.runUs[i]
--- a/sessiontable/table.go
+++ b/sessiontable/table.go
@@ -34,7 +34,7 @@
 	RemoteZoneRunUs         int64 // and elsewhere
 	CrossZonePenaltyUs      int64 // what a crossing between zones counts beyond its time
 	PrimaryReadPenaltyUs    int64 // what a read that a follower could take counts at the primary
-	RunTimeExpiryUs         int64 // a run time not fed for so long counts no more if it was long
+	RunTimeRetentionUs      int64 // a run time not fed for so long counts no more if it was long
 	ReadyGraceUs            int64 // the node calls itself ready so long after its lease ran out
 	RoutingGraceUs          int64 // statements are routed by the table so long after its lease ran out
 	IdleTransactionMarginUs int64 // a transaction may rest so much longer than its limit
@@ -70,7 +70,7 @@
 	def(&o.PrimaryReadPenaltyUs, 10_000)
 	def(&o.ReadyGraceUs, 3*o.LeaseUs)
 	def(&o.RoutingGraceUs, 1_000_000)
-	def(&o.RunTimeExpiryUs, 5_000_000)
+	def(&o.RunTimeRetentionUs, 5_000_000)
 	def(&o.IdleTransactionMarginUs, 200_000)
 	def(&o.PrimaryDenialUs, 2_000_000)
 	num := func(p *int, v int) {
--- a/voterview/voterview.go
+++ b/voterview/voterview.go
@@ -35,10 +35,10 @@
 	LeaseDurationUs = 1_100_000
 	// LeaseEndBoundUs is when, on another's clock, such a lease has surely run out: a
 	// tenth longer, for clocks that run at different rates.
-	LeaseEndBoundUs = LeaseDurationUs * 11 / 10
-	pollInterval       = 420_000
-	pollRetryInterval  = 150_000 // where the lease is missing
-	minPollGap         = 8_000   // least time between two looks asked for
+	LeaseEndBoundUs   = LeaseDurationUs * 11 / 10
+	pollInterval      = 420_000
+	pollRetryInterval = 150_000 // where the lease is missing
+	minPollGap        = 8_000   // least time between two looks asked for
 	// maxPollsInFlight is how many looks are under way at most, and pollLostTimeout how long one
 	// counts that no majority returns: where returns take long, more looks would only
 	// make them later.
