--- a/cmd/stoneford-control/main.go
+++ b/cmd/stoneford-control/main.go
@@ -8,10 +8,10 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/samber/do/v2"
 
-	"stoneford/control"
-	"stoneford/coordinator"
-	"stoneford/daemon"
-	"stoneford/platform"
+	"stoneford/internal/control"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/daemon"
+	"stoneford/internal/platform"
 	"stoneford/schema"
 )
 
--- a/cmd/stoneford-pool/main.go
+++ b/cmd/stoneford-pool/main.go
@@ -8,9 +8,9 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/samber/do/v2"
 
-	"stoneford/daemon"
-	"stoneford/platform"
-	"stoneford/pool"
+	"stoneford/internal/daemon"
+	"stoneford/internal/platform"
+	"stoneford/internal/pool"
 	"stoneford/schema"
 )
 
--- a/cmd/stoneford-simulate/main.go
+++ b/cmd/stoneford-simulate/main.go
@@ -14,9 +14,9 @@
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
-	"stoneford/settings"
-	"stoneford/standin/checker"
-	"stoneford/whatif"
+	"stoneford/emulator/checker"
+	"stoneford/emulator/whatif"
+	"stoneford/internal/settings"
 )
 
 func main() {
--- a/cmd/stoneford/data.go
+++ b/cmd/stoneford/data.go
@@ -13,8 +13,8 @@
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
+	"stoneford/internal/wal"
 	"stoneford/schema"
-	"stoneford/voterlog"
 )
 
 // dataCommand looks at a voter's folder, without a fleet.
@@ -81,7 +81,7 @@
 	if err != nil {
 		return dataReport{}, err
 	}
-	r, err := voterlog.Inspect(folder)
+	r, err := wal.Inspect(folder)
 	d := dataReport{Folder: folder, Format: r.Format, File: r.File, Bytes: r.Bytes, Frames: r.Frames, Entries: r.Entries, TornBytes: r.TornBytes,
 		Leftover: r.Leftovers, DiskID: hexadecimal(r.DiskID), Membership: r.Membership.GetNumber(), Active: r.ActiveMembership,
 		Voters: lo.Map(r.Membership.GetVoters(), func(v *schema.Voter, _ int) dataVoter { return dataVoter{v.Address, hexadecimal(v.DiskId)} }),
@@ -143,7 +143,7 @@
 		return err
 	}
 	to := c.Args().Get(1)
-	if err := voterlog.Copy(from, to); err != nil {
+	if err := wal.Copy(from, to); err != nil {
 		return err
 	}
 	fmt.Printf("copied %s to %s and read it back\n", from, to)
--- a/cmd/stoneford/data_test.go
+++ b/cmd/stoneford/data_test.go
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
+	"stoneford/internal/wal"
 	"stoneford/schema"
-	"stoneford/voterlog"
 )
 
 func TestInspectVoterFolder(t *testing.T) {
 	own := t.TempDir()
-	l, err := voterlog.Open(filepath.Join(own, "voter"), func(*schema.WALEntry) {})
+	l, err := wal.Open(filepath.Join(own, "voter"), func(*schema.WALEntry) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	to := filepath.Join(t.TempDir(), "copy")
-	if err := voterlog.Copy(filepath.Join(own, "voter"), to); err != nil {
+	if err := wal.Copy(filepath.Join(own, "voter"), to); err != nil {
 		t.Fatal(err)
 	}
 	for _, folder := range []string{own, filepath.Join(own, "voter"), to} {
--- a/cmd/stoneford/fleet.go
+++ b/cmd/stoneford/fleet.go
@@ -9,7 +9,7 @@
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
-	"stoneford/fleetstate"
+	"stoneford/internal/fleetstate"
 )
 
 // fleetCommand asks processes whose databases announce themselves (design 14).
--- a/cmd/stoneford/main.go
+++ b/cmd/stoneford/main.go
@@ -18,10 +18,10 @@
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
-	"stoneford/control"
+	"stoneford/internal/control"
+	"stoneford/internal/operators"
+	"stoneford/internal/replay"
 	"stoneford/language"
-	"stoneford/operators"
-	"stoneford/replay"
 	"stoneford/result"
 )
 
--- a/cmd/stoneford/moves.go
+++ b/cmd/stoneford/moves.go
@@ -18,8 +18,8 @@
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
-	"stoneford/coordinator"
-	"stoneford/operators"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/operators"
 	"stoneford/result"
 )
 
--- a/permits/permits.go
+++ b/connectionlease/connectionlease.go
@@ -1,8 +1,8 @@
-// Package permits divides each database's connection limit among the nodes
+// Package connectionlease divides each database's connection limit among the nodes
 // (design 9.3). A shrink is confirmed before the growth it pays for is given,
 // and a dead node's share returns only after its permit has surely run out on
 // that node's own clock, so the sum never passes the limit.
-package permits
+package connectionlease
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"strconv"
 
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 const (
@@ -158,7 +158,7 @@
 
 // NewLessee makes a node's side for one group.
 func NewLessee(group string, run uint64) *Lessee {
-	return &Lessee{group: group, run: run, requestNumber: step.FirstRequestNumber("permit", group, strconv.FormatUint(run, 10)), leased: map[string]int32{}}
+	return &Lessee{group: group, run: run, requestNumber: statemachine.FirstRequestNumber("permit", group, strconv.FormatUint(run, 10)), leased: map[string]int32{}}
 }
 
 // NextRequest returns an ask when one is due. inUse is how many connections are open
--- a/permits/permits_test.go
+++ b/connectionlease/connectionlease_test.go
@@ -1,4 +1,4 @@
-package permits
+package connectionlease
 
 import (
 	"fmt"
--- a/records/records.go
+++ b/crdt/crdt.go
@@ -1,7 +1,7 @@
-// Package records keeps mergeable records: anyone may write one, the greater
+// Package crdt keeps mergeable records: anyone may write one, the greater
 // stamp wins wherever two meet, and copies are compared by digests over ranges
 // of keys and mended from the newer (design 6).
-package records
+package crdt
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"strings"
 
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // Effects of a step. New has the records that became newer here.
 type Effects struct {
-	Send    []step.Send
+	Send    []statemachine.Send
 	Updated []*schema.Record
 }
 
@@ -118,7 +118,7 @@
 }
 
 // CompareRange opens a comparison of one range with another copy.
-func (s *Store) CompareRange(to, from, until string) step.Send {
+func (s *Store) CompareRange(to, from, until string) statemachine.Send {
 	return s.envelopeTo(to, &schema.Envelope{Body: &schema.Envelope_RangeDigests{RangeDigests: &schema.RangeDigests{
 		Ranges: []*schema.RangeDigest{s.rangeDigest(from, until)}}}})
 }
@@ -188,7 +188,7 @@
 	}
 }
 
-func (s *Store) envelopeTo(to string, e *schema.Envelope) step.Send {
+func (s *Store) envelopeTo(to string, e *schema.Envelope) statemachine.Send {
 	e.From = s.self
-	return step.Send{To: to, Envelope: e}
+	return statemachine.Send{To: to, Envelope: e}
 }
--- a/records/records_test.go
+++ b/crdt/crdt_test.go
@@ -1,4 +1,4 @@
-package records
+package crdt
 
 import (
 	"fmt"
--- a/standin/callers/callers.go
+++ b/emulator/callers/callers.go
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
-	"stoneford/querytable"
+	"stoneford/emulator/checker"
+	"stoneford/internal/querytable"
 	"stoneford/result"
-	"stoneford/standin/checker"
 )
 
 // Load is what callers do.
--- a/standin/checker/checker.go
+++ b/emulator/checker/checker.go
@@ -9,8 +9,8 @@
 	"strings"
 	"sync"
 
+	"stoneford/emulator/databasereplica"
 	"stoneford/result"
-	"stoneford/standin/databasecopy"
 )
 
 // Kinds of reads, each with its own promise.
@@ -167,7 +167,7 @@
 
 // Check holds what callers were told against what the group behind each route
 // holds in the end.
-func (c *Checker) Check(logs map[string][]databasecopy.LogEntry) Verdict {
+func (c *Checker) Check(logs map[string][]databasereplica.LogEntry) Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := Verdict{Violations: slices.Clone(c.violations), Ages: map[string]Ages{}}
@@ -255,7 +255,7 @@
 }
 
 // rowsOf is the rows that one commit changes, sorted, and its tag.
-func rowsOf(e databasecopy.LogEntry) (rows []string, tag string) {
+func rowsOf(e databasereplica.LogEntry) (rows []string, tag string) {
 	for _, w := range e.Writes {
 		r := w.Relation + "/" + w.Key
 		if w.Put != nil || w.Add != 1 && w.Add != -1 {
--- a/standin/databasecopy/copy.go
+++ b/emulator/databasereplica/copy.go
@@ -1,10 +1,10 @@
-// Package databasecopy is the stand-in for one database of a group: it
+// Package databasereplica is the stand-in for one database of a group: it
 // implements docs/database-interface.md over real rows, so that a checker can
 // see double writes, lost commits and the age of each read.
 //
 // Copy is the deterministic part; Server puts HTTP, a log on disk and timers
 // around it.
-package databasecopy
+package databasereplica
 
 import (
 	"fmt"
--- a/standin/databasecopy/server.go
+++ b/emulator/databasereplica/server.go
@@ -1,4 +1,4 @@
-package databasecopy
+package databasereplica
 
 import (
 	"bytes"
--- a/standin/standin-database/main.go
+++ b/emulator/emulated-database/main.go
@@ -1,4 +1,4 @@
-// Command standin-database runs one database's stand-in.
+// Command emulated-database runs one emulated database.
 package main
 
 import (
@@ -12,13 +12,13 @@
 
 	"github.com/urfave/cli/v3"
 
-	"stoneford/links"
-	"stoneford/standin/databasecopy"
+	"stoneford/emulator/databasereplica"
+	"stoneford/internal/transport"
 )
 
 func main() {
 	c := &cli.Command{
-		Name: "standin-database", Usage: "stand-in for one database of a group",
+		Name: "emulated-database", Usage: "emulates one database of a group",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "name", Required: true},
 			&cli.StringFlag{Name: "listen", Required: true},
@@ -30,8 +30,8 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			s, err := databasecopy.NewServer(c.String("name"), rand.Text(), c.String("folder"), c.Int("connections"), links.LocalAddress(c.String("listen")),
-				databasecopy.Faults{ServiceUs: c.Int64("service-us"), LagUs: c.Int64("lag-us")})
+			s, err := databasereplica.NewServer(c.String("name"), rand.Text(), c.String("folder"), c.Int("connections"), transport.LocalAddress(c.String("listen")),
+				databasereplica.Faults{ServiceUs: c.Int64("service-us"), LagUs: c.Int64("lag-us")})
 			if err != nil {
 				return err
 			}
--- a/standin/fleet/callers_test.go
+++ b/emulator/fleet/callers_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"stoneford/emulator/fleet"
 	"stoneford/result"
-	"stoneford/standin/fleet"
 )
 
 // TestCallersErrors: each wrong call has its own code and no effect.
--- a/standin/fleet/faults.go
+++ b/emulator/fleet/faults.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"stoneford/standin/databasecopy"
-	"stoneford/standin/link"
+	"stoneford/emulator/databasereplica"
+	"stoneford/emulator/link"
 )
 
 // Fault is one entry of a schedule.
@@ -129,8 +129,8 @@
 	if p == nil {
 		return n, fmt.Errorf("no process %q", n)
 	}
-	set := func(d databasecopy.Faults) error {
-		return databasecopy.Call(ctx, "http://"+p.http+"/faults", d, nil)
+	set := func(d databasereplica.Faults) error {
+		return databasereplica.Call(ctx, "http://"+p.http+"/faults", d, nil)
 	}
 	const plain = 1000 // the stand-in's own service time
 	switch ft.Action {
@@ -162,19 +162,19 @@
 		p.slow(0)
 		p.signal(syscall.SIGCONT, false)
 	case "slow":
-		return n, set(databasecopy.Faults{ServiceUs: plain + ft.Value})
+		return n, set(databasereplica.Faults{ServiceUs: plain + ft.Value})
 	case "lag":
-		return n, set(databasecopy.Faults{ServiceUs: plain, LagUs: ft.Value})
+		return n, set(databasereplica.Faults{ServiceUs: plain, LagUs: ft.Value})
 	case "lose":
-		return n, set(databasecopy.Faults{ServiceUs: plain, LoseResponses: int(ft.Value)})
+		return n, set(databasereplica.Faults{ServiceUs: plain, LoseResponses: int(ft.Value)})
 	case "dark":
-		return n, set(databasecopy.Faults{ServiceUs: plain, Unresponsive: true})
+		return n, set(databasereplica.Faults{ServiceUs: plain, Unresponsive: true})
 	case "light":
-		return n, set(databasecopy.Faults{ServiceUs: plain})
+		return n, set(databasereplica.Faults{ServiceUs: plain})
 	case "stop-receiving":
-		return n, set(databasecopy.Faults{ServiceUs: plain, StopReceiving: true})
+		return n, set(databasereplica.Faults{ServiceUs: plain, StopReceiving: true})
 	case "stop-applying":
-		return n, set(databasecopy.Faults{ServiceUs: plain, StopApplying: true})
+		return n, set(databasereplica.Faults{ServiceUs: plain, StopApplying: true})
 	case "cut", "mend", "reset", "drop":
 		if ft.Action == "mend" {
 			for _, o := range f.order { // what this one sends passes the links of others
@@ -215,7 +215,7 @@
 	case "boot":
 		return n, rewrite(p.configFile, ft.Value)
 	case "leave", "stay":
-		return n, databasecopy.Call(ctx, "http://"+p.http+"/v1/leave", map[string]bool{"leaving": ft.Action == "leave"}, nil)
+		return n, databasereplica.Call(ctx, "http://"+p.http+"/v1/leave", map[string]bool{"leaving": ft.Action == "leave"}, nil)
 	}
 	return n, nil
 }
--- a/standin/fleet/fleet.go
+++ b/emulator/fleet/fleet.go
@@ -16,12 +16,12 @@
 	"syscall"
 	"time"
 
-	"stoneford/cleanup"
-	"stoneford/databaseclient"
+	"stoneford/emulator/callers"
+	"stoneford/emulator/link"
+	"stoneford/emulator/platform"
+	"stoneford/internal/cleanup"
+	"stoneford/internal/databaseclient"
 	"stoneford/result"
-	"stoneford/standin/callers"
-	"stoneford/standin/link"
-	"stoneford/standin/platform"
 )
 
 // process is one process of the fleet.
@@ -70,7 +70,7 @@
 func Token(partner string) string { return partner + "-token" }
 
 // Programs a fleet is made of.
-var programs = []string{"./cmd/stoneford-pool", "./cmd/stoneford-control", "./standin/standin-database"}
+var programs = []string{"./cmd/stoneford-pool", "./cmd/stoneford-control", "./emulator/emulated-database"}
 
 // Build builds the programs into a folder, from the module's root.
 func Build(ctx context.Context, root, bin string) error {
@@ -127,7 +127,7 @@
 			_, g, _ := strings.Cut(k, "/")
 			n := fmt.Sprintf("%s-%c", g, 'a'+i)
 			f.databaseAddresses[n] = take()
-			p := &process{name: n, kind: "standin-database", ip: f.nextIP()}
+			p := &process{name: n, kind: "emulated-database", ip: f.nextIP()}
 			d, at := filepath.Join(folder, n), p.at(take())
 			p.folder, p.http = d, at
 			f.link(p, f.databaseAddresses[n], at)
--- a/standin/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"stoneford/bookings"
-	"stoneford/control"
+	"stoneford/emulator/callers"
+	"stoneford/emulator/checker"
+	"stoneford/emulator/fleet"
+	"stoneford/internal/control"
+	"stoneford/maintenance"
 	"stoneford/result"
-	"stoneford/standin/callers"
-	"stoneford/standin/checker"
-	"stoneford/standin/fleet"
 )
 
 // started is a small fleet of real processes with all nodes ready.
@@ -182,7 +182,7 @@
 			v, err := f.Operators("pharmacies").Run(ctx, "what is booked today for pharmacies")
 			for _, b := range v.Bookings {
 				if err == nil && b.Id == id {
-					return b.State == bookings.Done
+					return b.State == maintenance.Done
 				}
 			}
 			return false
--- a/standin/fleet/observe.go
+++ b/emulator/fleet/observe.go
@@ -14,10 +14,10 @@
 	"strings"
 	"time"
 
-	"stoneford/control"
-	"stoneford/operators"
-	"stoneford/standin/callers"
-	"stoneford/standin/databasecopy"
+	"stoneford/emulator/callers"
+	"stoneford/emulator/databasereplica"
+	"stoneford/internal/control"
+	"stoneford/internal/operators"
 )
 
 // Until tries f again until it does not fail or the time is over.
@@ -90,8 +90,8 @@
 
 // Logs reads what each group's primary holds, from the copies themselves: the
 // furthest log in the latest epoch.
-func (f *Fleet) Logs(ctx context.Context) (map[string][]databasecopy.LogEntry, error) {
-	out := map[string][]databasecopy.LogEntry{}
+func (f *Fleet) Logs(ctx context.Context) (map[string][]databasereplica.LogEntry, error) {
+	out := map[string][]databasereplica.LogEntry{}
 	for _, k := range f.Shape.groups() {
 		_, g, _ := strings.Cut(k, "/")
 		err := Until(ctx, 20*time.Second, func() error {
@@ -108,7 +108,7 @@
 			if err != nil {
 				return err
 			}
-			var es []databasecopy.LogEntry
+			var es []databasereplica.LogEntry
 			out[k] = es
 			if err := json.Unmarshal(b, &es); err != nil {
 				return err
--- a/fleetsimulation/announcements.go
+++ b/emulator/fleetsimulation/announcements.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 func (d *Database) announceLoop(gen int) {
--- a/fleetsimulation/callers.go
+++ b/emulator/fleetsimulation/callers.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"stoneford/ports"
-	"stoneford/sessiontable"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessiontable"
 )
 
 // callerRoute is one route as callers know it.
--- a/fleetsimulation/controls.go
+++ b/emulator/fleetsimulation/controls.go
@@ -6,10 +6,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/coordinator"
-	"stoneford/ports"
+	"stoneford/failover/fenced"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/ports"
 	"stoneford/schema"
-	"stoneford/switchover"
 )
 
 // Control is one control process with its disk.
@@ -247,12 +247,12 @@
 	wait := d.Call.TimeoutUs
 	if d.Call.Kind != ports.Status {
 		if wait = min(wait, d.Call.Until-c.now()); wait <= 0 {
-			c.post("asks", coordinator.DatabaseReply{Group: d.Group, Reply: switchover.DatabaseReply{ID: d.Call.ID, NotSent: true}})
+			c.post("asks", coordinator.DatabaseReply{Group: d.Group, Reply: fenced.DatabaseReply{ID: d.Call.ID, NotSent: true}})
 			return
 		}
 		f.primaryRoles.commanded(c, d)
 	}
-	end := func(s switchover.DatabaseReply) {
+	end := func(s fenced.DatabaseReply) {
 		if ended || !c.up || c.generation != gen {
 			return
 		}
@@ -263,17 +263,17 @@
 		}
 		c.post("asks", coordinator.DatabaseReply{Group: d.Group, Reply: s})
 	}
-	f.After(int64(float64(wait)/c.clockRate), func() { end(switchover.DatabaseReply{Err: "no answer in time"}) })
-	back := func(s switchover.DatabaseReply) { f.network.carry(ip, c.ip, func() { end(s) }) }
+	f.After(int64(float64(wait)/c.clockRate), func() { end(fenced.DatabaseReply{Err: "no answer in time"}) })
+	back := func(s fenced.DatabaseReply) { f.network.carry(ip, c.ip, func() { end(s) }) }
 	op := ports.Op{Internal: true, Statement: ports.Statement{Kind: d.Call.Kind}, Term: d.Call.Term}
 	run := func(db *Database) {
 		db.command(op, func(statement ports.DatabaseStatus, code ports.Code) {
 			if code != ports.Done {
 				// The edge tells it so: see platform.DatabaseClient and coordinator.Process.
-				back(switchover.DatabaseReply{Err: "the database bounced it", Absent: f.Plan.BusyAsConnectionRefused})
+				back(fenced.DatabaseReply{Err: "the database bounced it", Absent: f.Plan.BusyAsConnectionRefused})
 				return
 			}
-			back(switchover.DatabaseReply{Status: statement})
+			back(fenced.DatabaseReply{Status: statement})
 		})
 	}
 	f.network.carry(c.ip, ip, func() {
@@ -281,13 +281,13 @@
 		switch {
 		case db != nil && db.unresponsive && !db.up:
 		case db == nil || !db.up:
-			back(switchover.DatabaseReply{Err: "refused", Absent: true})
+			back(fenced.DatabaseReply{Err: "refused", Absent: true})
 		case db.id != i.ID || db.group.name != i.Group:
-			back(switchover.DatabaseReply{Err: "another database is there", Absent: true})
+			back(fenced.DatabaseReply{Err: "another database is there", Absent: true})
 		case c.keptConnections[i.ID] == db.generation:
 			run(db)
 		case len(db.connections) >= db.group.limit:
-			back(switchover.DatabaseReply{Err: "too many connections", Absent: f.Plan.BusyAsConnectionRefused})
+			back(fenced.DatabaseReply{Err: "too many connections", Absent: f.Plan.BusyAsConnectionRefused})
 		default:
 			c.keptConnections[i.ID] = db.generation
 			db.work(12_000, true, func() {
--- a/fleetsimulation/databases.go
+++ b/emulator/fleetsimulation/databases.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // entry is one commit on a log.
--- a/fleetsimulation/duties.go
+++ b/emulator/fleetsimulation/duties.go
@@ -3,13 +3,13 @@
 import (
 	"fmt"
 
-	"stoneford/coordinator"
-	"stoneford/voterview"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/learner"
 )
 
 // ownerChangeDelayUs is how long after one holder's call to the platform another's is a turn
 // taken, if both were in touch.
-const ownerChangeDelayUs = 5 * voterview.LeaseDurationUs
+const ownerChangeDelayUs = 5 * learner.LeaseDurationUs
 
 // primaryRoleChecks holds what control processes ask of databases and of the platform
 // against the rule that a group's duty has one holder at a time (ONE).
@@ -76,8 +76,8 @@
 // commanded is called as a command to a database leaves.
 func (d *primaryRoleChecks) commanded(c *Control, e coordinator.DatabaseCall) {
 	d.Commands++
-	v, _ := c.core.Learner().Committed(voterview.LeaderPrefix + e.Group)
-	l, s := voterview.DecodeLeadership(v), d.seen(e.Group)
+	v, _ := c.core.Learner().Committed(learner.LeaderPrefix + e.Group)
+	l, s := learner.DecodeLeadership(v), d.seen(e.Group)
 	if l.RoleOwner != c.name {
 		d.fleet.oracle.violation("ONE: %s commands %s of %s, whose duty %q holds", c.name, e.Call.Instance.ID, e.Group, l.RoleOwner)
 	}
--- a/fleetsimulation/duties_test.go
+++ b/emulator/fleetsimulation/duties_test.go
@@ -5,9 +5,9 @@
 	"sync"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 	"stoneford/schema"
-	"stoneford/voterview"
 )
 
 const (
@@ -17,13 +17,13 @@
 
 // leadership is the newest that any control process knows as agreed.
 func (f *Fleet) leadership(g *group) (*schema.Leadership, uint64) {
-	best := voterview.CommittedValue{}
+	best := learner.CommittedValue{}
 	for _, c := range f.controls {
-		if v, ok := c.core.Learner().Committed(voterview.LeaderPrefix + g.name); ok && c.up && v.Revision > best.Revision {
+		if v, ok := c.core.Learner().Committed(learner.LeaderPrefix + g.name); ok && c.up && v.Revision > best.Revision {
 			best = v
 		}
 	}
-	return voterview.DecodeLeadership(best), best.Revision
+	return learner.DecodeLeadership(best), best.Revision
 }
 
 func (f *Fleet) owner(g *group) *Control {
--- a/fleetsimulation/faults.go
+++ b/emulator/fleetsimulation/faults.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"stoneford/sessiontable"
+	"stoneford/internal/sessiontable"
 )
 
 // Heal mends the network and brings every process back.
--- a/fleetsimulation/fleet.go
+++ b/emulator/fleetsimulation/fleet.go
@@ -8,8 +8,8 @@
 	"slices"
 
 	"stoneford/internal/behaviourhash"
-	"stoneford/ports"
-	"stoneford/sessiontable"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessiontable"
 )
 
 // Mutation is a fault put into a world on purpose, to show that the rule it breaks
--- a/fleetsimulation/moves.go
+++ b/emulator/fleetsimulation/moves.go
@@ -8,10 +8,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/coordinator"
-	"stoneford/ports"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 	"stoneford/schema"
-	"stoneford/voterview"
 )
 
 // moves is what operators ask of groups' sites, and what was seen of that.
@@ -44,7 +44,7 @@
 func (m *moves) observe(c *Control) {
 	f := m.fleet
 	for _, g := range f.groups {
-		if v, ok := c.core.Learner().Committed(voterview.MovePrefix + g.name); ok && v.Revision > m.phases[g.name][0] {
+		if v, ok := c.core.Learner().Committed(learner.MovePrefix + g.name); ok && v.Revision > m.phases[g.name][0] {
 			x := &schema.Move{}
 			if proto.Unmarshal(v.Data, x) != nil {
 				f.oracle.violation("MOVE: a register cannot be read")
@@ -56,8 +56,8 @@
 				m.gate(g, x.TableRevision)
 			}
 		}
-		if v, ok := c.core.Learner().Committed(voterview.LeaderPrefix + g.name); ok {
-			l := voterview.DecodeLeadership(v)
+		if v, ok := c.core.Learner().Committed(learner.LeaderPrefix + g.name); ok {
+			l := learner.DecodeLeadership(v)
 			fs := m.floors[g.name]
 			if ports.Phase(l.Phase) == ports.PhaseServing && l.TableRevision > 0 && (len(fs) == 0 || l.TableRevision > fs[len(fs)-1].table) {
 				m.floors[g.name] = append(fs, floor{l.TableRevision, f.Now, l.Term, l.Term == m.terms[g.name]})
@@ -173,14 +173,14 @@
 func (m *moves) mutate(to string, r *schema.PollResponse) {
 	f := m.fleet
 	if f.nodeAt[to] == f.nodes[0] && f.Now >= m.forgetful {
-		r.Registers = slices.DeleteFunc(r.Registers, func(c *schema.RegisterState) bool { return c.Key == voterview.TableKey })
+		r.Registers = slices.DeleteFunc(r.Registers, func(c *schema.RegisterState) bool { return c.Key == learner.TableKey })
 	}
 	if f.Plan.Mutation != FloorIgnored {
 		return
 	}
 	for _, c := range r.Registers {
-		if strings.HasPrefix(c.Key, voterview.LeaderPrefix) && len(c.Value.GetData()) > 0 {
-			l := voterview.DecodeLeadership(voterview.CommittedValue{Data: c.Value.Data})
+		if strings.HasPrefix(c.Key, learner.LeaderPrefix) && len(c.Value.GetData()) > 0 {
+			l := learner.DecodeLeadership(learner.CommittedValue{Data: c.Value.Data})
 			l.TableRevision = 0
 			b, err := proto.MarshalOptions{Deterministic: true}.Marshal(l)
 			if err != nil {
--- a/fleetsimulation/moves_test.go
+++ b/emulator/fleetsimulation/moves_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // moving runs one seed with moves between sites, under faults of the kinds named,
--- a/fleetsimulation/nodes.go
+++ b/emulator/fleetsimulation/nodes.go
@@ -6,12 +6,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/ports"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
+	"stoneford/internal/sessiontable"
 	"stoneford/schema"
-	"stoneford/sessionpool"
-	"stoneford/sessiontable"
-	"stoneford/step"
-	"stoneford/voterview"
+	"stoneford/statemachine"
 )
 
 const (
@@ -169,7 +169,7 @@
 
 // Envelopes.
 
-func (f *Fleet) sendEnvelope(from string, s step.Send) {
+func (f *Fleet) sendEnvelope(from string, s statemachine.Send) {
 	f.Plan.Observe.Envelope(f.Now, from, s.To, s.Envelope)
 	b, err := proto.Marshal(s.Envelope)
 	if err != nil {
@@ -214,12 +214,12 @@
 	}
 	switch f.Plan.Mutation {
 	case DrainingForgotten:
-		r.Databases = slices.DeleteFunc(r.Databases, func(r *schema.Record) bool { return voterview.DecodeInstance(r).Draining })
+		r.Databases = slices.DeleteFunc(r.Databases, func(r *schema.Record) bool { return learner.DecodeInstance(r).Draining })
 	case GateSkipped, FloorIgnored:
 		f.moves.mutate(to, r)
 	case TablesForgotten:
 		if f.Now > 5_000_000 && f.nodeAt[to] == f.nodes[0] {
-			r.Registers = slices.DeleteFunc(r.Registers, func(c *schema.RegisterState) bool { return c.Key == voterview.TableKey })
+			r.Registers = slices.DeleteFunc(r.Registers, func(c *schema.RegisterState) bool { return c.Key == learner.TableKey })
 		}
 	}
 }
--- a/fleetsimulation/observe.go
+++ b/emulator/fleetsimulation/observe.go
@@ -1,9 +1,9 @@
 package fleetsimulation
 
 import (
-	"stoneford/coordinator"
-	"stoneford/ports"
-	"stoneford/sessiontable"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessiontable"
 )
 
 // observeNode records an effect of a node at its edge: calls to databases and
--- a/fleetsimulation/operators.go
+++ b/emulator/fleetsimulation/operators.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"slices"
 
-	"stoneford/coordinator"
-	"stoneford/ports"
-	"stoneford/routingtable"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
 )
 
 // version is one revision of the table as an operator sent it.
--- a/fleetsimulation/statements.go
+++ b/emulator/fleetsimulation/statements.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 type databaseConnection struct {
--- a/fleetsimulation/storm_test.go
+++ b/emulator/fleetsimulation/storm_test.go
@@ -5,7 +5,7 @@
 	"sync"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // storm makes changes one after the other, each on top of the one acknowledged
--- a/fleetsimulation/truth.go
+++ b/emulator/fleetsimulation/truth.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"stoneford/invariant"
-	"stoneford/ports"
+	"stoneford/internal/invariant"
+	"stoneford/internal/ports"
 )
 
 const (
--- a/standin/platform/platform.go
+++ b/emulator/platform/platform.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"stoneford/databaseclient"
-	"stoneford/standin/databasecopy"
+	"stoneford/emulator/databasereplica"
+	"stoneford/internal/databaseclient"
 )
 
 // Server is the platform's HTTP side.
@@ -169,7 +169,7 @@
 	ctx, stop := context.WithTimeout(r.Context(), time.Second)
 	defer stop()
 	addr := t.Members[i].Address
-	if err := databasecopy.Call(ctx, "http://"+addr+"/v1/promote", map[string]any{"epoch": t.Epoch, "identity": t.Identity}, nil); err != nil {
+	if err := databasereplica.Call(ctx, "http://"+addr+"/v1/promote", map[string]any{"epoch": t.Epoch, "identity": t.Identity}, nil); err != nil {
 		refuse(err.Error())
 		return
 	}
@@ -178,7 +178,7 @@
 		if m.Name != t.Target {
 			// One that is away is told when it is asked for again.
 			wg.Go(func() {
-				_ = databasecopy.Call(ctx, "http://"+m.Address+"/v1/follow", map[string]any{"epoch": t.Epoch, "primary": addr}, nil)
+				_ = databasereplica.Call(ctx, "http://"+m.Address+"/v1/follow", map[string]any{"epoch": t.Epoch, "primary": addr}, nil)
 			})
 		}
 	}
--- a/standin/run-fleet/main.go
+++ b/emulator/run-fleet/main.go
@@ -21,10 +21,10 @@
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
+	"stoneford/emulator/callers"
+	"stoneford/emulator/checker"
+	"stoneford/emulator/fleet"
 	"stoneford/result"
-	"stoneford/standin/callers"
-	"stoneford/standin/checker"
-	"stoneford/standin/fleet"
 )
 
 type figures struct {
--- a/simulation/behaviour_test.go
+++ b/emulator/simulation/behaviour_test.go
@@ -20,7 +20,7 @@
 // A change that is meant to keep behaviour must not move a row; after one that is
 // meant to change it:
 //
-//	go test ./simulation -run TestBehaviourIsAsRecorded -record
+//	go test ./emulator/simulation -run TestBehaviourIsAsRecorded -record
 //
 // The bytes of envelopes also depend on the versions of Go's compression and of
 // the protobuf library, and the runs on the processor's floating point: record
--- a/simulation/bookings_test.go
+++ b/emulator/simulation/bookings_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"stoneford/bookings"
-	"stoneford/control"
+	"stoneford/emulator/simulation"
+	"stoneford/internal/control"
+	"stoneford/maintenance"
 	"stoneford/result"
-	"stoneford/simulation"
 )
 
 // booked types a sentence until a control process replies, and returns that.
@@ -60,25 +60,25 @@
 				t.Errorf("seed %d: the owner's confirmation: %d %s", seed, a.Code, a.Text)
 			}
 			state, killed := "", false
-			for end := f.Now + 200_000_000; f.Now < end && state != bookings.Done; {
+			for end := f.Now + 200_000_000; f.Now < end && state != maintenance.Done; {
 				f.Run(f.Now + 100_000)
 				for _, b := range f.Calendar().Windows {
 					if b.Id != id {
 						continue
 					}
 					state = b.State
-					if seed%2 == 1 && bookings.InProgress(b) && !killed {
+					if seed%2 == 1 && maintenance.InProgress(b) && !killed {
 						killed = true
 						k := f.RoleOwner("pharmacies/inventory-1")
 						f.KillControl(k)
 						f.After(8_000_000, func() { f.StartControl(k) })
 					}
 				}
-				if state == bookings.Failed || state == bookings.Missed {
+				if state == maintenance.Failed || state == maintenance.Missed {
 					break
 				}
 			}
-			if state != bookings.Done {
+			if state != maintenance.Done {
 				t.Errorf("seed %d: move %d is %s\n%s", seed, i, state, strings.Join(f.Log, "\n"))
 				return
 			}
--- a/simulation/callers.go
+++ b/emulator/simulation/callers.go
@@ -5,12 +5,12 @@
 	"maps"
 	"slices"
 
-	"stoneford/bookings"
-	"stoneford/control"
-	"stoneford/querytable"
+	"stoneford/emulator/checker"
+	"stoneford/internal/control"
+	"stoneford/internal/querytable"
+	"stoneford/maintenance"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/standin/checker"
 )
 
 // Sample is one query for the figures.
@@ -211,7 +211,7 @@
 			v = h
 		}
 	}
-	return bookings.Read(v.GetData())
+	return maintenance.Read(v.GetData())
 }
 
 // RoleOwner is the number of the control process that holds a group's duty.
--- a/simulation/control_process.go
+++ b/emulator/simulation/control_process.go
@@ -4,11 +4,11 @@
 	"slices"
 	"strings"
 
-	"stoneford/bookings"
-	"stoneford/control"
+	"stoneford/emulator/databasereplica"
+	"stoneford/failover/sealed"
+	"stoneford/internal/control"
+	"stoneford/maintenance"
 	"stoneford/schema"
-	"stoneford/standin/databasecopy"
-	"stoneford/takeover"
 )
 
 type controlProcess struct {
@@ -110,7 +110,7 @@
 func (f *Fleet) replaceUnrequested() {
 	for _, b := range f.Calendar().Windows {
 		n := strings.TrimPrefix(b.Target, b.Owner+"/")
-		if b.State == bookings.Draining && f.Databases[n] != nil && f.Databases[n].state.Identity == b.Identity {
+		if b.State == maintenance.Draining && f.Databases[n] != nil && f.Databases[n].state.Identity == b.Identity {
 			f.LoseDatabase(n)
 		}
 	}
@@ -142,8 +142,8 @@
 
 func (f *Fleet) callDatabase(c *controlProcess, d control.DatabaseCall) {
 	gen := c.generation
-	back := func(err bool, s databasecopy.Status) {
-		f.toControl(c, gen, control.DatabaseReply{Group: d.Group, ID: d.ID, Failed: err, Status: takeover.Status{Identity: s.Identity, Role: s.Role,
+	back := func(err bool, s databasereplica.Status) {
+		f.toControl(c, gen, control.DatabaseReply{Group: d.Group, ID: d.ID, Failed: err, Status: sealed.Status{Identity: s.Identity, Role: s.Role,
 			Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Leaving}})
 	}
 	f.call(c.boot.Listen, d.Address, 500_000, func(db *Database, reply func(any)) {
@@ -159,10 +159,10 @@
 		}
 		reply(db.state.Status())
 	}, func(v any, _ bool) {
-		if s, ok := v.(databasecopy.Status); ok {
+		if s, ok := v.(databasereplica.Status); ok {
 			back(false, s)
 		} else {
-			back(true, databasecopy.Status{})
+			back(true, databasereplica.Status{})
 		}
 	})
 }
--- a/simulation/databases.go
+++ b/emulator/simulation/databases.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"stoneford/standin/databasecopy"
+	"stoneford/emulator/databasereplica"
 )
 
 // Database is one simulated database around the stand-in's own copy.
@@ -13,7 +13,7 @@
 	group           string
 	address         string
 	zone            string
-	state           *databasecopy.Replica
+	state           *databasereplica.Replica
 	up              bool
 	unresponsive    bool // takes everything and returns nothing
 	paused          bool
@@ -50,7 +50,7 @@
 // emptyDisk gives the database an empty disk.
 func (d *Database) emptyDisk() {
 	d.diskCount++
-	d.state = databasecopy.New(d.name, fmt.Sprintf("%s#%d", d.name, d.diskCount), d.connectionLimit, d.firstConnection())
+	d.state = databasereplica.New(d.name, fmt.Sprintf("%s#%d", d.name, d.diskCount), d.connectionLimit, d.firstConnection())
 }
 
 // firstConnection is another for each life of the process.
@@ -67,7 +67,7 @@
 func (d *Database) crash() {
 	d.up = false
 	k, log := d.state.PersistentState, d.state.Log(0)
-	c := databasecopy.New(d.name, k.Identity, d.connectionLimit, d.firstConnection())
+	c := databasereplica.New(d.name, k.Identity, d.connectionLimit, d.firstConnection())
 	c.Restore(k, log)
 	d.state = c
 }
@@ -246,7 +246,7 @@
 	})
 }
 
-func (d *Database) apply(gen int, es []databasecopy.LogEntry, after int64) {
+func (d *Database) apply(gen int, es []databasereplica.LogEntry, after int64) {
 	for i, e := range es {
 		pos := after + int64(i) + 1
 		d.fleet.After(max(0, e.AtUs+d.lagUs-d.fleet.Now), func() { d.applyTo(gen, pos) })
--- a/simulation/day_end.go
+++ b/emulator/simulation/day_end.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 
-	"stoneford/control"
+	"stoneford/emulator/checker"
+	"stoneford/emulator/databasereplica"
+	"stoneford/internal/control"
 	"stoneford/result"
-	"stoneford/standin/checker"
-	"stoneford/standin/databasecopy"
 )
 
 // Finish halts the callers, mends everything, lets the fleet settle and holds
@@ -15,7 +15,7 @@
 	f.Halt()
 	f.Heal()
 	f.waitUntilStable()
-	logs := map[string][]databasecopy.LogEntry{}
+	logs := map[string][]databasereplica.LogEntry{}
 	for _, g := range f.Plan.Groups {
 		p := f.Primary(g)
 		if p == nil {
--- a/simulation/day_test.go
+++ b/emulator/simulation/day_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"testing"
 
-	"stoneford/simulation"
-	"stoneford/standin/checker"
+	"stoneford/emulator/checker"
+	"stoneford/emulator/simulation"
 )
 
 var (
--- a/simulation/faults.go
+++ b/emulator/simulation/faults.go
@@ -4,10 +4,10 @@
 	"maps"
 	"slices"
 
-	"stoneford/control"
+	"stoneford/internal/control"
+	"stoneford/internal/pool"
+	"stoneford/internal/querytable"
 	"stoneford/language"
-	"stoneford/pool"
-	"stoneford/querytable"
 	"stoneford/schema"
 )
 
--- a/simulation/fleet.go
+++ b/emulator/simulation/fleet.go
@@ -9,10 +9,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/control"
 	"stoneford/internal/behaviourhash"
+	"stoneford/internal/control"
+	"stoneford/internal/settings"
 	"stoneford/schema"
-	"stoneford/settings"
 )
 
 // Plan is what a simulated fleet is made of and what it has to bear.
--- a/simulation/fleet_test.go
+++ b/emulator/simulation/fleet_test.go
@@ -8,9 +8,9 @@
 	"sync"
 	"testing"
 
+	"stoneford/emulator/checker"
+	"stoneford/emulator/simulation"
 	"stoneford/result"
-	"stoneford/simulation"
-	"stoneford/standin/checker"
 )
 
 var (
--- a/simulation/moves_test.go
+++ b/emulator/simulation/moves_test.go
@@ -5,9 +5,9 @@
 	"sync"
 	"testing"
 
-	"stoneford/bookings"
+	"stoneford/emulator/simulation"
+	"stoneford/maintenance"
 	"stoneford/result"
-	"stoneford/simulation"
 )
 
 // replaced books the replacement of a group's copy for now and confirms it.
@@ -51,7 +51,7 @@
 		other.SetReceivesNothing(true)
 		f.Run(f.Now + 250_000)
 		mu.Lock()
-		states[bookings.Find(f.Calendar(), id).GetState()]++
+		states[maintenance.Find(f.Calendar(), id).GetState()]++
 		mu.Unlock()
 		f.KillDatabase(victim)
 		other.SetReceivesNothing(false)
@@ -69,7 +69,7 @@
 				t.Errorf("%d00 ms, %s lost: %s", i%20, victim, b)
 			}
 		}
-		if b := bookings.Find(f.Calendar(), id); !plant && b.GetState() != bookings.Done {
+		if b := maintenance.Find(f.Calendar(), id); !plant && b.GetState() != maintenance.Done {
 			t.Errorf("%d00 ms, %s lost: the booking ends as %v", i%20, victim, b)
 		}
 	})
--- a/simulation/never_test.go
+++ b/emulator/simulation/never_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"testing"
 
-	"stoneford/control"
-	"stoneford/simulation"
+	"stoneford/emulator/simulation"
+	"stoneford/internal/control"
 )
 
 // TestMutationsAreDetected: for each line of what must never happen, a scenario
--- a/simulation/news_test.go
+++ b/emulator/simulation/news_test.go
@@ -4,9 +4,9 @@
 	"slices"
 	"testing"
 
-	"stoneford/control"
+	"stoneford/emulator/simulation"
+	"stoneford/internal/control"
 	"stoneford/result"
-	"stoneford/simulation"
 )
 
 // TestConfigurationReachesAll: with a tenth of the envelopes lost, a relay and
--- a/simulation/node_process.go
+++ b/emulator/simulation/node_process.go
@@ -5,10 +5,10 @@
 	"slices"
 	"strings"
 
-	"stoneford/pool"
-	"stoneford/querytable"
+	"stoneford/emulator/databasereplica"
+	"stoneford/internal/pool"
+	"stoneford/internal/querytable"
 	"stoneford/schema"
-	"stoneford/standin/databasecopy"
 )
 
 type nodeProcess struct {
@@ -162,9 +162,9 @@
 	if f.Plan.Mutation == NotExecutedClaimed {
 		until = 500_000
 	}
-	ops := make([]databasecopy.Operation, len(e.Ops))
+	ops := make([]databasereplica.Operation, len(e.Ops))
 	for i, o := range e.Ops {
-		ops[i] = databasecopy.Operation(o)
+		ops[i] = databasereplica.Operation(o)
 	}
 	f.call(n.boot.Listen, e.Address, until, func(db *Database, reply func(any)) {
 		if at, ok := n.drainingSinceUs[db.address]; ok && f.Now-at > 7_000_000 && db.state.Draining {
@@ -183,11 +183,11 @@
 				db.lostResponses--
 				return
 			}
-			reply(databasecopy.RunResponse{Refused: ref, Results: rs, Epoch: db.state.Epoch, Applied: db.state.Applied(), AtUs: f.Now})
+			reply(databasereplica.RunResponse{Refused: ref, Results: rs, Epoch: db.state.Epoch, Applied: db.state.Applied(), AtUs: f.Now})
 		})
 	}, func(v any, left bool) {
 		r := querytable.RunEnded{Run: e.Run, MaybeSent: left && f.Plan.Mutation != NotExecutedClaimed}
-		if v, ok := v.(databasecopy.RunResponse); ok {
+		if v, ok := v.(databasereplica.RunResponse); ok {
 			r.Rejected, r.Epoch, r.Applied = v.Refused, v.Epoch, v.Applied
 			if f.Plan.Mutation == ClaimedApplied {
 				r.Applied = 1 << 40
@@ -203,7 +203,7 @@
 }
 
 // mutateEffects is what a database is sent in the place of some ops.
-func (f *Fleet) mutateEffects(db *Database, ops []databasecopy.Operation) []databasecopy.Operation {
+func (f *Fleet) mutateEffects(db *Database, ops []databasereplica.Operation) []databasereplica.Operation {
 	ops = slices.Clone(ops)
 	for i := range ops {
 		o := &ops[i]
@@ -218,7 +218,7 @@
 		}
 	}
 	if f.Plan.Mutation == TornSession {
-		ops = slices.DeleteFunc(ops, func(o databasecopy.Operation) bool { return o.Op == "reset" })
+		ops = slices.DeleteFunc(ops, func(o databasereplica.Operation) bool { return o.Op == "reset" })
 	}
 	return ops
 }
@@ -229,7 +229,7 @@
 		db.wait(e.Received, e.Applied, e.WaitUs, func() { reply(db.state.Status()) })
 	}, func(v any, _ bool) {
 		p := querytable.PollEnded{Poll: e.Poll}
-		if s, ok := v.(databasecopy.Status); ok {
+		if s, ok := v.(databasereplica.Status); ok {
 			p.Status = querytable.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Draining: s.Leaving}
 			switch {
 			case f.Plan.Mutation == AckBeforeMajority && s.Role == "replica":
--- a/simulation/observe.go
+++ b/emulator/simulation/observe.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"stoneford/control"
-	"stoneford/querytable"
+	"stoneford/internal/control"
+	"stoneford/internal/querytable"
 )
 
 // observeTable records an effect of a node's table at its edge: calls to databases
--- a/simulation/random_faults.go
+++ b/emulator/simulation/random_faults.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"stoneford/bookings"
-	"stoneford/control"
+	"stoneford/internal/control"
+	"stoneford/maintenance"
 	"stoneford/result"
 )
 
@@ -346,7 +346,7 @@
 func (f *Fleet) randomBooking(g string) {
 	owner, who := f.owner[g], f.Partners()[f.Random.IntN(len(f.texts))]
 	db := f.Configuration.Groups[g].Members[f.Random.IntN(3)]
-	what := fmt.Sprintf("%s for %s", db, []string{bookings.Replacement, bookings.Switch}[f.Random.IntN(2)])
+	what := fmt.Sprintf("%s for %s", db, []string{maintenance.Replacement, maintenance.Switch}[f.Random.IntN(2)])
 	if f.Chance(0.2) {
 		n := f.Nodes[f.Random.IntN(len(f.Nodes))].boot
 		owner, what = n.Partner, n.Name+" for stop"
--- a/simulation/sessions.go
+++ b/emulator/simulation/sessions.go
@@ -5,9 +5,9 @@
 	"math"
 	"strconv"
 
-	"stoneford/querytable"
+	"stoneford/emulator/checker"
+	"stoneford/internal/querytable"
 	"stoneford/result"
-	"stoneford/standin/checker"
 )
 
 // RetryAfterRejection is how it went on after a first bounce that said when to come back.
--- a/simulation/world.go
+++ b/emulator/simulation/world.go
@@ -10,7 +10,7 @@
 
 	"stoneford/internal/behaviourhash"
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 type event struct {
@@ -126,7 +126,7 @@
 
 // Send sends from a place. The envelope is encoded and decoded again, as
 // between real processes.
-func (n *Network) Send(from string, s step.Send) {
+func (n *Network) Send(from string, s statemachine.Send) {
 	n.observe.Envelope(n.Scheduler.Now, from, s.To, s.Envelope)
 	if from == s.To {
 		n.Scheduler.After(0, func() { n.Receive(s.To, s.Envelope) })
--- a/standin/site-move/databases.go
+++ b/emulator/site-move/databases.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"stoneford/ports"
-	"stoneford/sessionpool"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
 )
 
 const (
--- a/standin/site-move/main.go
+++ b/emulator/site-move/main.go
@@ -19,9 +19,9 @@
 
 	"github.com/apex/log"
 
-	"stoneford/coordinator"
-	"stoneford/ports"
-	"stoneford/sessionpool"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
 )
 
 const group = "orders"
--- a/standin/site-move/run.go
+++ b/emulator/site-move/run.go
@@ -15,11 +15,11 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"stoneford/coordinator"
-	"stoneford/ports"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
+	"stoneford/internal/sessiontable"
 	"stoneford/result"
-	"stoneford/sessionpool"
-	"stoneford/sessiontable"
 )
 
 const observeInterval = 5 * time.Millisecond
--- a/whatif/whatif.go
+++ b/emulator/whatif/whatif.go
@@ -13,10 +13,10 @@
 	"github.com/samber/lo"
 	"github.com/zeebo/errs"
 
+	"stoneford/emulator/checker"
+	"stoneford/emulator/simulation"
+	"stoneford/internal/settings"
 	"stoneford/language"
-	"stoneford/settings"
-	"stoneford/simulation"
-	"stoneford/standin/checker"
 )
 
 // Scenario is a deployment and its burden.
--- a/switchover/duty_model_test.go
+++ b/failover/fenced/duty_model_test.go
@@ -1,4 +1,4 @@
-package switchover
+package fenced
 
 import (
 	"flag"
@@ -11,10 +11,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/ports"
+	"stoneford/emulator/simulation"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 	"stoneford/schema"
-	"stoneford/simulation"
-	"stoneford/voterview"
 )
 
 // The model is three processes, each with a voter and a clock of its own, three
@@ -404,7 +404,7 @@
 						}
 						p.known[v.index] = max(p.known[v.index], rev)
 						if l.responders[v.index] = true; len(l.responders) >= modelMajority && at > p.lease.ConfirmedAt {
-							p.lease = Lease{ConfirmedAt: at, Until: at + voterview.LeaseDurationUs}
+							p.lease = Lease{ConfirmedAt: at, Until: at + learner.LeaseDurationUs}
 						}
 					})
 				}
@@ -428,7 +428,7 @@
 func (p *modelProcess) clearedHere() uint64 {
 	c := uint64(0)
 	for r := uint64(1); r <= p.accepted; r++ {
-		if p.now()-p.acceptedAt[r] >= voterview.LeaseEndBoundUs {
+		if p.now()-p.acceptedAt[r] >= learner.LeaseEndBoundUs {
 			c = r
 		}
 	}
@@ -723,7 +723,7 @@
 					m.carry(v.name, "node", func() {
 						m.nodeKnown[v.index] = max(m.nodeKnown[v.index], rev)
 						if l.responders[v.index] = true; len(l.responders) >= modelMajority && at > m.nodeLease.ConfirmedAt {
-							m.nodeLease = Lease{ConfirmedAt: at, Until: at + voterview.LeaseDurationUs}
+							m.nodeLease = Lease{ConfirmedAt: at, Until: at + learner.LeaseDurationUs}
 						}
 					})
 				})
@@ -853,7 +853,7 @@
 }{
 	{"freeze", func(m *model, p *modelProcess) { p.freeze(m.Between(200_000, 5_000_000)) }},
 	{"freeze about a lease", func(m *model, p *modelProcess) {
-		p.freeze(m.Between(voterview.LeaseDurationUs-100_000, 3*voterview.LeaseDurationUs))
+		p.freeze(m.Between(learner.LeaseDurationUs-100_000, 3*learner.LeaseDurationUs))
 	}},
 	{"freeze between decision and effect", func(m *model, p *modelProcess) { p.stalls = m.Between(600_000, 5_000_000) }},
 	{"kill", func(m *model, p *modelProcess) { p.kill(m.Between(100_000, 5_000_000)) }},
--- a/switchover/switchover.go
+++ b/failover/fenced/fenced.go
@@ -1,10 +1,10 @@
-// Package switchover decides, for one group, who leads it where followers can be
+// Package fenced decides, for one group, who leads it where followers can be
 // held but not sealed: it founds the group, replaces a primary that is lost or
 // that leaves, and tidies up behind (design 14.6, 14.7). Group is a
 // deterministic core; every step that counts is a revision of the group's
 // register, and only the agreed holder of the group's duty commands a database or
 // calls the platform (duty.go, design 16).
-package switchover
+package fenced
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 	"stoneford/result"
 	"stoneford/schema"
 )
--- a/switchover/move_test.go
+++ b/failover/fenced/move_test.go
@@ -1,4 +1,4 @@
-package switchover
+package fenced
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 	"stoneford/schema"
 )
 
--- a/switchover/retire.go
+++ b/failover/fenced/retire.go
@@ -1,6 +1,6 @@
-package switchover
+package fenced
 
-import "stoneford/ports"
+import "stoneford/internal/ports"
 
 // A replica that leaves counts for the primary's commits until it is gone, and
 // takes its log along. It is held early, while enough of those that stay follow,
--- a/switchover/retire_test.go
+++ b/failover/fenced/retire_test.go
@@ -1,9 +1,9 @@
-package switchover
+package fenced
 
 import (
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // TestDrainingReplicaFreezes: a replica that leaves is held once the other follows, goes on if
--- a/switchover/duty.go
+++ b/failover/fenced/role.go
@@ -1,8 +1,8 @@
-package switchover
+package fenced
 
 import (
-	"stoneford/ports"
-	"stoneford/voterview"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 )
 
 // A group's duty has one holder at a time (design 16). The holder, its run and a
@@ -102,10 +102,10 @@
 	if t.fencingToken == 0 {
 		return false
 	}
-	if t.uncontestedToken == t.fencingToken || now-t.claimedAt >= voterview.LeaseEndBoundUs {
+	if t.uncontestedToken == t.fencingToken || now-t.claimedAt >= learner.LeaseEndBoundUs {
 		return true
 	}
-	g.wakeAt(t.claimedAt + voterview.LeaseEndBoundUs)
+	g.wakeAt(t.claimedAt + learner.LeaseEndBoundUs)
 	return false
 }
 
@@ -144,7 +144,7 @@
 // more, and where the one before it was waited out.
 func (g *Group) handOver(now int64, input Input) {
 	t := &g.leaseState
-	if !g.previousLeaseExpired(now) || g.commandInFlight() || t.lastUncertainAt > 0 && now-t.lastUncertainAt < voterview.LeaseEndBoundUs {
+	if !g.previousLeaseExpired(now) || g.commandInFlight() || t.lastUncertainAt > 0 && now-t.lastUncertainAt < learner.LeaseEndBoundUs {
 		g.wakeAt(now + commandRetryInterval)
 		return
 	}
--- a/takeover/takeover.go
+++ b/failover/sealed/sealed.go
@@ -1,4 +1,4 @@
-// Package takeover decides who is a group's primary, in which epoch (design 8).
+// Package sealed decides who is a group's primary, in which epoch (design 8).
 //
 // The order is: agree that an epoch is opened; seal a majority of members at
 // it, so that nothing of an older epoch can be acknowledged any more; agree on
@@ -6,7 +6,7 @@
 // until the primary is seen. Every acknowledged commit was held by a majority
 // of members in its epoch, and any two majorities share a member, so the
 // furthest of a sealed majority holds all of them.
-package takeover
+package sealed
 
 import (
 	"fmt"
--- a/takeover/takeover_test.go
+++ b/failover/sealed/sealed_test.go
@@ -1,4 +1,4 @@
-package takeover
+package sealed
 
 import (
 	"fmt"
--- a/neighbours/neighbours.go
+++ b/failuredetector/failuredetector.go
@@ -1,13 +1,13 @@
-// Package neighbours has each node watch the few others that rendezvous hashing
+// Package failuredetector has each node watch the few others that rendezvous hashing
 // names for it, and tells silence only after it was confirmed (design 4).
-package neighbours
+package failuredetector
 
 import (
 	"maps"
 	"slices"
 
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // WatchersPerNode is how many nodes watch each node.
@@ -20,7 +20,7 @@
 
 // Effects of a step. Suspected has the neighbours whose standing changed.
 type Effects struct {
-	Send    []step.Send
+	Send    []statemachine.Send
 	Changed map[string]bool // neighbour to suspected
 }
 
@@ -43,7 +43,7 @@
 // WatchersOf names who watches a node: the first few of all others, ranked by the hash
 // of the pair. Every node that knows the same others names the same ones.
 func WatchersOf(node string, all []string) []string {
-	os := step.Rank(node, slices.DeleteFunc(slices.Clone(all), func(o string) bool { return o == node }))
+	os := statemachine.Rank(node, slices.DeleteFunc(slices.Clone(all), func(o string) bool { return o == node }))
 	return os[:min(WatchersPerNode, len(os))]
 }
 
@@ -79,7 +79,7 @@
 	w.sequence++
 	for _, n := range w.Peers() {
 		v := w.peers[n]
-		effects.Send = append(effects.Send, step.Send{To: n, Envelope: &schema.Envelope{From: w.self, Body: &schema.Envelope_Ping{Ping: &schema.Ping{Sequence: w.sequence}}}})
+		effects.Send = append(effects.Send, statemachine.Send{To: n, Envelope: &schema.Envelope{From: w.self, Body: &schema.Envelope_Ping{Ping: &schema.Ping{Sequence: w.sequence}}}})
 		if !v.suspected && now-v.heardAt > suspicionTimeout {
 			v.suspected = true
 			effects.Changed[n] = true
@@ -93,7 +93,7 @@
 	effects := Effects{Changed: map[string]bool{}}
 	switch b := e.Body.(type) {
 	case *schema.Envelope_Ping:
-		effects.Send = append(effects.Send, step.Send{To: e.From, Envelope: &schema.Envelope{From: w.self, Body: &schema.Envelope_Pong{Pong: &schema.Pong{Sequence: b.Ping.Sequence}}}})
+		effects.Send = append(effects.Send, statemachine.Send{To: e.From, Envelope: &schema.Envelope{From: w.self, Body: &schema.Envelope_Pong{Pong: &schema.Pong{Sequence: b.Ping.Sequence}}}})
 	case *schema.Envelope_Pong:
 		if v := w.peers[e.From]; v != nil {
 			v.heardAt = now
--- a/neighbours/neighbours_test.go
+++ b/failuredetector/failuredetector_test.go
@@ -1,4 +1,4 @@
-package neighbours
+package failuredetector
 
 import (
 	"fmt"
--- a/internal/behaviourhash/dutystate.go
+++ b/internal/behaviourhash/dutystate.go
@@ -9,7 +9,7 @@
 
 var deterministic = proto.MarshalOptions{Deterministic: true}
 
-// encode is an envelope's deterministic encoding. Package duties encodes the state
+// encode is an envelope's deterministic encoding. Package leaderelection encodes the state
 // of a duty, which holds maps, with their entries in any order, and sends the bytes
 // on inside of envelopes: these are encoded anew. Nothing but that order is lost.
 func encode(envelope proto.Message) []byte {
--- a/bootfile/bootfile.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package bootfile reads a process's boot from a file and flags, and
+// Package config reads a process's boot from a file and flags, and
 // notices a changed file without a signal (design 10.2).
-package bootfile
+package config
 
 import (
 	"cmp"
@@ -17,8 +17,8 @@
 	"github.com/zeebo/errs"
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/internal/settings"
 	"stoneford/schema"
-	"stoneford/settings"
 )
 
 // Flags are the command-line flags every daemon has: one for each single
--- a/bootfile/bootfile_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package bootfile
+package config
 
 import (
 	"context"
--- a/control/calendar.go
+++ b/internal/control/calendar.go
@@ -11,12 +11,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/bookings"
 	"stoneford/language"
+	"stoneford/maintenance"
 	"stoneford/paxos"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // MaintenanceKey is the register of the calendar both partners share.
@@ -86,14 +86,14 @@
 	return problems
 }
 
-func (c *Core) fleet() bookings.Fleet {
+func (c *Core) fleet() maintenance.Fleet {
 	n := 0
 	for _, o := range c.nodes {
 		if o.Kind == "pool" {
 			n++
 		}
 	}
-	return bookings.Fleet{Machines: n}
+	return maintenance.Fleet{Machines: n}
 }
 
 // ask understands a sentence and does what it says.
@@ -130,8 +130,8 @@
 				return
 			}
 			var windows []*schema.MaintenanceWindow
-			for _, b := range bookings.Read(o.Value.GetData()).Windows {
-				if !fits(b.Owner, b.Group, b.Target) || !s.From.IsZero() && (b.AtUs < s.From.UnixMicro() || b.AtUs >= s.Until.UnixMicro()) || s.From.IsZero() && !bookings.Pending(b) {
+			for _, b := range maintenance.Read(o.Value.GetData()).Windows {
+				if !fits(b.Owner, b.Group, b.Target) || !s.From.IsZero() && (b.AtUs < s.From.UnixMicro() || b.AtUs >= s.Until.UnixMicro()) || s.From.IsZero() && !maintenance.Pending(b) {
 					continue
 				}
 				windows = append(windows, b)
@@ -172,7 +172,7 @@
 	for _, n := range c.nodes {
 		if n.Kind == "pool" && n.Alive {
 			question.outstanding++
-			c.effects.Send = append(c.effects.Send, step.Send{To: n.Address, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ReadDecisionRequest{ReadDecisionRequest: request}}})
+			c.effects.Send = append(c.effects.Send, statemachine.Send{To: n.Address, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ReadDecisionRequest{ReadDecisionRequest: request}}})
 		}
 	}
 	c.openQuestions[request.RequestNumber] = question
@@ -233,7 +233,7 @@
 func (c *Core) changeCalendar(now int64, e Command, s language.Sentence, zone *time.Location, reply func(result.Code, string, ...*schema.MaintenanceWindow)) {
 	var window *schema.MaintenanceWindow
 	if s.Verb == language.VerbSchedule {
-		problem, err := language.Resolve(s.Name, c.targets(), s.Kind == bookings.Stop)
+		problem, err := language.Resolve(s.Name, c.targets(), s.Kind == maintenance.Stop)
 		if err != nil {
 			var languageErr *language.Error
 			if errors.As(err, &languageErr) && languageErr.Ambiguous {
@@ -253,20 +253,20 @@
 			reply(result.NoVoterMajority, "")
 			return
 		}
-		old := bookings.Read(o.Value.GetData())
+		old := maintenance.Read(o.Value.GetData())
 		var calendar *schema.MaintenanceCalendar
 		var changed *schema.MaintenanceWindow
-		var problem *bookings.Problem
+		var problem *maintenance.Problem
 		wall := c.wallClock(now)
 		switch s.Verb {
 		case language.VerbSchedule:
-			calendar, changed, problem = bookings.Propose(old, window, wall, c.fleet())
+			calendar, changed, problem = maintenance.Propose(old, window, wall, c.fleet())
 		case language.VerbConfirm:
-			calendar, changed, problem = bookings.Confirm(old, s.WindowID, e.Partner, wall, c.fleet())
+			calendar, changed, problem = maintenance.Confirm(old, s.WindowID, e.Partner, wall, c.fleet())
 		case language.VerbCancel:
-			calendar, changed, problem = bookings.Cancel(old, s.WindowID, e.Partner)
+			calendar, changed, problem = maintenance.Cancel(old, s.WindowID, e.Partner)
 		case language.VerbMove:
-			calendar, changed, problem = bookings.Move(old, s.WindowID, e.Partner, s.At.UnixMicro(), wall, c.fleet())
+			calendar, changed, problem = maintenance.Move(old, s.WindowID, e.Partner, s.At.UnixMicro(), wall, c.fleet())
 		}
 		if problem != nil {
 			reply(problem.Code, problem.Text)
@@ -297,7 +297,7 @@
 	var lines []string
 	for _, window := range windows {
 		line := fmt.Sprintf("booking %d: %s of %s at %s, %s", window.Id, window.Kind, window.Target, time.UnixMicro(window.AtUs).In(zone).Format("2006-01-02 15:04 MST"), window.State)
-		if window.State == bookings.Proposed {
+		if window.State == maintenance.Proposed {
 			line += " by " + window.ProposedBy + ", to be confirmed by " + window.Owner
 		}
 		if window.Detail != "" {
@@ -347,7 +347,7 @@
 		if b.Group != "" {
 			role = roleKeyPrefix + b.Group
 		}
-		if !bookings.Pending(b) || !c.roles.IsLeader(role, now) {
+		if !maintenance.Pending(b) || !c.roles.IsLeader(role, now) {
 			delete(c.windowsInProgress, b.Id)
 			continue
 		}
@@ -358,7 +358,7 @@
 		}
 		view := c.maintenanceView(now, b)
 		view.InStateUs = now - progress.since
-		state, detail, request := bookings.Next(b, view)
+		state, detail, request := maintenance.Next(b, view)
 		if request && now-progress.requestedAt > 2_000_000 {
 			progress.requestedAt = now
 			c.requestFromPlatform(b)
@@ -367,9 +367,9 @@
 			continue
 		}
 		c.calendarChangePending = true
-		next := bookings.SetState(calendar, b.Id, state, detail)
-		if state == bookings.Draining {
-			bookings.Find(next, b.Id).Identity = view.Identity
+		next := maintenance.SetState(calendar, b.Id, state, detail)
+		if state == maintenance.Draining {
+			maintenance.Find(next, b.Id).Identity = view.Identity
 		}
 		c.putCalendar(now, revision, next, func(now int64, o paxos.Outcome) {
 			c.calendarChangePending = false
@@ -380,9 +380,9 @@
 	}
 }
 
-func (c *Core) maintenanceView(now int64, b *schema.MaintenanceWindow) bookings.Observation {
-	view := bookings.Observation{WallUs: c.wallClock(now)}
-	if b.Kind == bookings.Stop {
+func (c *Core) maintenanceView(now int64, b *schema.MaintenanceWindow) maintenance.Observation {
+	view := maintenance.Observation{WallUs: c.wallClock(now)}
+	if b.Kind == maintenance.Stop {
 		view.MachineStopped = true
 		for _, n := range c.nodes {
 			view.MachineStopped = view.MachineStopped && !(n.Name == b.Target && n.Alive)
@@ -415,9 +415,9 @@
 
 func (c *Core) requestFromPlatform(b *schema.MaintenanceWindow) {
 	switch {
-	case b.Kind == bookings.Stop && b.State == bookings.AwaitingPlatform:
+	case b.Kind == maintenance.Stop && b.State == maintenance.AwaitingPlatform:
 		c.effects.Do = append(c.effects.Do, StopMachine{Machine: b.Target})
-	case b.Kind == bookings.Replacement && b.State == bookings.AwaitingPlatform:
+	case b.Kind == maintenance.Replacement && b.State == maintenance.AwaitingPlatform:
 		n := strings.TrimPrefix(b.Target, b.Owner+"/")
 		c.effects.Do = append(c.effects.Do, ReplaceDatabase{Database: n, Address: c.configurations[b.Owner].GetDatabases()[n].GetAddress(), Identity: b.Identity})
 	}
@@ -433,11 +433,11 @@
 		}
 		n := strings.TrimPrefix(b.Target, b.Owner+"/")
 		switch {
-		case b.State == bookings.Switching:
+		case b.State == maintenance.Switching:
 			avoidPrimary = n
-		case b.State == bookings.Retiring:
+		case b.State == maintenance.Retiring:
 			retire = n
-		case !bookings.Pending(b) && b.Identity != "":
+		case !maintenance.Pending(b) && b.Identity != "":
 			for _, m := range state.Members {
 				if m.Database == n && m.Retiring == b.Identity {
 					keepIdentity = b.Identity
--- a/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
-	"stoneford/control"
+	"stoneford/emulator/simulation"
+	"stoneford/internal/control"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/simulation"
 )
 
 // threeProcesses is three control processes on a network.
--- a/control/core.go
+++ b/internal/control/core.go
@@ -13,19 +13,19 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/bookings"
-	"stoneford/duties"
-	"stoneford/neighbours"
+	"stoneford/connectionlease"
+	"stoneford/crdt"
+	"stoneford/failover/sealed"
+	"stoneford/failuredetector"
+	"stoneford/internal/membership"
+	"stoneford/internal/settings"
+	"stoneford/leaderelection"
+	"stoneford/maintenance"
 	"stoneford/paxos"
-	"stoneford/permits"
-	"stoneford/records"
 	"stoneford/relaytree"
 	"stoneford/result"
-	"stoneford/roster"
 	"stoneford/schema"
-	"stoneford/settings"
-	"stoneford/step"
-	"stoneford/takeover"
+	"stoneford/statemachine"
 )
 
 // Keys of the registers.
@@ -57,7 +57,7 @@
 		Group  string
 		ID     uint64
 		Failed bool
-		Status takeover.Status
+		Status sealed.Status
 	}
 	// Stop hands the duties over.
 	Stop struct{}
@@ -86,7 +86,7 @@
 		Target   string
 		Identity string // of the copy that is meant: no other may be promoted in its place
 		Epoch    uint64
-		Members  []takeover.Endpoint
+		Members  []sealed.Endpoint
 	}
 	// LogEntry is for the log.
 	LogEntry struct {
@@ -98,7 +98,7 @@
 // Effects of one step. Log must be synced before anything else is done.
 type Effects struct {
 	Log  []*schema.WALEntry
-	Send []step.Send
+	Send []statemachine.Send
 	Do   []any
 }
 
@@ -115,10 +115,10 @@
 
 type groupRole struct {
 	setting          *schema.GroupSetting
-	databases        []takeover.Endpoint
+	databases        []sealed.Endpoint
 	connectionLimits map[string]int32
-	decider          *takeover.Group
-	leaseHolder      *permits.Lessor
+	decider          *sealed.Group
+	leaseHolder      *connectionlease.Lessor
 	term             uint64
 }
 
@@ -131,14 +131,14 @@
 	reconfigurer    *paxos.Reconfigurer
 	proposer        *paxos.Proposer
 	relay           *relaytree.Relay
-	records         *records.Store
-	detector        *neighbours.Detector // as one node among all
-	controlDetector *neighbours.Detector // over the other control processes
-	unresponsive    map[string]bool      // control processes that are silent
-	roles           *duties.Candidate
+	records         *crdt.Store
+	detector        *failuredetector.Detector // as one node among all
+	controlDetector *failuredetector.Detector // over the other control processes
+	unresponsive    map[string]bool           // control processes that are silent
+	roles           *leaderelection.Candidate
 	groups          map[string]*groupRole
 	configurations  map[string]*schema.Configuration
-	nodes           []roster.Node
+	nodes           []membership.Node
 	pending         map[string]func(int64, paxos.Outcome)
 	catchUpAt       map[string]int64
 	lastName        uint64
@@ -172,11 +172,11 @@
 		voter:        paxos.NewAcceptor(b.Listen, diskID, paxos.Location{}, b.Seeds),
 		proposer:     paxos.NewProposer(b.Listen, fmt.Sprint(run), b.Seeds),
 		reconfigurer: paxos.NewReconfigurer(b.Listen, fmt.Sprint(run)),
-		relay:        relaytree.New(b.Listen, b.Seeds), records: records.New(b.Listen),
-		detector: neighbours.New(b.Listen), controlDetector: neighbours.New(b.Listen), unresponsive: map[string]bool{},
+		relay:        relaytree.New(b.Listen, b.Seeds), records: crdt.New(b.Listen),
+		detector: failuredetector.New(b.Listen), controlDetector: failuredetector.New(b.Listen), unresponsive: map[string]bool{},
 		groups: map[string]*groupRole{}, configurations: map[string]*schema.Configuration{},
 		pending: map[string]func(int64, paxos.Outcome){}, catchUpAt: map[string]int64{}, windowsInProgress: map[uint64]*windowProgress{}, openQuestions: map[uint64]*openQuestion{}, calendar: &schema.MaintenanceCalendar{}, stamp: run}
-	c.roles = duties.New(b.Listen, run, b.Seeds, c.newChangeName, c.leaseGrants)
+	c.roles = leaderelection.New(b.Listen, run, b.Seeds, c.newChangeName, c.leaseGrants)
 	return c
 }
 
@@ -301,7 +301,7 @@
 	c.effects.Send = append(c.effects.Send, effects.Send...)
 	for _, g := range effects.Updated {
 		if g.Key == MaintenanceKey {
-			c.calendar = bookings.Read(g.Value.Data)
+			c.calendar = maintenance.Read(g.Value.Data)
 		}
 		if p, ok := strings.CutPrefix(g.Key, ConfigurationKeyPrefix); ok {
 			configuration, problems := settings.ReadConfiguration(g.Value.Data)
@@ -326,12 +326,12 @@
 			roleKeys = append(roleKeys, roleKeyPrefix+k)
 			g := c.groups[k]
 			if g == nil {
-				g = &groupRole{decider: takeover.New()}
+				g = &groupRole{decider: sealed.New()}
 				c.groups[k] = g
 			}
 			g.setting, g.databases, g.connectionLimits = configuration.Groups[n], nil, map[string]int32{}
 			for _, m := range configuration.Groups[n].Members {
-				g.databases = append(g.databases, takeover.Endpoint{Name: m, Address: configuration.Databases[m].Address})
+				g.databases = append(g.databases, sealed.Endpoint{Name: m, Address: configuration.Databases[m].Address})
 				g.connectionLimits[m] = configuration.Databases[m].Connections
 			}
 		}
@@ -413,17 +413,17 @@
 	})
 }
 
-func (c *Core) applyDetectorEffects(now int64, effects neighbours.Effects) {
+func (c *Core) applyDetectorEffects(now int64, effects failuredetector.Effects) {
 	c.effects.Send = append(c.effects.Send, effects.Send...)
 	for _, n := range slices.Sorted(maps.Keys(effects.Changed)) {
 		if effects.Changed[n] {
 			c.logf(result.PeerSuspected, "%s", n)
 		}
-		c.putRecord(now, roster.SuspectKey(n, c.self), roster.NewSuspicion(c.nodes, n, effects.Changed[n]))
+		c.putRecord(now, membership.SuspectKey(n, c.self), membership.NewSuspicion(c.nodes, n, effects.Changed[n]))
 	}
 }
 
-func (c *Core) applyControlDetectorEffects(effects neighbours.Effects) {
+func (c *Core) applyControlDetectorEffects(effects failuredetector.Effects) {
 	c.effects.Send = append(c.effects.Send, effects.Send...)
 	for n, s := range effects.Changed {
 		c.unresponsive[n] = s
@@ -456,12 +456,12 @@
 	c.applyRelayEffects(c.relay.Tick(now))
 	if now >= c.nextMembershipAt {
 		c.nextMembershipAt = now + membershipInterval
-		c.nodes = roster.ReadNodes(now, c.records)
-		all := roster.Addresses(c.nodes)
+		c.nodes = membership.ReadNodes(now, c.records)
+		all := membership.Addresses(c.nodes)
 		c.detector.SetNodes(now, all)
 		c.controlDetector.SetNodes(now, c.config.Seeds)
-		c.relay.SetLiveNodes(roster.LiveAddresses(c.nodes))
-		c.records.ForEach(roster.ReportPrefix, func(r *schema.Record) {
+		c.relay.SetLiveNodes(membership.LiveAddresses(c.nodes))
+		c.records.ForEach(membership.ReportPrefix, func(r *schema.Record) {
 			if c.records.AgeUs(now, r.Key) > reportRetention {
 				c.records.Forget(r.Key)
 			}
@@ -469,11 +469,11 @@
 	}
 	if now >= c.nextAnnounceAt {
 		c.nextAnnounceAt = now + announceInterval
-		c.putRecord(now, roster.NodePrefix+c.self, &schema.NodeRecord{Name: c.config.Name, Zone: c.config.Zone, Partner: c.config.Partner,
+		c.putRecord(now, membership.NodePrefix+c.self, &schema.NodeRecord{Name: c.config.Name, Zone: c.config.Zone, Partner: c.config.Partner,
 			HttpAddress: c.config.Http, Kind: "control", Draining: c.draining, Run: c.run})
 		for _, k := range c.relay.Keys() {
-			if r := c.records.Get(roster.AppliedPrefix + k + "/" + c.config.Name); r == nil || !c.sameRevision(r, k) {
-				c.putRecord(now, roster.AppliedPrefix+k+"/"+c.config.Name, &schema.AppliedRecord{Revision: c.relay.Value(k).Revision})
+			if r := c.records.Get(membership.AppliedPrefix + k + "/" + c.config.Name); r == nil || !c.sameRevision(r, k) {
+				c.putRecord(now, membership.AppliedPrefix+k+"/"+c.config.Name, &schema.AppliedRecord{Revision: c.relay.Value(k).Revision})
 			}
 		}
 	}
@@ -551,30 +551,30 @@
 func (c *Core) tickGroup(now int64, k string, g *groupRole) {
 	acts := c.roles.IsLeader(roleKeyPrefix+k, now)
 	v := c.relay.Value(GroupKeyPrefix + k)
-	input := takeover.Input{Endpoints: g.databases, InitialPrimary: g.setting.Primary, State: GroupState(v), Revision: v.GetRevision(), UpToDate: true, HasRole: acts}
+	input := sealed.Input{Endpoints: g.databases, InitialPrimary: g.setting.Primary, State: GroupState(v), Revision: v.GetRevision(), UpToDate: true, HasRole: acts}
 	if acts {
 		input.Reports = c.databaseReports(now, k)
 		input.SwitchAwayFrom, input.SetAside, input.KeptIdentity = c.groupMaintenance(k, input.State)
 	}
 	for _, e := range g.decider.Step(now, input) {
 		switch e := e.(type) {
-		case takeover.DatabaseCall:
+		case sealed.DatabaseCall:
 			c.effects.Do = append(c.effects.Do, DatabaseCall{Group: k, ID: e.ID, Address: e.Address, SealEpoch: e.SealEpoch})
-		case takeover.ProposeState:
+		case sealed.ProposeState:
 			c.propose(now, paxos.Change{ID: c.newChangeName(), Key: GroupKeyPrefix + k, BaseRevision: e.BaseRevision, Data: e.Data, Deadline: now + changeTimeout},
 				func(int64, paxos.Outcome) { g.decider.ProposalDone() })
-		case takeover.Reparent:
+		case sealed.Reparent:
 			c.effects.Do = append(c.effects.Do, FailoverRequest{Group: k, Target: e.Target, Identity: e.Identity, Epoch: e.Epoch, Members: e.Endpoints})
-		case takeover.LogEntry:
+		case sealed.LogEntry:
 			c.logf(e.Code, "%s %s", k, e.Message)
 		}
 	}
 }
 
 // databaseReports sums what pool nodes said lately of a group's databases.
-func (c *Core) databaseReports(now int64, group string) map[string]takeover.HealthReport {
-	m := map[string]takeover.HealthReport{}
-	prefix := roster.ReportPrefix + group + "/"
+func (c *Core) databaseReports(now int64, group string) map[string]sealed.HealthReport {
+	m := map[string]sealed.HealthReport{}
+	prefix := membership.ReportPrefix + group + "/"
 	c.records.ForEach(prefix, func(r *schema.Record) {
 		d := &schema.DatabaseReport{}
 		if c.records.AgeUs(now, r.Key) > reportMaxAge || proto.Unmarshal(r.Data, d) != nil {
@@ -600,9 +600,9 @@
 	}
 	_, term := c.roles.LeadingUs(role, now)
 	if group.leaseHolder == nil || group.term != term {
-		group.leaseHolder, group.term = permits.NewLessor(now, term == 1), term
+		group.leaseHolder, group.term = connectionlease.NewLessor(now, term == 1), term
 		if grants := c.roles.InheritedLeases(role); grants != nil {
-			group.leaseHolder = permits.NewLessorFromLeases(now, grants)
+			group.leaseHolder = connectionlease.NewLessorFromLeases(now, grants)
 		}
 	}
 	mayReceive := true
@@ -612,7 +612,7 @@
 		}
 	}
 	grant := group.leaseHolder.HandleRequest(now, from, request, group.connectionLimits, mayReceive)
-	c.effects.Send = append(c.effects.Send, step.Send{To: from, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ConnectionLeaseResponse{ConnectionLeaseResponse: grant}}})
+	c.effects.Send = append(c.effects.Send, statemachine.Send{To: from, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ConnectionLeaseResponse{ConnectionLeaseResponse: grant}}})
 }
 
 // leaseGrants is what this holder of a group's duty tells its successor; nil while
@@ -630,7 +630,7 @@
 func (c *Core) Voting() bool { return c.voter.IsVoter() }
 
 // Nodes is who is in the fleet, as this process knows it.
-func (c *Core) Nodes() []roster.Node { return c.nodes }
+func (c *Core) Nodes() []membership.Node { return c.nodes }
 
 // Committed returns the newest agreed value this process knows of a register.
 func (c *Core) Committed(key string) *schema.Value { return c.relay.Value(key) }
@@ -647,7 +647,7 @@
 // AppliedRevisions tells which revision of a register is in force on each node.
 func (c *Core) AppliedRevisions(key string) map[string]uint64 {
 	m := map[string]uint64{}
-	prefix := roster.AppliedPrefix + key + "/"
+	prefix := membership.AppliedPrefix + key + "/"
 	c.records.ForEach(prefix, func(r *schema.Record) {
 		d := &schema.AppliedRecord{}
 		if proto.Unmarshal(r.Data, d) == nil {
--- a/control/metrics.go
+++ b/internal/control/metrics.go
@@ -8,7 +8,7 @@
 
 	"github.com/samber/lo"
 
-	"stoneford/roster"
+	"stoneford/internal/membership"
 	"stoneford/schema"
 )
 
@@ -53,7 +53,7 @@
 		}
 		gauge(rolesMetric, float64(n))
 		gauge(nodesMetric, float64(len(c.nodes)), "known")
-		gauge(nodesMetric, float64(len(roster.LiveAddresses(c.nodes))), "alive")
+		gauge(nodesMetric, float64(len(membership.LiveAddresses(c.nodes))), "alive")
 		gauge(recordsMetric, float64(c.records.Len()))
 	})
 	sent, dropped, received := m.process.links.Counts()
--- a/control/names_test.go
+++ b/internal/control/names_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"stoneford/control"
+	"stoneford/internal/control"
 	"stoneford/schema"
 )
 
--- a/control/operators.go
+++ b/internal/control/operators.go
@@ -9,9 +9,9 @@
 
 	"github.com/samber/lo"
 
+	"stoneford/internal/settings"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/settings"
 )
 
 const maxBodyBytes = 4 << 20
--- a/control/process.go
+++ b/internal/control/process.go
@@ -16,15 +16,15 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/zeebo/errs"
 
-	"stoneford/bootfile"
-	"stoneford/cleanup"
-	"stoneford/databaseclient"
-	"stoneford/links"
-	"stoneford/loop"
+	"stoneford/failover/sealed"
+	"stoneford/internal/cleanup"
+	"stoneford/internal/config"
+	"stoneford/internal/databaseclient"
+	"stoneford/internal/eventloop"
+	"stoneford/internal/transport"
+	"stoneford/internal/wal"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/takeover"
-	"stoneford/voterlog"
 )
 
 const (
@@ -40,10 +40,10 @@
 	tokens    atomic.Pointer[map[string]string]
 	clock     clockwork.Clock
 	core      *Core
-	loop      *loop.Loop
-	links     *links.Transport
+	loop      *eventloop.Loop
+	links     *transport.Transport
 	databases *databaseclient.Client
-	voterLog  *voterlog.Log
+	voterLog  *wal.Log
 	waiters   sync.Map // id to chan any
 	lastID    atomic.Uint64
 	ctx       context.Context
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{boot: b, clock: clock, loop: loop.New(clock, clock.Now(), eventQueueLength), databases: databaseclient.New(links.LocalAddress(b.Bind, b.Listen))}
+	p := &Process{boot: b, clock: clock, loop: eventloop.New(clock, clock.Now(), eventQueueLength), databases: databaseclient.New(transport.LocalAddress(b.Bind, b.Listen))}
 	p.SetTokens(b.Tokens)
 	newCore := func() *Core {
 		return NewCore(b, uint64(clock.Now().UnixMicro()), binary.LittleEndian.Uint64(n[:])|1)
@@ -76,17 +76,17 @@
 	if err := os.MkdirAll(b.DataFolder, 0o755); err != nil {
 		return nil, err
 	}
-	p.voterLog, err = voterlog.Open(dir, p.core.Restore)
-	if voterlog.ErrCorrupt.Has(err) {
+	p.voterLog, err = wal.Open(dir, p.core.Restore)
+	if wal.ErrCorrupt.Has(err) {
 		// What this voter once said can't be known any more: it is a voter
 		// without a disk, and joins anew (design 3.3).
-		to, aside := voterlog.Quarantine(dir)
+		to, aside := wal.Quarantine(dir)
 		log.WithFields(log.Fields{"code": int(result.LogDamaged), "kept_in": to}).WithError(err).Error(result.LogDamaged.String())
 		if aside != nil {
 			return nil, aside
 		}
 		p.core = newCore()
-		p.voterLog, err = voterlog.Open(dir, p.core.Restore)
+		p.voterLog, err = wal.Open(dir, p.core.Restore)
 	}
 	return p, err
 }
@@ -107,8 +107,8 @@
 	cleanups.Push(p.voterLog.Close)
 	work, stop := context.WithCancelCause(context.WithoutCancel(ctx))
 	p.ctx, p.fail = work, func(err error) { stop(err) }
-	p.links = links.New(work, p.boot.Listen, links.LocalAddress(p.boot.Bind, p.boot.Listen), func(e *schema.Envelope) { p.loop.TryPost(e) })
-	nodeListener, httpListener, err := bootfile.Listen(p.boot)
+	p.links = transport.New(work, p.boot.Listen, transport.LocalAddress(p.boot.Bind, p.boot.Listen), func(e *schema.Envelope) { p.loop.TryPost(e) })
+	nodeListener, httpListener, err := config.Listen(p.boot)
 	if err != nil {
 		return err
 	}
@@ -206,7 +206,7 @@
 	} else {
 		s, err = p.databases.Poll(ctx, d.Address, 0, 0, 0)
 	}
-	p.loop.Post(DatabaseReply{Group: d.Group, ID: d.ID, Failed: err != nil, Status: takeover.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch,
+	p.loop.Post(DatabaseReply{Group: d.Group, ID: d.ID, Failed: err != nil, Status: sealed.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch,
 		LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Draining}})
 }
 
--- a/coordinator/announcements.go
+++ b/internal/coordinator/announcements.go
@@ -5,10 +5,10 @@
 	"math"
 	"slices"
 
+	"stoneford/internal/learner"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/step"
-	"stoneford/voterview"
+	"stoneford/statemachine"
 )
 
 // ackTimeout is how long a database waits at most for the acknowledgement of its
@@ -28,14 +28,14 @@
 // is to call another one. That a database leaves or is gone is acknowledged once a
 // majority of the voters has it.
 func (c *Core) announce(now int64, e Announce) {
-	k := voterview.DatabasePrefix + e.Instance.ID
+	k := learner.DatabasePrefix + e.Instance.ID
 	if o := c.databases.Get(k); o != nil && e.Instance.Gone {
 		// The last word names nothing but its identity.
-		was := voterview.DecodeInstance(o)
+		was := learner.DecodeInstance(o)
 		was.Gone, was.AnnouncementNumber = true, max(was.AnnouncementNumber, e.Instance.AnnouncementNumber)
 		e.Instance = was
 	}
-	r := voterview.EncodeInstance(e.Instance)
+	r := learner.EncodeInstance(e.Instance)
 	told := c.mergeRecords(now, []*schema.Record{r})
 	// One that announced itself elsewhere until now is passed on at once: whoever it
 	// told before may be lost, and the others count its silence.
@@ -89,7 +89,7 @@
 func (c *Core) forwardAnnouncement(n uint64, rs []*schema.Record) {
 	for _, o := range c.learner.Voters() {
 		if o != c.self {
-			c.send(step.Send{To: o, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementForward{AnnouncementForward: &schema.AnnouncementForward{Number: n, Databases: rs}}}})
+			c.send(statemachine.Send{To: o, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementForward{AnnouncementForward: &schema.AnnouncementForward{Number: n, Databases: rs}}}})
 		}
 	}
 }
@@ -131,7 +131,7 @@
 		return false // only its stamp
 	}
 	c.increment(r.Key)
-	i := voterview.DecodeInstance(r)
+	i := learner.DecodeInstance(r)
 	g := c.group(i.Group)
 	g.databases[i.ID], g.changed = i, true
 	c.logf(result.DatabaseStateChanged, "%s of %s at %s: leaves %t, leads %t, gone %t", i.ID, i.Group, i.Address, i.Draining, i.Primary, i.Gone)
@@ -160,19 +160,19 @@
 		return
 	}
 	var old []string
-	c.databases.ForEach(voterview.DatabasePrefix, func(r *schema.Record) {
-		i := voterview.DecodeInstance(r)
+	c.databases.ForEach(learner.DatabasePrefix, func(r *schema.Record) {
+		i := learner.DecodeInstance(r)
 		age := c.databases.AgeUs(now, r.Key)
 		switch {
 		case i.Gone && age > goneRetention:
 			old = append(old, r.Key)
 		case !i.Gone && age > missedHeartbeatLimit*c.heartbeatIntervalUs():
 			i.Gone = true
-			c.mergeRecords(now, []*schema.Record{voterview.EncodeInstance(i)})
+			c.mergeRecords(now, []*schema.Record{learner.EncodeInstance(i)})
 		}
 	})
 	for _, k := range old {
-		i := voterview.DecodeInstance(c.databases.Get(k))
+		i := learner.DecodeInstance(c.databases.Get(k))
 		delete(c.group(i.Group).databases, i.ID)
 		c.databases.Forget(k)
 		delete(c.changeNumbers, k)
--- a/coordinator/callers_test.go
+++ b/internal/coordinator/callers_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"testing"
 
-	"stoneford/ports"
-	"stoneford/routingtable"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
 )
 
 // testCall is one call to a member of a cluster.
--- a/coordinator/cluster_test.go
+++ b/internal/coordinator/cluster_test.go
@@ -9,13 +9,13 @@
 	"strings"
 	"testing"
 
+	"stoneford/emulator/simulation"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/internal/wal"
+	"stoneford/internal/wal/crashdisk"
 	"stoneford/paxos"
-	"stoneford/ports"
 	"stoneford/schema"
-	"stoneford/simulation"
-	"stoneford/voterlog"
-	"stoneford/voterlog/crashdisk"
-	"stoneford/voterview"
 )
 
 // member is one control process of a cluster with its disk.
@@ -30,7 +30,7 @@
 	queue       []Effects
 	done        []any
 	drive       *crashdisk.Disk // where it has one: its log is kept there, not in disk
-	log         *voterlog.Log
+	log         *wal.Log
 }
 
 type cluster struct {
@@ -106,7 +106,7 @@
 // open plays back what the drive holds.
 func (m *member) open() bool {
 	m.disk = nil
-	log, err := voterlog.OpenWith(m.drive, "/data/voter", func(l *schema.WALEntry) { m.disk = append(m.disk, l) })
+	log, err := wal.OpenWith(m.drive, "/data/voter", func(l *schema.WALEntry) { m.disk = append(m.disk, l) })
 	m.log = log
 	return err == nil
 }
@@ -366,10 +366,10 @@
 	c.run(2_000_000)
 	m := c.members[c.order[0]]
 	m.hangs = true
-	fx := m.core.Step(c.environment.Now, &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Accept{Accept: &schema.Accept{Key: voterview.TableKey, Attempt: 1, Membership: 1,
+	fx := m.core.Step(c.environment.Now, &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Accept{Accept: &schema.Accept{Key: learner.TableKey, Attempt: 1, Membership: 1,
 		Ballot: &schema.Ballot{Membership: 1, Number: 999, Proposer: "p"}, Value: &schema.Value{Revision: 1, Data: []byte("x")}}}})
 	look := &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Poll{Poll: &schema.Poll{Number: 3, Run: 1, Kind: "pool", IncludeData: true}}}
-	read := &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Prepare{Prepare: &schema.Prepare{Key: voterview.TableKey, Attempt: 2, Membership: 1}}}
+	read := &schema.Envelope{From: c.order[1], Body: &schema.Envelope_Prepare{Prepare: &schema.Prepare{Key: learner.TableKey, Attempt: 2, Membership: 1}}}
 	fy := m.core.Step(c.environment.Now, look, read)
 	if len(fx.Log) == 0 {
 		t.Fatal("nothing to sync")
--- a/coordinator/contact.go
+++ b/internal/coordinator/contact.go
@@ -5,10 +5,10 @@
 	"math"
 	"slices"
 
-	"stoneford/invariant"
-	"stoneford/ports"
+	"stoneford/internal/invariant"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 	"stoneford/result"
-	"stoneford/voterview"
 )
 
 // Contact with a majority before serving (design 17). Whatever only the newest
@@ -86,7 +86,7 @@
 		c.logf(result.QuorumContactRestored, "%s", c.self)
 	case now >= until+contactLostThreshold && until > 0 && !c.contactLostLogged:
 		c.contactLostLogged = true
-		c.logf(result.QuorumContactLost, "the lease was over %d ms ago; %s", (now-until)/1000, c.learner.DescribeRegister(now, voterview.TableKey))
+		c.logf(result.QuorumContactLost, "the lease was over %d ms ago; %s", (now-until)/1000, c.learner.DescribeRegister(now, learner.TableKey))
 	}
 }
 
--- a/coordinator/contact_test.go
+++ b/internal/coordinator/contact_test.go
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 	"stoneford/schema"
-	"stoneford/voterview"
 )
 
 const (
@@ -138,7 +138,7 @@
 // play cuts the member off, calls it and the others, and mends the cut.
 func (d *partitionCase) play(from, to, restart bool) {
 	d.from, d.to, d.partitionedAt = from, to, d.environment.Now
-	d.refuses = d.partitionedAt + voterview.LeaseDurationUs
+	d.refuses = d.partitionedAt + learner.LeaseDurationUs
 	d.partition(true)
 	// The node hears the member that is cut off, and it alone.
 	for _, o := range d.others {
@@ -158,7 +158,7 @@
 		}
 		d.goOn()
 	}
-	if until := d.node.learner.LeaseUntil(); until > d.partitionedAt+voterview.LeaseDurationUs {
+	if until := d.node.learner.LeaseUntil(); until > d.partitionedAt+learner.LeaseDurationUs {
 		d.bad("NEWS", "a node that hears a member alone, cut off, has a lease until %d ms after the cut", (until-d.partitionedAt)/1000)
 	}
 	d.partition(false)
@@ -192,8 +192,8 @@
 // known says that a member that is not cut off knows that a database leaves.
 func (d *partitionCase) known(id string) bool {
 	return slices.ContainsFunc(d.others, func(o string) bool {
-		r := d.members[o].core.databases.Get(voterview.DatabasePrefix + id)
-		return r != nil && voterview.DecodeInstance(r).Draining
+		r := d.members[o].core.databases.Get(learner.DatabasePrefix + id)
+		return r != nil && learner.DecodeInstance(r).Draining
 	})
 }
 
--- a/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -9,15 +9,15 @@
 	"maps"
 	"math"
 
-	"stoneford/invariant"
+	"stoneford/crdt"
+	"stoneford/failover/fenced"
+	"stoneford/internal/invariant"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 	"stoneford/paxos"
-	"stoneford/ports"
-	"stoneford/records"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/step"
-	"stoneford/switchover"
-	"stoneford/voterview"
+	"stoneford/statemachine"
 )
 
 // Events.
@@ -37,7 +37,7 @@
 	// DatabaseReply ends an Ask.
 	DatabaseReply struct {
 		Group string
-		Reply switchover.DatabaseReply
+		Reply fenced.DatabaseReply
 	}
 	// PromoteDone ends a Promote.
 	PromoteDone struct {
@@ -74,12 +74,12 @@
 	// DatabaseCall puts a question to a database.
 	DatabaseCall struct {
 		Group string
-		Call  switchover.DatabaseCall
+		Call  fenced.DatabaseCall
 	}
 	// Promote asks the platform for a change of primary.
 	Promote struct {
 		Group   string
-		Promote switchover.Promote
+		Promote fenced.Promote
 	}
 	// LogEntry is for the log.
 	LogEntry struct {
@@ -94,7 +94,7 @@
 type Effects struct {
 	Log       []*schema.WALEntry
 	Watermark uint64
-	Send      []step.Send
+	Send      []statemachine.Send
 	Do        []any
 }
 
@@ -127,8 +127,8 @@
 	acceptor               *paxos.Acceptor
 	reconfigurer           *paxos.Reconfigurer
 	proposer               *paxos.Proposer
-	learner                *voterview.Learner
-	databases              *records.Store
+	learner                *learner.Learner
+	databases              *crdt.Store
 	changeNumbers          map[string]uint64 // key of a cell or record to the number of its newest change
 	changeNumber           uint64
 	acceptedRevisions      map[string]acceptedRevision // of each register
@@ -182,7 +182,7 @@
 	self := b.ControlNodeAddress()
 	c := &Core{self: self, run: run, config: b, acceptor: v, proposer: paxos.NewProposer(self, fmt.Sprint(run), b.SeedVoterAddresses()),
 		reconfigurer: paxos.NewReconfigurer(self, fmt.Sprint(run)),
-		learner:      voterview.New(self, b.SeedVoterAddresses(), b.Zone, b.Name, "control", run), databases: records.New(self),
+		learner:      learner.New(self, b.SeedVoterAddresses(), b.Zone, b.Name, "control", run), databases: crdt.New(self),
 		changeNumbers: map[string]uint64{}, acceptedRevisions: map[string]acceptedRevision{}, pollers: map[string]*poller{}, groups: map[string]*group{},
 		pendingProposals: map[string]func(int64, paxos.Outcome){}, catchUpAt: map[string]int64{}, pendingAnnouncements: map[uint64]*pendingAnnouncement{}, pendingCalls: map[uint64]*pendingCall{}, pendingChanges: map[string]*pendingChange{}, heartbeatsSinceForward: map[string]int{}, lastHeartbeatHere: map[string]int64{}, convergedTables: map[string]uint64{}}
 	c.proposer.LocalState = v.RegisterState
@@ -276,7 +276,7 @@
 	}
 }
 
-func (c *Core) send(ss ...step.Send) {
+func (c *Core) send(ss ...statemachine.Send) {
 	for _, s := range ss {
 		if s.To == c.self {
 			c.loopback = append(c.loopback, s.Envelope)
@@ -349,7 +349,7 @@
 	case *schema.Envelope_AnnouncementForward:
 		c.mergeRecords(now, b.AnnouncementForward.Databases)
 		if b.AnnouncementForward.Number > 0 {
-			c.send(step.Send{To: e.From, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementAck{AnnouncementAck: &schema.AnnouncementAck{Number: b.AnnouncementForward.Number}}}})
+			c.send(statemachine.Send{To: e.From, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementAck{AnnouncementAck: &schema.AnnouncementAck{Number: b.AnnouncementForward.Number}}}})
 		}
 	case *schema.Envelope_AnnouncementAck:
 		c.countAnnouncementAck(e.From, b.AnnouncementAck.Number)
@@ -408,9 +408,9 @@
 			d = now
 		}
 		if g.freezeRevision > g.clearedRevision {
-			d = min(d, g.freezeAcceptedAt+voterview.LeaseEndBoundUs)
-			if c.startedAt+voterview.LeaseEndBoundUs > now {
-				d = min(d, c.startedAt+voterview.LeaseEndBoundUs)
+			d = min(d, g.freezeAcceptedAt+learner.LeaseEndBoundUs)
+			if c.startedAt+learner.LeaseEndBoundUs > now {
+				d = min(d, c.startedAt+learner.LeaseEndBoundUs)
 			}
 		}
 	}
@@ -424,4 +424,4 @@
 func (c *Core) Table() (ports.RoutingTable, uint64) { return c.routingTable, c.tableRevision }
 
 // Learner is what this process learned from the voters.
-func (c *Core) Learner() *voterview.Learner { return c.learner }
+func (c *Core) Learner() *learner.Learner { return c.learner }
--- a/coordinator/duties.go
+++ b/internal/coordinator/duties.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
+	"stoneford/failover/fenced"
+	"stoneford/internal/learner"
 	"stoneford/schema"
-	"stoneford/switchover"
-	"stoneford/voterview"
 )
 
 // leaseStatusGroup stands in the place of a group's name in the word by which a control
@@ -13,10 +13,10 @@
 const leaseStatusGroup = "(lease)"
 
 // singletonRole is how this process stands towards a group's duty (design 16).
-func (c *Core) singletonRole(now int64, n string, l *schema.Leadership) switchover.RoleState {
-	d := switchover.RoleState{Self: c.config.Name, Run: c.run, Eligible: c.eligible(), Successor: c.isSuccessor(now, n), OwnerPresent: c.ownerPresent(now, l)}
+func (c *Core) singletonRole(now int64, n string, l *schema.Leadership) fenced.RoleState {
+	d := fenced.RoleState{Self: c.config.Name, Run: c.run, Eligible: c.eligible(), Successor: c.isSuccessor(now, n), OwnerPresent: c.ownerPresent(now, l)}
 	if c.tableRevision >= l.TableRevision { // under an older routing table nothing is carried out
-		d.Lease = switchover.Lease{ConfirmedAt: c.learner.LeaseUntil() - voterview.LeaseDurationUs, Until: c.learner.LeaseUntil()}
+		d.Lease = fenced.Lease{ConfirmedAt: c.learner.LeaseUntil() - learner.LeaseDurationUs, Until: c.learner.LeaseUntil()}
 	}
 	return d
 }
@@ -63,7 +63,7 @@
 // lacksLease says that no majority returned a look of this process for as long
 // as would have others take it for silent.
 func (c *Core) lacksLease(now int64) bool {
-	return now-max(c.learner.LeaseUntil()-voterview.LeaseDurationUs, c.startedAt) > ownerTimeout
+	return now-max(c.learner.LeaseUntil()-learner.LeaseDurationUs, c.startedAt) > ownerTimeout
 }
 
 // appendLeaseStatus notes, and adds whether this process lacks a lease, once it has lacked one.
@@ -98,11 +98,11 @@
 
 // ownsGroup says that this process holds a group's duty and has a lease.
 func (c *Core) ownsGroup(now int64, n string) bool {
-	k := voterview.LeaderPrefix + n
+	k := learner.LeaderPrefix + n
 	v, ok := c.learner.Committed(k)
 	if !ok || !c.isVoting() || c.learner.Unconfirmed(k) {
 		return false
 	}
-	l := voterview.DecodeLeadership(v)
-	return c.group(n).decider.CanAct(now, switchover.Input{State: l, Revision: v.Revision, Role: c.singletonRole(now, n, l)})
+	l := learner.DecodeLeadership(v)
+	return c.group(n).decider.CanAct(now, fenced.Input{State: l, Revision: v.Revision, Role: c.singletonRole(now, n, l)})
 }
--- a/coordinator/gone_test.go
+++ b/internal/coordinator/gone_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"stoneford/ports"
-	"stoneford/voterview"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 )
 
 // TestPartitionedExpiresNoDatabase: a process that was cut off heard no announcements;
@@ -38,7 +38,7 @@
 		for range 600 {
 			c.run(10_000)
 			for _, a := range c.order {
-				if r := c.members[a].core.databases.Get(voterview.DatabasePrefix + "db"); r == nil || voterview.DecodeInstance(r).Gone {
+				if r := c.members[a].core.databases.Get(learner.DatabasePrefix + "db"); r == nil || learner.DecodeInstance(r).Gone {
 					t.Fatalf("seed %d: %s takes the database as gone", seed, a)
 				}
 			}
@@ -46,7 +46,7 @@
 		// One that is silent towards all is taken as gone.
 		c.step(c.order[1], Announce{ID: 1 << 40, Instance: ports.Instance{ID: "silent", Group: "g", Address: "10.1.1.2:1", AnnouncementNumber: 1}})
 		c.run(14_000_000)
-		if r := c.members[off].core.databases.Get(voterview.DatabasePrefix + "silent"); r == nil || !voterview.DecodeInstance(r).Gone {
+		if r := c.members[off].core.databases.Get(learner.DatabasePrefix + "silent"); r == nil || !learner.DecodeInstance(r).Gone {
 			t.Fatalf("seed %d: one that is silent for long is not taken as gone", seed)
 		}
 	}
--- a/coordinator/history_test.go
+++ b/internal/coordinator/history_test.go
@@ -11,10 +11,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
+	"stoneford/internal/wal"
+	"stoneford/internal/wal/crashdisk"
 	"stoneford/schema"
-	"stoneford/voterlog"
-	"stoneford/voterlog/crashdisk"
 )
 
 // history is a cluster whose routing table is changed again and again. It knows
@@ -503,7 +503,7 @@
 	for range 5 { // the machine may be busy
 		began := time.Now()
 		var es []*schema.WALEntry
-		l, err := voterlog.Open(folder, func(e *schema.WALEntry) { es = append(es, e) })
+		l, err := wal.Open(folder, func(e *schema.WALEntry) { es = append(es, e) })
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/coordinator/leadership.go
+++ b/internal/coordinator/leadership.go
@@ -7,16 +7,16 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/failover/fenced"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 	"stoneford/paxos"
-	"stoneford/ports"
 	"stoneford/schema"
-	"stoneford/step"
-	"stoneford/switchover"
-	"stoneford/voterview"
+	"stoneford/statemachine"
 )
 
 type group struct {
-	decider              *switchover.Group
+	decider              *fenced.Group
 	freezeRevision       uint64 // revision of the newest sealing accepted here
 	freezeAcceptedAt     int64  // when
 	polledBeforeFreeze   map[string]bool
@@ -33,18 +33,18 @@
 // noteAccepted notes when a sealing came here first: nodes that looked before may
 // work by what was before it.
 func (c *Core) noteAccepted(now int64, k string) {
-	n, ok := strings.CutPrefix(k, voterview.LeaderPrefix)
+	n, ok := strings.CutPrefix(k, learner.LeaderPrefix)
 	if !ok {
 		return
 	}
-	l := voterview.DecodeLeadership(voterview.CommittedValue{Data: c.syncedCells[k].GetValue().GetData()})
+	l := learner.DecodeLeadership(learner.CommittedValue{Data: c.syncedCells[k].GetValue().GetData()})
 	g := c.group(n)
 	if l.FreezeRevision <= g.freezeRevision {
 		return
 	}
 	g.freezeRevision, g.freezeAcceptedAt, g.polledBeforeFreeze = l.FreezeRevision, now, map[string]bool{}
 	for a, f := range c.pollers {
-		if f.kind == "pool" && now-f.lastResponse < voterview.LeaseEndBoundUs {
+		if f.kind == "pool" && now-f.lastResponse < learner.LeaseEndBoundUs {
 			g.polledBeforeFreeze[a] = true
 		}
 	}
@@ -53,13 +53,13 @@
 // clearedHere says whether no node that this voter sent a return before it
 // accepted the sealing relies on that return any more (design 14.6).
 func (c *Core) clearedHere(now int64, n string, g *group) bool {
-	if c.activatedAt > 0 && now-c.activatedAt < voterview.LeaseEndBoundUs {
+	if c.activatedAt > 0 && now-c.activatedAt < learner.LeaseEndBoundUs {
 		return false // what voters of the membership before returned is not known
 	}
-	if now-g.freezeAcceptedAt >= voterview.LeaseEndBoundUs {
+	if now-g.freezeAcceptedAt >= learner.LeaseEndBoundUs {
 		return true
 	}
-	if now-c.startedAt < voterview.LeaseEndBoundUs {
+	if now-c.startedAt < learner.LeaseEndBoundUs {
 		return false // what an earlier run returned is not known
 	}
 	for a := range g.polledBeforeFreeze {
@@ -94,7 +94,7 @@
 func (c *Core) group(n string) *group {
 	g := c.groups[n]
 	if g == nil {
-		g = &group{decider: switchover.New(), databases: map[string]ports.Instance{}}
+		g = &group{decider: fenced.New(), databases: map[string]ports.Instance{}}
 		c.groups[n] = g
 	}
 	return g
@@ -125,13 +125,13 @@
 	g.changed = false
 	if number := c.learner.Membership().Number; g.successorsMembership != number || len(g.successors) != len(c.learner.Voters()) {
 		g.successorsMembership = number
-		g.successors = step.Rank("change/"+n, c.learner.Voters())
+		g.successors = statemachine.Rank("change/"+n, c.learner.Voters())
 	}
-	k := voterview.LeaderPrefix + n
+	k := learner.LeaderPrefix + n
 	v, ok := c.learner.Committed(k)
 	l := &schema.Leadership{}
 	if ok {
-		l = voterview.DecodeLeadership(v)
+		l = learner.DecodeLeadership(v)
 	}
 	if g.freezeRevision > g.clearedRevision && c.clearedHere(now, n, g) {
 		g.clearedRevision = g.freezeRevision
@@ -143,7 +143,7 @@
 	if i < 0 {
 		return
 	}
-	in := switchover.Input{Group: n, RequiredReplicaAcks: c.routingTable.Groups[i].RequiredReplicaAcks, State: l, Revision: v.Revision, UpToDate: !c.learner.Unconfirmed(k), Role: c.singletonRole(now, n, l)}
+	in := fenced.Input{Group: n, RequiredReplicaAcks: c.routingTable.Groups[i].RequiredReplicaAcks, State: l, Revision: v.Revision, UpToDate: !c.learner.Unconfirmed(k), Role: c.singletonRole(now, n, l)}
 	acts := g.decider.CanAct(now, in)
 	if g.seenRevision != v.Revision {
 		g.seenRevision = v.Revision
@@ -161,22 +161,22 @@
 	}
 	for _, e := range fx {
 		switch e := e.(type) {
-		case switchover.DatabaseCall:
+		case fenced.DatabaseCall:
 			c.effects.Do = append(c.effects.Do, DatabaseCall{Group: n, Call: e})
-		case switchover.Promote:
+		case fenced.Promote:
 			c.effects.Do = append(c.effects.Do, Promote{Group: n, Promote: e})
-		case switchover.LogEntry:
+		case fenced.LogEntry:
 			c.logf(e.Code, "%s", e.Message)
-		case switchover.ProposeMembers:
+		case fenced.ProposeMembers:
 			b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&schema.GroupMembers{DatabaseIds: e.IDs})
 			if err != nil {
 				panic(err)
 			}
-			c.propose(now, paxos.Change{ID: c.proposalName(), Key: voterview.MembersPrefix + n, BaseRevision: e.BaseRevision, Data: b, Deadline: now + changeTimeout}, func(int64, paxos.Outcome) {
+			c.propose(now, paxos.Change{ID: c.proposalName(), Key: learner.MembersPrefix + n, BaseRevision: e.BaseRevision, Data: b, Deadline: now + changeTimeout}, func(int64, paxos.Outcome) {
 				g.decider.MembersProposalDone()
 				g.changed = true
 			})
-		case switchover.ProposeState:
+		case fenced.ProposeState:
 			c.propose(now, paxos.Change{ID: c.proposalName(), Key: k, BaseRevision: e.BaseRevision, Data: e.Data, Deadline: now + changeTimeout}, func(int64, paxos.Outcome) {
 				g.decider.StateProposalDone()
 				g.changed = true
@@ -186,18 +186,18 @@
 }
 
 // collectInput brings what databases and nodes said lately into a decider's input.
-func (c *Core) collectInput(now int64, n, k string, g *group, l *schema.Leadership, in *switchover.Input) {
-	in.LastAnnounced, in.Gone, in.HealthReports = map[string]int64{}, map[string]bool{}, map[string]switchover.HealthReport{}
+func (c *Core) collectInput(now int64, n, k string, g *group, l *schema.Leadership, in *fenced.Input) {
+	in.LastAnnounced, in.Gone, in.HealthReports = map[string]int64{}, map[string]bool{}, map[string]fenced.HealthReport{}
 	for _, id := range slices.Sorted(maps.Keys(g.databases)) {
 		if i := g.databases[id]; i.Gone {
 			in.Gone[id] = true
 		} else {
 			in.Instances = append(in.Instances, i)
-			in.LastAnnounced[id] = now - c.databases.AgeUs(now, voterview.DatabasePrefix+id)
+			in.LastAnnounced[id] = now - c.databases.AgeUs(now, learner.DatabasePrefix+id)
 		}
 	}
 	in.InventoryComplete = c.heardAllDatabases(now)
-	if v, ok := c.learner.Committed(voterview.MembersPrefix + n); ok {
+	if v, ok := c.learner.Committed(learner.MembersPrefix + n); ok {
 		m := &schema.GroupMembers{}
 		if proto.Unmarshal(v.Data, m) == nil {
 			in.Members, in.MembersRevision = m.DatabaseIds, v.Revision
--- a/coordinator/learners_test.go
+++ b/internal/coordinator/learners_test.go
@@ -8,12 +8,12 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
 	"stoneford/paxos"
-	"stoneford/ports"
-	"stoneford/routingtable"
 	"stoneford/schema"
-	"stoneford/step"
-	"stoneford/voterview"
+	"stoneford/statemachine"
 )
 
 // faultSeeds is how many seeds run of the schedules with several troubles.
@@ -23,7 +23,7 @@
 // pool node does.
 type testLearner struct {
 	address string
-	learner *voterview.Learner
+	learner *learner.Learner
 	// commitsUnreported has what voters know to be agreed not reach it: a fault that is planted.
 	commitsUnreported bool
 }
@@ -45,7 +45,7 @@
 	l.restart(c)
 	var tick func()
 	tick = func() {
-		for _, s := range l.learner.Tick(c.environment.Now, func() voterview.Report { return voterview.Report{TableRevision: l.revision()} }) {
+		for _, s := range l.learner.Tick(c.environment.Now, func() learner.Report { return learner.Report{TableRevision: l.revision()} }) {
 			c.network.Send(l.address, s)
 		}
 		c.environment.After(10_000, tick)
@@ -56,12 +56,12 @@
 
 // restart has the learner forget everything.
 func (l *testLearner) restart(c *cluster) {
-	l.learner = voterview.New(l.address, c.order[:3], "z", "node", "pool", c.environment.Random.Uint64())
+	l.learner = learner.New(l.address, c.order[:3], "z", "node", "pool", c.environment.Random.Uint64())
 }
 
 // revision is the register's revision of the routing table that the learner knows.
 func (l *testLearner) revision() uint64 {
-	known, _ := l.learner.Committed(voterview.TableKey)
+	known, _ := l.learner.Committed(learner.TableKey)
 	return known.Revision
 }
 
@@ -163,7 +163,7 @@
 			taken = underFaults(c, k, learners, taken)
 			k.run(calm)
 			for _, l := range learners {
-				known, _ := l.learner.Committed(voterview.TableKey)
+				known, _ := l.learner.Committed(learner.TableKey)
 				if held := c.decoded(known.Data); held.Revision < taken || !l.leased(c.environment.Now) {
 					t.Errorf("seed %d: %s works by revision %d after %d ms of calm, holds a lease: %t; %d was taken", seed, l.address, held.Revision, calm/1000, l.leased(c.environment.Now), taken)
 				}
@@ -325,7 +325,7 @@
 
 // observe takes a learner's state down, each so many microseconds.
 func (s *stormFigures) observe(c *cluster, l *testLearner, every int64) {
-	known, _ := l.learner.Committed(voterview.TableKey)
+	known, _ := l.learner.Committed(learner.TableKey)
 	if next, ok := s.at[c.decoded(known.Data).Revision+1]; ok {
 		s.behind = max(s.behind, c.environment.Now-next)
 	}
@@ -354,7 +354,7 @@
 		}
 		take(to, e)
 	}
-	c.network.Send(l.address, step.Send{To: spare, Envelope: &schema.Envelope{From: l.address, Body: &schema.Envelope_Poll{Poll: &schema.Poll{Number: 1, Kind: "pool", Run: 7, VotersOnly: true}}}})
+	c.network.Send(l.address, statemachine.Send{To: spare, Envelope: &schema.Envelope{From: l.address, Body: &schema.Envelope_Poll{Poll: &schema.Poll{Number: 1, Kind: "pool", Run: 7, VotersOnly: true}}}})
 	k.run(500_000)
 	if largest == 0 || largest > 1_000 {
 		t.Errorf("it was returned %d bytes", largest)
--- a/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
+	"stoneford/internal/ports"
 	"stoneford/paxos"
-	"stoneford/ports"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 const (
@@ -81,7 +81,7 @@
 	var all []*schema.Record
 	c.databases.ForEach("", func(r *schema.Record) { all = append(all, r) })
 	if len(all) > 0 {
-		c.send(step.Send{To: to, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementForward{AnnouncementForward: &schema.AnnouncementForward{Databases: all}}}})
+		c.send(statemachine.Send{To: to, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementForward{AnnouncementForward: &schema.AnnouncementForward{Databases: all}}}})
 	}
 }
 
--- a/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"testing"
 
+	"stoneford/internal/ports"
 	"stoneford/paxos"
-	"stoneford/ports"
 )
 
 // add has one more machine, with an empty disk, that is told these seeds.
--- a/coordinator/moves.go
+++ b/internal/coordinator/moves.go
@@ -8,13 +8,13 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/failover/fenced"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
 	"stoneford/paxos"
-	"stoneford/ports"
 	"stoneford/result"
-	"stoneford/routingtable"
 	"stoneford/schema"
-	"stoneford/switchover"
-	"stoneford/voterview"
 )
 
 // Moves between sites (design 15). The routing table names the site; the group's
@@ -62,7 +62,7 @@
 func (c *Core) notePollerTable(now int64, from string, f *poller, m *schema.Poll) {
 	t := f.tables[m.Run]
 	f.tables[m.Run] = polledTable{polledAt: now, revision: max(t.revision, m.TableRevision)}
-	maps.DeleteFunc(f.tables, func(_ uint64, t polledTable) bool { return now-t.polledAt > 2*voterview.LeaseEndBoundUs })
+	maps.DeleteFunc(f.tables, func(_ uint64, t polledTable) bool { return now-t.polledAt > 2*learner.LeaseEndBoundUs })
 	f.lagging = m.Lagging
 	if m.ConvergedTable > c.convergedTables[from] && slices.Contains(c.learner.Voters(), from) {
 		c.convergedTables[from] = m.ConvergedTable // once true it stays so
@@ -75,13 +75,13 @@
 // looked within the time that a lease may last works by it; and what this voter
 // returns from now on shows that its disk holds it (design 15.3).
 func (c *Core) convergedTableHere(now int64) uint64 {
-	if !c.isVoting() || now-c.startedAt < voterview.LeaseEndBoundUs || c.activatedAt > 0 && now-c.activatedAt < voterview.LeaseEndBoundUs {
+	if !c.isVoting() || now-c.startedAt < learner.LeaseEndBoundUs || c.activatedAt > 0 && now-c.activatedAt < learner.LeaseEndBoundUs {
 		return 0 // what an earlier run returned is not known
 	}
-	low := min(c.acceptor.RegisterState(voterview.TableKey).GetValue().GetRevision(), c.tableRevision)
+	low := min(c.acceptor.RegisterState(learner.TableKey).GetValue().GetRevision(), c.tableRevision)
 	for _, f := range c.pollers {
 		for _, t := range f.tables {
-			if now-t.polledAt < voterview.LeaseEndBoundUs {
+			if now-t.polledAt < learner.LeaseEndBoundUs {
 				low = min(low, t.revision)
 			}
 		}
@@ -123,7 +123,7 @@
 	for _, a := range slices.Sorted(maps.Keys(c.pollers)) {
 		f := c.pollers[a]
 		for _, t := range f.tables {
-			if now-t.polledAt < voterview.LeaseEndBoundUs && t.revision < c.tableRevision && !slices.Contains(ns, f.name) && len(ns) < maxLaggingNames {
+			if now-t.polledAt < learner.LeaseEndBoundUs && t.revision < c.tableRevision && !slices.Contains(ns, f.name) && len(ns) < maxLaggingNames {
 				ns = append(ns, f.name)
 			}
 		}
@@ -133,7 +133,7 @@
 
 // move is a group's newest move, and its register's revision.
 func (c *Core) move(n string) (*schema.Move, uint64) {
-	v, ok := c.learner.Committed(voterview.MovePrefix + n)
+	v, ok := c.learner.Committed(learner.MovePrefix + n)
 	m := &schema.Move{}
 	if !ok || proto.Unmarshal(v.Data, m) != nil {
 		return &schema.Move{}, v.Revision
@@ -170,14 +170,14 @@
 }
 
 // addRequestedMove is what the routing table and the move say of a group's primary.
-func (c *Core) addRequestedMove(n string, in *switchover.Input) {
+func (c *Core) addRequestedMove(n string, in *fenced.Input) {
 	p, ok := c.routingTable.Placement(n)
 	if !ok {
 		return
 	}
-	in.Move = switchover.SiteMove{InSite: c.inSite(p.Site), Site: p.Site}
+	in.Move = fenced.SiteMove{InSite: c.inSite(p.Site), Site: p.Site}
 	m, _ := c.move(n)
-	if c.learner.Unconfirmed(voterview.MovePrefix + n) {
+	if c.learner.Unconfirmed(learner.MovePrefix + n) {
 		return
 	}
 	switch movePhase(m) {
@@ -185,13 +185,13 @@
 		in.Move.CheckCandidate = m.TableRevision == p.TableRevision && c.majorityConverged(m.TableRevision)
 	case ports.MoveAgreed:
 		// An operator's next placement waits until this one has ended.
-		in.Move = switchover.SiteMove{InSite: c.inSite(m.ToSite), Site: m.ToSite, TableRevision: m.TableRevision, Committed: true}
+		in.Move = fenced.SiteMove{InSite: c.inSite(m.ToSite), Site: m.ToSite, TableRevision: m.TableRevision, Committed: true}
 	}
 }
 
 // tickMove takes a group's move on to its next phase.
-func (c *Core) tickMove(now int64, n string, g *group, in switchover.Input) {
-	k := voterview.MovePrefix + n
+func (c *Core) tickMove(now int64, n string, g *group, in fenced.Input) {
+	k := learner.MovePrefix + n
 	p, has := c.routingTable.Placement(n)
 	if !has || !in.UpToDate || c.learner.Unconfirmed(k) || g.moveProposedAt > 0 && now-g.moveProposedAt < moveRetryInterval {
 		return
@@ -236,7 +236,7 @@
 func (c *Core) proposeMove(now int64, n string, g *group, base uint64, m *schema.Move) {
 	g.moveProposedAt = now
 	c.logf(result.MoveAdvanced, "%s to %s by table %d: %s %s", n, m.ToSite, m.TableRevision, movePhase(m), m.Cause)
-	c.propose(now, paxos.Change{ID: c.proposalName(), Key: voterview.MovePrefix + n, BaseRevision: base, Data: encodeMove(m), Deadline: now + changeTimeout}, func(int64, paxos.Outcome) {
+	c.propose(now, paxos.Change{ID: c.proposalName(), Key: learner.MovePrefix + n, BaseRevision: base, Data: encodeMove(m), Deadline: now + changeTimeout}, func(int64, paxos.Outcome) {
 		g.moveProposedAt, g.changed = 0, true
 	})
 }
@@ -253,7 +253,7 @@
 // register revision is the next one.
 func (c *Core) proposePlacement(now int64, base uint64, t ports.RoutingTable, p ports.Placement, f func(int64, paxos.Outcome)) {
 	p.TableRevision = base + 1
-	c.propose(now, paxos.Change{ID: c.proposalName(), Key: voterview.TableKey, BaseRevision: base, Data: routingtable.Encode(routingtable.WithPlacement(t, p)), Deadline: now + changeTimeout}, f)
+	c.propose(now, paxos.Change{ID: c.proposalName(), Key: learner.TableKey, BaseRevision: base, Data: routingtable.Encode(routingtable.WithPlacement(t, p)), Deadline: now + changeTimeout}, f)
 }
 
 // requestMove puts a group's new site into the newest routing table.
@@ -273,8 +273,8 @@
 		at := c.inSite(e.Site)
 		zone, some := "", false
 		l := &schema.Leadership{}
-		if v, ok := c.learner.Committed(voterview.LeaderPrefix + e.Group); ok {
-			l = voterview.DecodeLeadership(v)
+		if v, ok := c.learner.Committed(learner.LeaderPrefix + e.Group); ok {
+			l = learner.DecodeLeadership(v)
 		}
 		for _, i := range c.group(e.Group).databases {
 			some = some || !i.Gone && at(i.Zone)
@@ -315,14 +315,14 @@
 
 // readTableAndMove reads the routing table and a group's move through a majority.
 func (c *Core) readTableAndMove(now int64, n string, f func(now int64, t ports.RoutingTable, rev uint64, m *schema.Move, mrev uint64, ok bool)) {
-	c.readRegister(now, voterview.TableKey, func(now int64, o paxos.Outcome) {
+	c.readRegister(now, learner.TableKey, func(now int64, o paxos.Outcome) {
 		t, err := routingtable.Decode(o.Value.GetData())
 		if o.Verdict != paxos.Committed || err != nil {
 			f(now, t, 0, nil, 0, false)
 			return
 		}
 		rev := o.Value.GetRevision()
-		c.readRegister(now, voterview.MovePrefix+n, func(now int64, o paxos.Outcome) {
+		c.readRegister(now, learner.MovePrefix+n, func(now int64, o paxos.Outcome) {
 			m := &schema.Move{}
 			ok := o.Verdict == paxos.Committed && proto.Unmarshal(o.Value.GetData(), m) == nil
 			f(now, t, rev, m, o.Value.GetRevision(), ok)
@@ -354,7 +354,7 @@
 			return
 		}
 		m.Phase, m.Cause = uint32(ports.MoveCancelled), "an operator took it back"
-		c.propose(now, paxos.Change{ID: c.proposalName(), Key: voterview.MovePrefix + e.Group, BaseRevision: rev, Data: encodeMove(m), Deadline: now + changeTimeout}, func(now int64, o paxos.Outcome) {
+		c.propose(now, paxos.Change{ID: c.proposalName(), Key: learner.MovePrefix + e.Group, BaseRevision: rev, Data: encodeMove(m), Deadline: now + changeTimeout}, func(now int64, o paxos.Outcome) {
 			switch o.Verdict {
 			case paxos.Committed:
 				ret(now, ports.Committed, m.TableRevision, "")
@@ -389,8 +389,8 @@
 	for _, p := range c.routingTable.Placements {
 		m, _ := c.move(p.Group)
 		s := MoveState{Group: p.Group, Site: p.Site, Phase: movePhase(m).String(), To: m.ToSite, From: m.FromSite, Table: m.TableRevision, Cause: m.Cause}
-		if v, ok := c.learner.Committed(voterview.LeaderPrefix + p.Group); ok {
-			l := voterview.DecodeLeadership(v)
+		if v, ok := c.learner.Committed(learner.LeaderPrefix + p.Group); ok {
+			l := learner.DecodeLeadership(v)
 			s.Primary, s.RequiredTable = l.Primary, l.TableRevision
 			if i, ok := c.group(p.Group).databases[l.Primary]; ok {
 				s.Zone = i.Zone
@@ -441,12 +441,12 @@
 	d := int64(math.MaxInt64)
 	for _, f := range c.pollers {
 		for _, t := range f.tables {
-			if at := t.polledAt + voterview.LeaseEndBoundUs; at > now && t.revision < c.tableRevision {
+			if at := t.polledAt + learner.LeaseEndBoundUs; at > now && t.revision < c.tableRevision {
 				d = min(d, at)
 			}
 		}
 	}
-	if at := c.startedAt + voterview.LeaseEndBoundUs; at > now {
+	if at := c.startedAt + learner.LeaseEndBoundUs; at > now {
 		d = min(d, at)
 	}
 	return d
--- a/coordinator/moves_http.go
+++ b/internal/coordinator/moves_http.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 	"stoneford/result"
 )
 
--- a/coordinator/moves_test.go
+++ b/internal/coordinator/moves_test.go
@@ -5,12 +5,12 @@
 	"slices"
 	"testing"
 
+	"stoneford/failover/fenced"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 	"stoneford/paxos"
-	"stoneford/ports"
 	"stoneford/schema"
-	"stoneford/step"
-	"stoneford/switchover"
-	"stoneford/voterview"
+	"stoneford/statemachine"
 )
 
 // moveEnvironment is three control processes without a network between them, two
@@ -20,7 +20,7 @@
 	now       int64
 	boots     []ports.ProcessConfig
 	cores     []*Core
-	queue     []step.Send
+	queue     []statemachine.Send
 	tables    map[string]uint64 // of each pool node that looks
 	status    map[string]ports.DatabaseStatus
 	done      []any
@@ -59,7 +59,7 @@
 	for _, d := range fx.Do {
 		switch d := d.(type) {
 		case DatabaseCall:
-			w.step(i, DatabaseReply{Group: d.Group, Reply: switchover.DatabaseReply{ID: d.Call.ID, Status: w.status[d.Call.Instance.ID]}})
+			w.step(i, DatabaseReply{Group: d.Group, Reply: fenced.DatabaseReply{ID: d.Call.ID, Status: w.status[d.Call.Instance.ID]}})
 		case LogEntry, Promote, AnnounceDone:
 		default:
 			w.done = append(w.done, d)
@@ -167,7 +167,7 @@
 	w.run(500_000)
 	delete(w.tables, "pool-1")
 	w.moveTo("zone-b")
-	w.run(voterview.LeaseDurationUs - 700_000)
+	w.run(learner.LeaseDurationUs - 700_000)
 	if m := w.moves(); m.Phase != "staged" {
 		t.Errorf("%+v", m)
 	}
--- a/coordinator/news.go
+++ b/internal/coordinator/news.go
@@ -5,11 +5,11 @@
 	"slices"
 	"strings"
 
+	"stoneford/internal/learner"
+	"stoneford/internal/routingtable"
 	"stoneford/result"
-	"stoneford/routingtable"
 	"stoneford/schema"
-	"stoneford/step"
-	"stoneford/voterview"
+	"stoneford/statemachine"
 )
 
 type poller struct {
@@ -42,7 +42,7 @@
 	if known := c.learner.Membership(); known.Known() {
 		r.Membership = known.Proto()
 	}
-	c.send(step.Send{To: to, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_PollResponse{PollResponse: r}}})
+	c.send(statemachine.Send{To: to, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_PollResponse{PollResponse: r}}})
 }
 
 // handlePoll returns what changed here since the asker's last.
@@ -73,8 +73,8 @@
 	since := c.resumeFrom(f, m)
 	for _, ss := range [][]*schema.HealthReport{f.healthReports, m.HealthReports} {
 		for _, s := range ss {
-			if r := c.databases.Get(voterview.DatabasePrefix + s.DatabaseId); r != nil {
-				c.group(voterview.DecodeInstance(r).Group).changed = true
+			if r := c.databases.Get(learner.DatabasePrefix + s.DatabaseId); r != nil {
+				c.group(learner.DecodeInstance(r).Group).changed = true
 			}
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 	f.lastResponse = now
 	f.unconfirmed = m.Unconfirmed
-	c.send(step.Send{To: from, Envelope: c.pacedUpdate(now, from, f, m.Number)})
+	c.send(statemachine.Send{To: from, Envelope: c.pacedUpdate(now, from, f, m.Number)})
 	f.unconfirmed = nil
 	f.changeNumber = c.changeNumber // what does not arrive shows in the next look
 }
@@ -154,14 +154,14 @@
 			if c.changeNumbers[k] <= f.changeNumber {
 				continue
 			}
-			if strings.HasPrefix(k, voterview.DatabasePrefix) {
+			if strings.HasPrefix(k, learner.DatabasePrefix) {
 				r.Databases = append(r.Databases, c.databases.Get(k))
 			} else if d := c.syncedCells[k]; d != nil {
 				w := &schema.RegisterState{Key: k, Accepted: d.Accepted, Value: &schema.Value{Revision: d.Value.Revision}}
 				// A revision that was told, and is agreed anew under another membership, keeps
 				// its data.
-				told := k == voterview.TableKey && f.changeNumber > 0 && c.acceptedRevisions[k].revision == d.Value.Revision && c.acceptedRevisions[k].changeNumber <= f.changeNumber
-				if !told && (bodies || k != voterview.TableKey) {
+				told := k == learner.TableKey && f.changeNumber > 0 && c.acceptedRevisions[k].revision == d.Value.Revision && c.acceptedRevisions[k].changeNumber <= f.changeNumber
+				if !told && (bodies || k != learner.TableKey) {
 					w.Value.Data = d.Value.Data
 				}
 				r.Registers = append(r.Registers, w)
@@ -176,7 +176,7 @@
 	for _, a := range slices.Sorted(maps.Keys(c.pollers)) {
 		f := c.pollers[a]
 		if now-f.lastPoll < pollerTimeout && f.changeNumber < c.changeNumber {
-			c.send(step.Send{To: a, Envelope: c.pacedUpdate(now, a, f, 0)})
+			c.send(statemachine.Send{To: a, Envelope: c.pacedUpdate(now, a, f, 0)})
 			f.changeNumber = c.changeNumber
 		}
 	}
@@ -196,7 +196,7 @@
 func (c *Core) applyLearned(now int64) {
 	ks, _ := c.learner.TakeChanges()
 	for _, k := range ks {
-		if k == voterview.TableKey {
+		if k == learner.TableKey {
 			if v, ok := c.learner.Committed(k); ok && v.Revision > c.tableRevision {
 				t, err := routingtable.Decode(v.Data)
 				if err != nil {
@@ -213,7 +213,7 @@
 		}
 	}
 	for _, k := range ks {
-		for _, p := range []string{voterview.LeaderPrefix, voterview.MembersPrefix, voterview.MovePrefix} {
+		for _, p := range []string{learner.LeaderPrefix, learner.MembersPrefix, learner.MovePrefix} {
 			if n, ok := strings.CutPrefix(k, p); ok {
 				c.group(n).changed = true
 			}
@@ -222,8 +222,8 @@
 }
 
 // report is what this process tells the other voters.
-func (c *Core) report() voterview.Report {
-	r := voterview.Report{Draining: c.draining, TableRevision: c.tableRevision, ConvergedTable: c.convergedTable}
+func (c *Core) report() learner.Report {
+	r := learner.Report{Draining: c.draining, TableRevision: c.tableRevision, ConvergedTable: c.convergedTable}
 	if c.anyMoveStaged() {
 		r.LaggingProcesses = c.laggingProcesses(c.lastStep)
 	}
--- a/coordinator/operators.go
+++ b/internal/coordinator/operators.go
@@ -3,12 +3,12 @@
 import (
 	"slices"
 
-	"stoneford/invariant"
+	"stoneford/internal/invariant"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
 	"stoneford/paxos"
-	"stoneford/ports"
-	"stoneford/routingtable"
 	"stoneford/schema"
-	"stoneford/voterview"
 )
 
 // pendingChange is an operator's change that is being decided by this process, and the
@@ -33,7 +33,7 @@
 	}
 	o := &pendingChange{change: e.Change, knownRevision: c.knownTableRevision(), callers: []uint64{e.ID}, deadline: now + changeTimeout}
 	c.pendingChanges[e.Change.Digest] = o
-	c.readRegister(now, voterview.TableKey, func(now int64, read paxos.Outcome) { c.decideChange(now, o, read) })
+	c.readRegister(now, learner.TableKey, func(now int64, read paxos.Outcome) { c.decideChange(now, o, read) })
 }
 
 // decideChange decides an order by the newest table, as a reading or a vote that was
@@ -69,7 +69,7 @@
 	}
 	// Other processes may put the very same order to the vote. They share its
 	// name, so it is made once.
-	c.propose(now, paxos.Change{ID: o.change.Digest, Key: voterview.TableKey, BaseRevision: newest.Value.GetRevision(), Data: routingtable.Encode(next), Deadline: o.deadline},
+	c.propose(now, paxos.Change{ID: o.change.Digest, Key: learner.TableKey, BaseRevision: newest.Value.GetRevision(), Data: routingtable.Encode(next), Deadline: o.deadline},
 		func(now int64, vote paxos.Outcome) { c.changeVoted(now, o, vote) })
 }
 
@@ -103,7 +103,7 @@
 		return
 	}
 	known := c.knownTableRevision()
-	c.readRegister(now, voterview.TableKey, func(now int64, read paxos.Outcome) {
+	c.readRegister(now, learner.TableKey, func(now int64, read paxos.Outcome) {
 		t, err := routingtable.Decode(read.Value.GetData())
 		ok := read.Verdict == paxos.Committed && err == nil && t.Revision > 0 && c.notOlder(read.Value, known)
 		c.finishCall(now, e.ID, FetchTableDone{ID: e.ID, Table: t, OK: ok})
@@ -112,7 +112,7 @@
 
 // knownTableRevision is the register revision of the newest routing table known to be agreed.
 func (c *Core) knownTableRevision() uint64 {
-	known, _ := c.learner.Committed(voterview.TableKey)
+	known, _ := c.learner.Committed(learner.TableKey)
 	return known.Revision
 }
 
--- a/coordinator/orders_test.go
+++ b/internal/coordinator/orders_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"testing"
 
+	"stoneford/internal/ports"
 	"stoneford/paxos"
-	"stoneford/ports"
 	"stoneford/schema"
 )
 
--- a/coordinator/pacing.go
+++ b/internal/coordinator/pacing.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // A voter that was away, or a node that starts, asks again until it has what it
@@ -74,7 +74,7 @@
 }
 
 // admitResponse paces the answers of a voter that bring what it holds.
-func (p pacing) admitResponse(now int64, s step.Send) bool {
+func (p pacing) admitResponse(now int64, s statemachine.Send) bool {
 	switch {
 	case s.Envelope.GetStateResponse() != nil:
 		return p.admit(now, pacingKey{to: s.To, kind: largeState, membership: s.Envelope.GetStateResponse().Membership}, s.Envelope, 0)
--- a/coordinator/pacing_test.go
+++ b/internal/coordinator/pacing_test.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"testing"
 
-	"stoneford/routingtable"
-	"stoneford/voterlog/crashdisk"
+	"stoneford/internal/routingtable"
+	"stoneford/internal/wal/crashdisk"
 )
 
 // TestLargeStateOnASlowLink: a voter that was away, with and without its disk, is
--- a/coordinator/process.go
+++ b/internal/coordinator/process.go
@@ -14,13 +14,13 @@
 
 	"github.com/apex/log"
 
-	"stoneford/cleanup"
-	"stoneford/links"
-	"stoneford/ports"
+	"stoneford/failover/fenced"
+	"stoneford/internal/cleanup"
+	"stoneford/internal/ports"
+	"stoneford/internal/transport"
+	"stoneford/internal/wal"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/switchover"
-	"stoneford/voterlog"
 )
 
 const (
@@ -42,7 +42,7 @@
 	config       ports.ProcessConfig
 	core         *Core
 	logWriter    *writer
-	links        *links.Transport
+	links        *transport.Transport
 	inbox        chan any
 	startedAt    time.Time
 	lastCallID   atomic.Uint64
@@ -121,15 +121,15 @@
 	folder := filepath.Join(p.config.DataFolder, "voter")
 	var es []*schema.WALEntry
 	keep := func(l *schema.WALEntry) { es = append(es, l) }
-	st, err := voterlog.Open(folder, keep)
-	if voterlog.ErrCorrupt.Has(err) {
-		to, moved := voterlog.Quarantine(folder)
+	st, err := wal.Open(folder, keep)
+	if wal.ErrCorrupt.Has(err) {
+		to, moved := wal.Quarantine(folder)
 		log.WithFields(log.Fields{"code": int(result.LogDamaged), "moved_to": to}).WithError(err).Error(result.LogDamaged.String())
 		if moved != nil {
 			return nil, moved
 		}
 		es = nil
-		st, err = voterlog.Open(folder, keep)
+		st, err = wal.Open(folder, keep)
 		p.config.Bootstrap = false // what was here is lost: nothing is founded anew
 	}
 	if err != nil {
@@ -151,7 +151,7 @@
 	cl.Push(p.logWriter.close)
 	work := p.ctx
 	cl.Push(func() error { p.cancel(); return nil })
-	p.links = links.New(work, p.config.ControlNodeAddress(), links.LocalAddress(p.config.ControlNodeAddress()), p.deliver)
+	p.links = transport.New(work, p.config.ControlNodeAddress(), transport.LocalAddress(p.config.ControlNodeAddress()), p.deliver)
 	ln, err := net.Listen("tcp", p.config.ListenAddress(p.config.ControlNodeAddress()))
 	if err != nil {
 		return err
@@ -287,7 +287,7 @@
 	wait := time.Duration(d.Call.TimeoutUs) * time.Microsecond
 	if d.Call.Kind != ports.Status {
 		if wait = p.leaseLeft(d.Call.Until, wait); wait <= 0 {
-			p.post(DatabaseReply{Group: d.Group, Reply: switchover.DatabaseReply{ID: d.Call.ID, NotSent: true}})
+			p.post(DatabaseReply{Group: d.Group, Reply: fenced.DatabaseReply{ID: d.Call.ID, NotSent: true}})
 			return
 		}
 	}
@@ -295,7 +295,7 @@
 	defer stop()
 	i := d.Call.Instance
 	st, code, err := p.databases.Do(ctx, i.Address, i.Group, i.ID, ports.Op{Internal: true, Statement: ports.Statement{Kind: d.Call.Kind}, Term: d.Call.Term})
-	s := switchover.DatabaseReply{ID: d.Call.ID, Status: st}
+	s := fenced.DatabaseReply{ID: d.Call.ID, Status: st}
 	switch {
 	case err != nil && code != ports.WrongInstance:
 		// One that bounces a connection, because it has too many, is there.
--- a/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 type noDatabases struct{}
--- a/coordinator/rejoin_test.go
+++ b/internal/coordinator/rejoin_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"stoneford/ports"
-	"stoneford/voterview"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 )
 
 // TestPartitionedExpiresNoDatabaseInMoves: a control process that was cut off from the
@@ -36,7 +36,7 @@
 		c.run(10_000_000)
 		gone := func(id string) (by []string) {
 			for _, a := range c.order {
-				if r := c.members[a].core.databases.Get(voterview.DatabasePrefix + id); r == nil || voterview.DecodeInstance(r).Gone {
+				if r := c.members[a].core.databases.Get(learner.DatabasePrefix + id); r == nil || learner.DecodeInstance(r).Gone {
 					by = append(by, a)
 				}
 			}
--- a/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -10,10 +10,10 @@
 	"github.com/apex/log"
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/fleetstate"
-	"stoneford/ports"
+	"stoneford/internal/fleetstate"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
 	"stoneford/schema"
-	"stoneford/voterview"
 )
 
 // State is what this process knows of the fleet; whole brings the routing
@@ -42,8 +42,8 @@
 
 func (c *Core) databaseStates(now int64) []fleetstate.Database {
 	ds := []fleetstate.Database{}
-	c.databases.ForEach(voterview.DatabasePrefix, func(r *schema.Record) {
-		i := voterview.DecodeInstance(r)
+	c.databases.ForEach(learner.DatabasePrefix, func(r *schema.Record) {
+		i := learner.DecodeInstance(r)
 		ds = append(ds, fleetstate.Database{ID: i.ID, Group: i.Group, Address: i.Address, Zone: i.Zone, Capacity: i.Capacity,
 			Primary: i.Primary, Draining: i.Draining, Gone: i.Gone, HeardUs: max(c.databases.AgeUs(now, r.Key), 0)})
 	})
@@ -56,14 +56,14 @@
 func (c *Core) leaderStates(now int64) []fleetstate.Leadership {
 	ls := []fleetstate.Leadership{}
 	for _, n := range slices.Sorted(maps.Keys(c.groups)) {
-		k := voterview.LeaderPrefix + n
+		k := learner.LeaderPrefix + n
 		s := fleetstate.Leadership{Group: n, Unconfirmed: c.learner.Unconfirmed(k), Phase: "none", CanAct: c.ownsGroup(now, n)}
 		if v, ok := c.learner.Committed(k); ok {
-			l := voterview.DecodeLeadership(v)
+			l := learner.DecodeLeadership(v)
 			s.Revision, s.Term, s.Primary, s.Address, s.Phase = v.Revision, l.Term, l.Primary, l.Address, fleetstate.PhaseName(ports.Phase(l.Phase))
 			s.Cause, s.RoleOwner, s.FencingToken, s.PreviousPrimary, s.LastFailoverUs = l.Cause, l.RoleOwner, l.FencingToken, l.PreviousPrimary, l.LastFailoverUs
 		}
-		if v, ok := c.learner.Committed(voterview.MembersPrefix + n); ok {
+		if v, ok := c.learner.Committed(learner.MembersPrefix + n); ok {
 			m := &schema.GroupMembers{}
 			if proto.Unmarshal(v.Data, m) == nil {
 				s.Members = m.DatabaseIds
--- a/coordinator/stored_test.go
+++ b/internal/coordinator/stored_test.go
@@ -9,12 +9,12 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/internal/learner"
+	"stoneford/internal/membership"
+	"stoneford/internal/ports"
+	"stoneford/internal/wal"
 	"stoneford/paxos"
-	"stoneford/ports"
-	"stoneford/roster"
 	"stoneford/schema"
-	"stoneford/voterlog"
-	"stoneford/voterview"
 )
 
 // record writes a fixture that is not there yet. One that is there is never
@@ -42,7 +42,7 @@
 	{"leader/orders", &schema.Leadership{Term: 6, Primary: "db-2", Address: "10.0.1.2:5432", Phase: 1, RoleOwner: "10.0.0.3:7001", FencingToken: 12, Cause: "it is silent",
 		LastFailoverUs: 1_500_001, PreviousPrimary: "db-1", FreezeRevision: 44, PromotionRequested: true, TableRevision: 30, RoleOwnerRun: 99},
 		func(v *schema.Value) proto.Message {
-			return voterview.DecodeLeadership(voterview.CommittedValue{Data: v.GetData()})
+			return learner.DecodeLeadership(learner.CommittedValue{Data: v.GetData()})
 		}},
 	{"members/orders", &schema.GroupMembers{DatabaseIds: []string{"db-1", "db-2", "db-3"}}, readAs(&schema.GroupMembers{})},
 	{"move/orders", &schema.Move{ToSite: "zone-2", FromSite: "zone-1", TableRevision: 31, Phase: 2, Cause: "asked for"}, readAs(&schema.Move{})},
@@ -53,15 +53,15 @@
 func TestRegisterKeys(t *testing.T) {
 	for _, x := range []struct{ what, key, want string }{
 		{"membership", paxos.MembershipKey, "membership"},
-		{"routing table", voterview.TableKey, "routes"},
-		{"leaderships", voterview.LeaderPrefix, "leader/"},
-		{"members", voterview.MembersPrefix, "members/"},
-		{"moves", voterview.MovePrefix, "move/"},
-		{"databases", voterview.DatabasePrefix, "database/"},
-		{"nodes", roster.NodePrefix, "node/"},
-		{"suspicions", roster.SuspectPrefix, "suspect/"},
-		{"reports", roster.ReportPrefix, "report/"},
-		{"applied revisions", roster.AppliedPrefix, "applied/"},
+		{"routing table", learner.TableKey, "routes"},
+		{"leaderships", learner.LeaderPrefix, "leader/"},
+		{"members", learner.MembersPrefix, "members/"},
+		{"moves", learner.MovePrefix, "move/"},
+		{"databases", learner.DatabasePrefix, "database/"},
+		{"nodes", membership.NodePrefix, "node/"},
+		{"suspicions", membership.SuspectPrefix, "suspect/"},
+		{"reports", membership.ReportPrefix, "report/"},
+		{"applied revisions", membership.AppliedPrefix, "applied/"},
 	} {
 		if x.key != x.want {
 			t.Errorf("%s: the key is %q, not %q", x.what, x.key, x.want)
@@ -73,7 +73,7 @@
 // its last entry with an earlier value.
 func recordVoter(t *testing.T, folder string) {
 	t.Helper()
-	l, err := voterlog.Open(folder, func(*schema.WALEntry) {})
+	l, err := wal.Open(folder, func(*schema.WALEntry) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	var es []*schema.WALEntry
-	l, err := voterlog.Open(filepath.Join(folder, "voter"), func(e *schema.WALEntry) { es = append(es, e) })
+	l, err := wal.Open(filepath.Join(folder, "voter"), func(e *schema.WALEntry) { es = append(es, e) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/coordinator/voting.go
+++ b/internal/coordinator/voting.go
@@ -4,7 +4,7 @@
 	"stoneford/paxos"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // newcomerCatchUpDelay is how long a voter that is new leaves it to the others to settle what
@@ -14,7 +14,7 @@
 // unsyncedStep is what a voter's step asks for, until its entries are on disk.
 type unsyncedStep struct {
 	watermark        uint64
-	sends            []step.Send
+	sends            []statemachine.Send
 	cells            []*schema.RegisterState
 	activeMembership uint64
 }
@@ -135,7 +135,7 @@
 		case c.learner.UpToDate(k) || !c.learner.Unconfirmed(k) && !c.acceptor.Stale(k):
 			delete(c.catchUpAt, k)
 		case c.catchUpAt[k] == 0:
-			c.catchUpAt[k] = now + catchUpInterval + int64(step.Hash(c.self, k)%catchUpInterval)
+			c.catchUpAt[k] = now + catchUpInterval + int64(statemachine.Hash(c.self, k)%catchUpInterval)
 		case now >= c.catchUpAt[k]:
 			c.catchUpAt[k] = now + 2*catchUpInterval
 			c.readRegister(now, k, func(int64, paxos.Outcome) {})
--- a/coordinator/writer.go
+++ b/internal/coordinator/writer.go
@@ -4,8 +4,8 @@
 	"sync/atomic"
 	"time"
 
+	"stoneford/internal/wal"
 	"stoneford/schema"
-	"stoneford/voterlog"
 )
 
 // closeTimeout is how long an ending process waits for its disk.
@@ -14,7 +14,7 @@
 // writer has the disk to itself, so that nobody else waits for it. What comes
 // while a sync is under way is written together by the next one.
 type writer struct {
-	log         *voterlog.Log
+	log         *wal.Log
 	jobs        chan writeJob
 	post        func(any)
 	snapshotDue atomic.Bool // a snapshot is to take the place of the next entries
@@ -30,7 +30,7 @@
 // snapshots of a disk that refuses).
 const writeQueueLength = 4 * maxUnsyncedSteps
 
-func newWriter(l *voterlog.Log, post func(any)) *writer {
+func newWriter(l *wal.Log, post func(any)) *writer {
 	w := &writer{log: l, jobs: make(chan writeJob, writeQueueLength), post: post, ended: make(chan struct{})}
 	w.snapshotDue.Store(l.SnapshotDue())
 	go w.run()
--- a/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,7 +16,7 @@
 	"github.com/samber/do/v2"
 	"github.com/urfave/cli/v3"
 
-	"stoneford/bootfile"
+	"stoneford/internal/config"
 	"stoneford/result"
 	"stoneford/schema"
 )
@@ -27,8 +27,8 @@
 // Main runs a daemon. provide tells the container how the service is made;
 // changed is called when the boot file has changed.
 func Main(name, usage string, provide func(do.Injector) (Service, error), changed func(Service, *schema.Boot)) {
-	c := &cli.Command{Name: name, Usage: usage, Flags: bootfile.Flags(), Action: func(ctx context.Context, c *cli.Command) error {
-		b, err := bootfile.Read(c)
+	c := &cli.Command{Name: name, Usage: usage, Flags: config.Flags(), Action: func(ctx context.Context, c *cli.Command) error {
+		b, err := config.Read(c)
 		if err != nil {
 			return err
 		}
@@ -44,7 +44,7 @@
 		}
 		ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 		defer stop()
-		go bootfile.Watch(ctx, c, b, func(b *schema.Boot, err error) {
+		go config.Watch(ctx, c, b, func(b *schema.Boot, err error) {
 			if err != nil {
 				log.WithFields(log.Fields{"code": int(result.ConfigInvalid)}).WithError(err).Error(result.ConfigInvalid.String())
 				return
--- a/loop/loop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,6 +1,6 @@
-// Package loop runs a deterministic core on a goroutine of its own: events come
+// Package eventloop runs a deterministic core on a goroutine of its own: events come
 // in through a line, the clock's ticks between them.
-package loop
+package eventloop
 
 import (
 	"context"
--- a/fleetstate/fleet_test.go
+++ b/internal/fleetstate/fleet_test.go
@@ -14,11 +14,11 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"stoneford/coordinator"
-	"stoneford/fleetstate"
-	"stoneford/ports"
-	"stoneford/sessionpool"
-	"stoneford/sessiontable"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/fleetstate"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
+	"stoneford/internal/sessiontable"
 )
 
 // databases of one group: d1 leads in term 1.
--- a/fleetstate/http.go
+++ b/internal/fleetstate/http.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 const (
--- a/fleetstate/names_test.go
+++ b/internal/fleetstate/names_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // TestPositionNames: a position, which states tell and read, has the names that it
--- a/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -6,7 +6,7 @@
 import (
 	"fmt"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // Kinds of processes.
--- a/fleetstate/tables.go
+++ b/internal/fleetstate/tables.go
@@ -11,7 +11,7 @@
 
 	"github.com/samber/lo"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // tableWriter writes tables of text.
--- a/fleetstate/tables_test.go
+++ b/internal/fleetstate/tables_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/sebdah/goldie/v2"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 func sample() []FetchResult {
--- a/voterview/doubts.go
+++ b/internal/learner/doubts.go
@@ -1,11 +1,11 @@
-package voterview
+package learner
 
 import (
 	"bytes"
 	"maps"
 	"slices"
 
-	"stoneford/invariant"
+	"stoneford/internal/invariant"
 	"stoneford/schema"
 )
 
--- a/voterview/voterview.go
+++ b/internal/learner/learner.go
@@ -1,8 +1,8 @@
-// Package voterview is what a process learns from the voters without voting
+// Package learner is what a process learns from the voters without voting
 // itself: the values that are known to be agreed, the databases that were
 // announced, and a lease of all that (design 14.4). View is a deterministic
 // core.
-package voterview
+package learner
 
 import (
 	"cmp"
@@ -13,11 +13,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/invariant"
+	"stoneford/internal/invariant"
+	"stoneford/internal/ports"
 	"stoneford/paxos"
-	"stoneford/ports"
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // Keys of the registers and records.
@@ -147,7 +147,7 @@
 func New(self string, contacts []string, zone, name, kind string, run uint64) *Learner {
 	// Looks are counted from a place of the run's own, so that what is returned to
 	// an earlier run's look is not taken for a return to one of this run's.
-	first := step.Hash("look", self, strconv.FormatUint(run, 10)) >> pollNumberShift
+	first := statemachine.Hash("look", self, strconv.FormatUint(run, 10)) >> pollNumberShift
 	v := &Learner{self: self, name: name, zone: zone, kind: kind, run: run, firstPoll: first, newestPoll: first, voters: map[string]*voterState{}, committed: map[string]CommittedValue{},
 		highestSeen: map[string]uint64{}, databases: map[string]*schema.Record{}, changedKeys: map[string]bool{}, missingData: map[string]bool{}, unconfirmedSince: map[string]int64{}, inquiry: unconfirmedInquiry{retryDelay: unconfirmedTimeout}}
 	v.contacts = slices.Clone(contacts)
@@ -299,7 +299,7 @@
 }
 
 // Tick sends a look to every voter when one is due.
-func (v *Learner) Tick(now int64, r func() Report) []step.Send {
+func (v *Learner) Tick(now int64, r func() Report) []statemachine.Send {
 	if now < v.Due() {
 		return nil
 	}
@@ -322,7 +322,7 @@
 		}
 		v.polls = slices.Clone(v.polls[1:])
 	}
-	var out []step.Send
+	var out []statemachine.Send
 	body := v.dataSource()
 	for _, o := range v.rankedVoters() {
 		x := v.voters[o]
@@ -337,7 +337,7 @@
 			}
 			x.sentByPoll[v.newestPoll] = ws
 		}
-		out = append(out, step.Send{To: o, Envelope: &schema.Envelope{From: v.self, Body: &schema.Envelope_Poll{Poll: &schema.Poll{
+		out = append(out, statemachine.Send{To: o, Envelope: &schema.Envelope{From: v.self, Body: &schema.Envelope_Poll{Poll: &schema.Poll{
 			Number: v.newestPoll, VoterRun: x.run, ChangeNumber: x.changeNumber, IncludeData: o == body, Name: v.name, Zone: v.zone, Kind: v.kind, Run: v.run,
 			Draining: rep.Draining, HealthReports: rep.HealthReports, GroupStatuses: ws,
 			TableRevision: rep.TableRevision, ConvergedTable: rep.ConvergedTable, Lagging: rep.LaggingProcesses, Unconfirmed: asked,
@@ -348,14 +348,14 @@
 
 // pollContacts asks those who are no voters, as far as known here, whether they know
 // a newer membership: the voters known may all have been replaced.
-func (v *Learner) pollContacts(now int64) []step.Send {
+func (v *Learner) pollContacts(now int64) []statemachine.Send {
 	if !v.membership.Known() || now-v.leaseUntil < contactsPollDelay {
 		return nil
 	}
-	var out []step.Send
+	var out []statemachine.Send
 	for _, o := range v.contacts {
 		if v.voters[o] == nil && o != v.self {
-			out = append(out, step.Send{To: o, Envelope: &schema.Envelope{From: v.self, Body: &schema.Envelope_Poll{Poll: &schema.Poll{
+			out = append(out, statemachine.Send{To: o, Envelope: &schema.Envelope{From: v.self, Body: &schema.Envelope_Poll{Poll: &schema.Poll{
 				Number: v.newestPoll, Name: v.name, Zone: v.zone, Kind: v.kind, Run: v.run, VotersOnly: true}}}})
 		}
 	}
@@ -376,7 +376,7 @@
 	if i := slices.Index(v.addresses, v.self); i >= 0 {
 		return append([]string{v.self}, slices.Delete(slices.Clone(v.addresses), i, i+1)...)
 	}
-	return step.Rank(v.self, v.addresses)
+	return statemachine.Rank(v.self, v.addresses)
 }
 
 // dataSource is the voter that is asked for the data of what changed: one of this
--- a/voterview/voterview_test.go
+++ b/internal/learner/learner_test.go
@@ -1,4 +1,4 @@
-package voterview
+package learner
 
 import (
 	"testing"
--- a/voterview/state.go
+++ b/internal/learner/state.go
@@ -1,4 +1,4 @@
-package voterview
+package learner
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"stoneford/fleetstate"
+	"stoneford/internal/fleetstate"
 )
 
 // VoterStates are the voters as this process knows them.
--- a/roster/roster.go
+++ b/internal/membership/membership.go
@@ -1,14 +1,14 @@
-// Package roster reads from the mergeable records who is in the fleet and who
+// Package membership reads from the mergeable records who is in the fleet and who
 // of them counts as alive (design 4).
-package roster
+package membership
 
 import (
 	"strings"
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/neighbours"
-	"stoneford/records"
+	"stoneford/crdt"
+	"stoneford/failuredetector"
 	"stoneford/schema"
 )
 
@@ -42,7 +42,7 @@
 func SuspectKey(node, watcher string) string { return SuspectPrefix + node + "/" + watcher }
 
 // ReadNodes returns all nodes, in order of their addresses.
-func ReadNodes(now int64, s *records.Store) []Node {
+func ReadNodes(now int64, s *crdt.Store) []Node {
 	var ns []Node
 	var all []string
 	s.ForEach(NodePrefix, func(r *schema.Record) {
@@ -55,7 +55,7 @@
 		all = append(all, a)
 	})
 	for i, n := range ns {
-		ns[i].Alive = !n.Draining && !neighbours.SuspicionConfirmed(n.Address, all, func(w string) bool {
+		ns[i].Alive = !n.Draining && !failuredetector.SuspicionConfirmed(n.Address, all, func(w string) bool {
 			r := s.Get(SuspectKey(n.Address, w))
 			d := &schema.SuspectRecord{}
 			return r != nil && proto.Unmarshal(r.Data, d) == nil && d.Suspected && d.Run == n.Run
--- a/operators/client.go
+++ b/internal/operators/client.go
@@ -11,7 +11,7 @@
 	"net/http"
 	"time"
 
-	"stoneford/control"
+	"stoneford/internal/control"
 	"stoneford/result"
 )
 
--- a/platform/callers.go
+++ b/internal/platform/callers.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"time"
 
-	"stoneford/ports"
-	"stoneford/sessionpool"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
 )
 
 const (
--- a/platform/callers_test.go
+++ b/internal/platform/callers_test.go
@@ -15,8 +15,8 @@
 	"testing/synctest"
 	"time"
 
-	"stoneford/ports"
-	"stoneford/sessionpool"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
 )
 
 // recordingHandler notes what callers do, and replies to what it is told to.
--- a/platform/calls_test.go
+++ b/internal/platform/calls_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"stoneford/ports"
-	"stoneford/sessionpool"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
 )
 
 // reaction is what a faulty database does with the lines of one connection. It
--- a/platform/churn_test.go
+++ b/internal/platform/churn_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"stoneford/coordinator"
-	"stoneford/ports"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/ports"
 )
 
 // churnStore is two databases of one group, which note what they are asked and
--- a/platform/contact_test.go
+++ b/internal/platform/contact_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // TestRejectionsCarryRetryAfter: a node that cannot serve now says so with 503 and
--- a/platform/databases_test.go
+++ b/internal/platform/databases_test.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // fakeDatabase is a database that answers by a function of the lines that come.
--- a/platform/outbox_test.go
+++ b/internal/platform/outbox_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"testing/synctest"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // TestRepliesDoNotOverwriteEachOther queues a reply while the one before it is
--- a/platform/registry.go
+++ b/internal/platform/registry.go
@@ -16,7 +16,7 @@
 	"time"
 	"unicode/utf8"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 const (
--- a/platform/registry_calls_test.go
+++ b/internal/platform/registry_calls_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // byRevision answers an order by the revision that it names, so that an answer
--- a/platform/registry_test.go
+++ b/internal/platform/registry_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 const exampleTable = `{"Revision":7,"Routes":[{"Name":"r-1","Host":"lepu270","PathPrefix":"/","RouteClass":"leader","DeadlineMs":800,"TargetMs":300,"Rank":1,"Backend":"huvo11a","MaxTries":2,"Later":{"a":[1, 2]}},` +
--- a/platform/run.go
+++ b/internal/platform/run.go
@@ -14,10 +14,10 @@
 	jsonlog "github.com/apex/log/handlers/json"
 	"github.com/jonboulle/clockwork"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
+	"stoneford/internal/sessiontable"
 	"stoneford/result"
-	"stoneford/sessionpool"
-	"stoneford/sessiontable"
 )
 
 const (
--- a/platform/settings.go
+++ b/internal/platform/settings.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 const (
--- a/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"testing/synctest"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 const exampleSettings = `NodeName=edge-buc-hala-1
--- a/platform/soak/fleet.go
+++ b/internal/platform/soak/fleet.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"stoneford/standin/link"
+	"stoneford/emulator/link"
 )
 
 // Ports of all machines. Relays stand between machines, and between operators and
--- a/platform/soak/run.go
+++ b/internal/platform/soak/run.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"stoneford/fleetstate"
-	"stoneford/invariant"
+	"stoneford/internal/fleetstate"
+	"stoneford/internal/invariant"
 )
 
 // report is what came of one seed.
--- a/platform/soak/troubles.go
+++ b/internal/platform/soak/troubles.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"stoneford/standin/link"
+	"stoneford/emulator/link"
 )
 
 // maxFaults is how many troubles overlap at the most.
--- a/platform/wire.go
+++ b/internal/platform/wire.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // The words of the wire.
--- a/platform/wire_test.go
+++ b/internal/platform/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"testing/iotest"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 func lines(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 16) }
--- a/platform/words_test.go
+++ b/internal/platform/words_test.go
@@ -68,7 +68,7 @@
 
 // TestPlatformNamesStayInThisPackage looks through the product for its words.
 func TestPlatformNamesStayInThisPackage(t *testing.T) {
-	root, files := "..", 0
+	root, files := filepath.Join("..", ".."), 0
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -78,7 +78,7 @@
 			return err
 		}
 		if d.IsDir() {
-			if rel == "platform" || rel == "tools" || rel == "docs" || rel == "target" || rel == "journal" || strings.HasPrefix(d.Name(), ".") && rel != "." {
+			if rel == filepath.Join("internal", "platform") || rel == "tools" || rel == "docs" || rel == "target" || rel == "journal" || strings.HasPrefix(d.Name(), ".") && rel != "." {
 				return filepath.SkipDir
 			}
 			return nil
--- a/pool/callers.go
+++ b/internal/pool/callers.go
@@ -11,7 +11,7 @@
 
 	"github.com/samber/lo"
 
-	"stoneford/querytable"
+	"stoneford/internal/querytable"
 	"stoneford/result"
 )
 
--- a/pool/core.go
+++ b/internal/pool/core.go
@@ -13,19 +13,19 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/bookings"
-	"stoneford/control"
-	"stoneford/neighbours"
+	"stoneford/connectionlease"
+	"stoneford/crdt"
+	"stoneford/failuredetector"
+	"stoneford/internal/control"
+	"stoneford/internal/membership"
+	"stoneford/internal/querytable"
+	"stoneford/internal/settings"
+	"stoneford/maintenance"
 	"stoneford/paxos"
-	"stoneford/permits"
-	"stoneford/querytable"
-	"stoneford/records"
 	"stoneford/relaytree"
 	"stoneford/result"
-	"stoneford/roster"
 	"stoneford/schema"
-	"stoneford/settings"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // Events.
@@ -79,7 +79,7 @@
 
 // Effects of one step.
 type Effects struct {
-	Send []step.Send
+	Send []statemachine.Send
 	Do   []any
 }
 
@@ -96,7 +96,7 @@
 type group struct {
 	partner        string
 	name           string
-	leaseRequester *permits.Lessee
+	leaseRequester *connectionlease.Lessee
 	views          []querytable.DatabaseView
 	inUse          map[string]int
 	desired        querytable.Desired
@@ -112,10 +112,10 @@
 	run              uint64
 	stamp            uint64
 	relay            *relaytree.Relay
-	records          *records.Store
-	detector         *neighbours.Detector
+	records          *crdt.Store
+	detector         *failuredetector.Detector
 	proposer         *paxos.Proposer
-	nodes            []roster.Node
+	nodes            []membership.Node
 	configurations   map[string]*schema.Configuration
 	calendar         *schema.MaintenanceCalendar
 	appliedRevisions map[string]uint64 // revision of each configuration in force
@@ -134,10 +134,10 @@
 
 // NewCore makes a node; run must be greater than any earlier run's.
 func NewCore(b *schema.Boot, run uint64) *Core {
-	return &Core{config: b, self: b.Listen, run: run, stamp: run, relay: relaytree.New(b.Listen, b.Seeds), records: records.New(b.Listen),
-		detector: neighbours.New(b.Listen), proposer: paxos.NewProposer(b.Listen, fmt.Sprint(run), b.Seeds),
+	return &Core{config: b, self: b.Listen, run: run, stamp: run, relay: relaytree.New(b.Listen, b.Seeds), records: crdt.New(b.Listen),
+		detector: failuredetector.New(b.Listen), proposer: paxos.NewProposer(b.Listen, fmt.Sprint(run), b.Seeds),
 		configurations: map[string]*schema.Configuration{}, appliedRevisions: map[string]uint64{}, calendar: &schema.MaintenanceCalendar{}, readsPending: map[string]bool{}, minRevisions: map[string]uint64{}, groups: map[string]*group{},
-		seedTurn: int(step.Hash(b.Listen) % 3)}
+		seedTurn: int(statemachine.Hash(b.Listen) % 3)}
 }
 
 // Step takes events, then does what is due.
@@ -201,7 +201,7 @@
 		}
 		r.Decisions = append(r.Decisions, s)
 	}
-	c.effects.Send = append(c.effects.Send, step.Send{To: e.Request.From, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ReadDecisionResponse{ReadDecisionResponse: r}}})
+	c.effects.Send = append(c.effects.Send, statemachine.Send{To: e.Request.From, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ReadDecisionResponse{ReadDecisionResponse: r}}})
 }
 
 func (c *Core) applyRelayEffects(now int64, effects relaytree.Effects) {
@@ -210,7 +210,7 @@
 		c.nextGroupsAt = 0
 		switch {
 		case g.Key == control.MaintenanceKey:
-			c.calendar = bookings.Read(g.Value.Data)
+			c.calendar = maintenance.Read(g.Value.Data)
 		case strings.HasPrefix(g.Key, control.ConfigurationKeyPrefix):
 			c.applyConfiguration(now, g.Key, g.Value)
 		case strings.HasPrefix(g.Key, control.GroupKeyPrefix):
@@ -278,7 +278,7 @@
 			k := p + "/" + n
 			gs[k] = true
 			if c.groups[k] == nil {
-				c.groups[k] = &group{partner: p, name: n, leaseRequester: permits.NewLessee(k, c.run), state: control.GroupState(c.relay.Value(control.GroupKeyPrefix + k)), reachable: map[string]bool{}}
+				c.groups[k] = &group{partner: p, name: n, leaseRequester: connectionlease.NewLessee(k, c.run), state: control.GroupState(c.relay.Value(control.GroupKeyPrefix + k)), reachable: map[string]bool{}}
 			}
 		}
 	}
@@ -286,13 +286,13 @@
 	c.effects.Do = append(c.effects.Do, SetRoutes{Routes: routes})
 }
 
-func (c *Core) applyDetectorEffects(now int64, effects neighbours.Effects) {
+func (c *Core) applyDetectorEffects(now int64, effects failuredetector.Effects) {
 	c.effects.Send = append(c.effects.Send, effects.Send...)
 	for _, n := range slices.Sorted(maps.Keys(effects.Changed)) {
 		if effects.Changed[n] {
 			c.logf(result.PeerSuspected, "%s", n)
 		}
-		c.sendRecord(c.putRecord(now, roster.SuspectKey(n, c.self), roster.NewSuspicion(c.nodes, n, effects.Changed[n])), c.config.Seeds...)
+		c.sendRecord(c.putRecord(now, membership.SuspectKey(n, c.self), membership.NewSuspicion(c.nodes, n, effects.Changed[n])), c.config.Seeds...)
 	}
 }
 
@@ -310,7 +310,7 @@
 
 func (c *Core) sendRecord(r *schema.Record, to ...string) {
 	for _, o := range to {
-		c.effects.Send = append(c.effects.Send, step.Send{To: o, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_Records{Records: &schema.Records{Records: []*schema.Record{r}}}}})
+		c.effects.Send = append(c.effects.Send, statemachine.Send{To: o, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_Records{Records: &schema.Records{Records: []*schema.Record{r}}}}})
 	}
 }
 
@@ -318,7 +318,7 @@
 func (c *Core) nextSeed() string { c.seedTurn++; return c.config.Seeds[c.seedTurn%len(c.config.Seeds)] }
 
 func (c *Core) reportApplied(now int64, key string) {
-	k := roster.AppliedPrefix + key + "/" + c.config.Name
+	k := membership.AppliedPrefix + key + "/" + c.config.Name
 	r := c.putRecord(now, k, &schema.AppliedRecord{Revision: c.relay.Value(key).GetRevision()})
 	c.records.Forget(k) // control processes keep these
 	c.sendRecord(r, c.config.Seeds...)
@@ -329,15 +329,15 @@
 	c.applyProposerEffects(now, c.proposer.Tick(now))
 	if now >= c.nextMembershipAt {
 		c.nextMembershipAt = now + membershipInterval
-		c.nodes = roster.ReadNodes(now, c.records)
-		c.detector.SetNodes(now, roster.Addresses(c.nodes))
-		c.relay.SetLiveNodes(roster.LiveAddresses(c.nodes))
+		c.nodes = membership.ReadNodes(now, c.records)
+		c.detector.SetNodes(now, membership.Addresses(c.nodes))
+		c.relay.SetLiveNodes(membership.LiveAddresses(c.nodes))
 	}
 	c.applyDetectorEffects(now, c.detector.Tick(now))
 	if now >= c.nextAnnounceAt {
 		first := c.nextAnnounceAt == 0
 		c.nextAnnounceAt = now + announceInterval
-		r := c.putRecord(now, roster.NodePrefix+c.self, &schema.NodeRecord{Name: c.config.Name, Zone: c.config.Zone, Partner: c.config.Partner,
+		r := c.putRecord(now, membership.NodePrefix+c.self, &schema.NodeRecord{Name: c.config.Name, Zone: c.config.Zone, Partner: c.config.Partner,
 			HttpAddress: c.config.Http, Kind: "pool", Draining: c.draining, Run: c.run})
 		if first {
 			c.sendRecord(r, c.config.Seeds...)
@@ -351,7 +351,7 @@
 		if to == "" {
 			to = c.nextSeed()
 		}
-		for _, r := range roster.ReplicatedRanges() {
+		for _, r := range membership.ReplicatedRanges() {
 			c.effects.Send = append(c.effects.Send, c.records.CompareRange(to, r[0], r[1]))
 		}
 	}
@@ -366,7 +366,7 @@
 func (c *Core) tickGroup(now int64, k string, g *group) {
 	if a := g.leaseRequester.NextRequest(now, g.inUse); a != nil {
 		for _, o := range c.config.Seeds {
-			c.effects.Send = append(c.effects.Send, step.Send{To: o, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ConnectionLeaseRequest{ConnectionLeaseRequest: a}}})
+			c.effects.Send = append(c.effects.Send, statemachine.Send{To: o, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_ConnectionLeaseRequest{ConnectionLeaseRequest: a}}})
 		}
 	}
 	c.reportDatabases(now, k, g)
@@ -385,7 +385,7 @@
 	}
 	for _, m := range configuration.Groups[g.name].Members {
 		desired.Members = append(desired.Members, querytable.Member{Name: m, Identity: ids[m], Address: configuration.Databases[m].Address, Leased: g.leaseRequester.Limit(now, m), LeaseUntilUs: g.leaseRequester.ExpiresAt(),
-			Draining: bookings.IsDraining(c.calendar, g.partner+"/"+m), Closed: bookings.IsClosed(c.calendar, g.partner+"/"+m)})
+			Draining: maintenance.IsDraining(c.calendar, g.partner+"/"+m), Closed: maintenance.IsClosed(c.calendar, g.partner+"/"+m)})
 	}
 	for n, s := range configuration.Classes {
 		desired.Classes[n] = querytable.Class{Name: n, Kind: s.Kind, MaxStalenessUs: s.StaleUs, MarginUs: s.MarginUs, MaxWaitUs: s.WaitUs, DeadlineUs: s.ExpiryUs}
@@ -413,7 +413,7 @@
 		if wasReachable, reported := g.reachable[v.Name]; reachable && !v.Known && !reported || !due && reachable == wasReachable {
 			continue
 		}
-		key := roster.ReportPrefix + k + "/" + v.Name + "/" + c.config.Name
+		key := membership.ReportPrefix + k + "/" + v.Name + "/" + c.config.Name
 		r := c.putRecord(now, key, &schema.DatabaseReport{Reachable: reachable, UnresponsiveUs: v.UnresponsiveUs, Epoch: v.Status.Epoch,
 			Received: v.Status.Received, Applied: v.Status.Applied, Draining: v.Draining, Role: v.Status.Role, BusyConnections: int32(v.BusyConnections), OpenTransactions: int32(v.OpenTransactions)})
 		c.records.Forget(key) // control processes keep these
@@ -430,7 +430,7 @@
 func (c *Core) AppliedRevisions() map[string]uint64 { return c.appliedRevisions }
 
 // Nodes is who is in the fleet, as this node knows it.
-func (c *Core) Nodes() []roster.Node { return c.nodes }
+func (c *Core) Nodes() []membership.Node { return c.nodes }
 
 // Parent is whom the node follows in the relay tree.
 func (c *Core) Parent() string { return c.relay.Parent() }
--- a/pool/names_test.go
+++ b/internal/pool/names_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"stoneford/querytable"
+	"stoneford/internal/querytable"
 )
 
 // TestJSONNames: the counts that a node tells have the names that they had.
--- a/pool/process.go
+++ b/internal/pool/process.go
@@ -13,12 +13,12 @@
 	"github.com/apex/log"
 	"github.com/jonboulle/clockwork"
 
-	"stoneford/bootfile"
-	"stoneford/cleanup"
-	"stoneford/databaseclient"
-	"stoneford/links"
-	"stoneford/loop"
-	"stoneford/querytable"
+	"stoneford/internal/cleanup"
+	"stoneford/internal/config"
+	"stoneford/internal/databaseclient"
+	"stoneford/internal/eventloop"
+	"stoneford/internal/querytable"
+	"stoneford/internal/transport"
 	"stoneford/result"
 	"stoneford/schema"
 )
@@ -44,8 +44,8 @@
 	clock     clockwork.Clock
 	startedAt time.Time
 	core      *Core
-	loop      *loop.Loop
-	links     *links.Transport
+	loop      *eventloop.Loop
+	links     *transport.Transport
 	databases *databaseclient.Client
 	runners   map[string]*runner
 	// routes and tables are read on a query's path and replaced whole.
@@ -68,8 +68,8 @@
 func NewProcess(b *schema.Boot, clock clockwork.Clock) *Process {
 	began := clock.Now()
 	run := uint64(began.UnixMicro())
-	p := &Process{boot: b, run: run, clock: clock, startedAt: began, core: NewCore(b, run), loop: loop.New(clock, began, eventQueueLength),
-		databases: databaseclient.New(links.LocalAddress(b.Bind, b.Listen)), runners: map[string]*runner{}}
+	p := &Process{boot: b, run: run, clock: clock, startedAt: began, core: NewCore(b, run), loop: eventloop.New(clock, began, eventQueueLength),
+		databases: databaseclient.New(transport.LocalAddress(b.Bind, b.Listen)), runners: map[string]*runner{}}
 	p.routes.Store(&map[string]Route{})
 	p.sharedRunners.Store(&map[string]*runner{})
 	p.nodeView.Store(&nodeView{})
@@ -83,8 +83,8 @@
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	cleanups.Push(func() error { stop(); return nil })
 	p.ctx = work
-	p.links = links.New(work, p.boot.Listen, links.LocalAddress(p.boot.Bind, p.boot.Listen), func(e *schema.Envelope) { p.loop.TryPost(e) })
-	nodeListener, httpListener, err := bootfile.Listen(p.boot)
+	p.links = transport.New(work, p.boot.Listen, transport.LocalAddress(p.boot.Bind, p.boot.Listen), func(e *schema.Envelope) { p.loop.TryPost(e) })
+	nodeListener, httpListener, err := config.Listen(p.boot)
 	if err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 func (p *Process) setDesired(w SetDesired) {
 	r := p.runners[w.Group]
 	if r == nil {
-		r = &runner{process: p, group: w.Group, loop: loop.New(p.clock, p.startedAt, eventQueueLength), table: querytable.New(randomSeed())}
+		r = &runner{process: p, group: w.Group, loop: eventloop.New(p.clock, p.startedAt, eventQueueLength), table: querytable.New(randomSeed())}
 		p.runners[w.Group] = r
 		m := make(map[string]*runner, len(p.runners))
 		for k, v := range p.runners {
@@ -207,7 +207,7 @@
 type runner struct {
 	process         *Process
 	group           string
-	loop            *loop.Loop
+	loop            *eventloop.Loop
 	table           *querytable.Table
 	waiters         sync.Map // query id to chan querytable.Reply
 	explainRequests sync.Map // id to Why
--- a/routingtable/routingtable.go
+++ b/internal/routingtable/routingtable.go
@@ -13,7 +13,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 	"stoneford/schema"
 )
 
--- a/routingtable/routingtable_test.go
+++ b/internal/routingtable/routingtable_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 func route(n int) ports.Route {
--- a/routingtable/stored_test.go
+++ b/internal/routingtable/stored_test.go
@@ -9,8 +9,8 @@
 	"reflect"
 	"testing"
 
-	"stoneford/ports"
-	"stoneford/routingtable"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
 )
 
 // record writes fixtures that are not there yet. Those that are there are never
--- a/routingtable/taken.go
+++ b/internal/routingtable/taken.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"slices"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // One number, one order (design 18): a table names the newest orders that made
--- a/routingtable/taken_test.go
+++ b/internal/routingtable/taken_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 func amendment(base, revision uint64, content string) ports.TableChange {
--- a/sessionpool/contact.go
+++ b/internal/sessionpool/contact.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 
-	"stoneford/invariant"
+	"stoneford/internal/invariant"
+	"stoneford/internal/learner"
+	"stoneford/internal/sessiontable"
 	"stoneford/result"
-	"stoneford/sessiontable"
-	"stoneford/voterview"
 )
 
 // contactLostAfterUs is how long a node is without a lease until it says so in its log.
@@ -29,7 +29,7 @@
 		c.logf(effects, result.QuorumContactRestored, "after %d ms", (now-c.contact.lostSinceUs)/1000)
 	case now >= until+contactLostAfterUs && until > 0 && !c.contact.lost:
 		c.contact.lost, c.contact.lostSinceUs = true, until
-		c.logf(effects, result.QuorumContactLost, "the lease was over %d ms ago; %s", (now-until)/1000, c.view.DescribeRegister(now, voterview.TableKey))
+		c.logf(effects, result.QuorumContactLost, "the lease was over %d ms ago; %s", (now-until)/1000, c.view.DescribeRegister(now, learner.TableKey))
 	}
 }
 
@@ -46,7 +46,7 @@
 
 // recordNewerTable takes down since when a voter is known to hold a newer routing table.
 func (c *Core) recordNewerTable(now int64) {
-	if c.contact.newerTableSeenUs == 0 && c.view.Unconfirmed(voterview.TableKey) {
+	if c.contact.newerTableSeenUs == 0 && c.view.Unconfirmed(learner.TableKey) {
 		c.contact.newerTableSeenUs = now
 	}
 }
--- a/sessionpool/core.go
+++ b/internal/sessionpool/core.go
@@ -5,20 +5,20 @@
 	"slices"
 	"strings"
 
-	"stoneford/invariant"
-	"stoneford/ports"
-	"stoneford/routingtable"
+	"stoneford/internal/invariant"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
+	"stoneford/internal/sessiontable"
 	"stoneford/schema"
-	"stoneford/sessiontable"
-	"stoneford/step"
-	"stoneford/voterview"
+	"stoneford/statemachine"
 )
 
 // Core is a pool node: what it learned from the voters over the table of its
 // sessions. It is deterministic and is what the simulator runs.
 type Core struct {
 	Table         *sessiontable.Table
-	view          *voterview.Learner
+	view          *learner.Learner
 	table         ports.RoutingTable
 	tableRevision uint64
 	leaseUntil    int64
@@ -45,12 +45,12 @@
 // acknowledged after that look binds a while later. This clock may run slow by a
 // tenth.
 func routingGraceUs(applyUs int64) int64 {
-	return max(applyUs*10/11-voterview.LeaseDurationUs-routingMarginUs, 0)
+	return max(applyUs*10/11-learner.LeaseDurationUs-routingMarginUs, 0)
 }
 
 // Effects of one step.
 type Effects struct {
-	Send  []step.Send
+	Send  []statemachine.Send
 	Table []sessiontable.Effect
 }
 
@@ -63,7 +63,7 @@
 	}
 	options.ReadyGraceUs = cmp.Or(options.ReadyGraceUs, readyGraceUs)
 	options.RoutingGraceUs = cmp.Or(options.RoutingGraceUs, routingGraceUs(boot.Bounds.ApplyUs))
-	return &Core{Table: sessiontable.New(seed, boot.Zone, options), view: voterview.New(boot.PoolNodeAddress(), boot.SeedVoterAddresses(), boot.Zone, boot.Name, "pool", run)}
+	return &Core{Table: sessiontable.New(seed, boot.Zone, options), view: learner.New(boot.PoolNodeAddress(), boot.SeedVoterAddresses(), boot.Zone, boot.Name, "pool", run)}
 }
 
 // Due is when Step has something to do next even if nothing happens.
@@ -94,7 +94,7 @@
 		c.view.RequestPoll()
 	}
 	if now >= c.view.Due() {
-		effects.Send = c.view.Tick(now, func() voterview.Report { return c.report(now) })
+		effects.Send = c.view.Tick(now, func() learner.Report { return c.report(now) })
 		c.logContact(now, &effects)
 		c.logViolations(&effects)
 	}
@@ -113,7 +113,7 @@
 
 // adoptTable takes the newest agreed routing table into force, if it is newer.
 func (c *Core) adoptTable() bool {
-	known, ok := c.view.Committed(voterview.TableKey)
+	known, ok := c.view.Committed(learner.TableKey)
 	if !ok || known.Revision <= c.tableRevision {
 		return false
 	}
@@ -134,20 +134,20 @@
 	c.recordNewerTable(now)
 	var update sessiontable.Update
 	changed := false
-	if slices.Contains(keys, voterview.TableKey) && c.adoptTable() {
+	if slices.Contains(keys, learner.TableKey) && c.adoptTable() {
 		update.Table, changed = &c.table, true
 	}
 	if update.Table != nil {
 		c.logTable(now, effects)
 		c.view.RequestPoll() // a move may wait to hear that this node works by it
 	}
-	leadershipChanged := slices.ContainsFunc(keys, func(key string) bool { return strings.HasPrefix(key, voterview.LeaderPrefix) })
+	leadershipChanged := slices.ContainsFunc(keys, func(key string) bool { return strings.HasPrefix(key, learner.LeaderPrefix) })
 	if update.Table != nil || leadershipChanged {
 		update.Groups, changed = map[string]sessiontable.GroupState{}, true
 		c.phases = map[string]ports.Phase{}
 		for name, leaseUntil := range c.view.Leaderships() {
 			c.phases[name] = leaseUntil.Phase
-			update.Groups[name] = sessiontable.GroupState{Leadership: leaseUntil, Unconfirmed: c.view.Unconfirmed(voterview.LeaderPrefix + name), Withheld: leaseUntil.TableRevision > c.tableRevision}
+			update.Groups[name] = sessiontable.GroupState{Leadership: leaseUntil, Unconfirmed: c.view.Unconfirmed(learner.LeaderPrefix + name), Withheld: leaseUntil.TableRevision > c.tableRevision}
 		}
 		c.view.RequestPoll() // the voters wait to hear that this node knows
 	}
@@ -181,14 +181,14 @@
 }
 
 // report is what the next look tells.
-func (c *Core) report(now int64) voterview.Report {
+func (c *Core) report(now int64) learner.Report {
 	tableReport := c.Table.Report(now)
-	report := voterview.Report{Draining: c.draining, TableRevision: c.tableRevision}
+	report := learner.Report{Draining: c.draining, TableRevision: c.tableRevision}
 	for _, health := range tableReport.HealthReports {
 		report.HealthReports = append(report.HealthReports, &schema.HealthReport{DatabaseId: health.ID, FailingUs: health.FailingUs, Disconnected: health.Disconnected})
 	}
 	for _, status := range tableReport.GroupStatuses {
-		key := voterview.LeaderPrefix + status.Group
+		key := learner.LeaderPrefix + status.Group
 		// While the primary serves, nobody asks whether something runs there.
 		revision, quiet := status.Revision, status.Quiescent && c.phases[status.Group] != ports.PhaseServing
 		if c.view.Unconfirmed(key) {
--- a/sessionpool/edges.go
+++ b/internal/sessionpool/edges.go
@@ -5,7 +5,7 @@
 import (
 	"context"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // Frontend takes callers' connections until the context ends.
--- a/sessionpool/floor_test.go
+++ b/internal/sessionpool/floor_test.go
@@ -5,11 +5,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/ports"
-	"stoneford/routingtable"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
+	"stoneford/internal/sessiontable"
 	"stoneford/schema"
-	"stoneford/sessiontable"
-	"stoneford/voterview"
 )
 
 // voters are two of three voters as a node hears them: enough for a majority.
@@ -44,7 +44,7 @@
 	for _, o := range voterNames[:2] {
 		done = append(done, v.core.Step(v.now, &schema.Envelope{From: o, Body: &schema.Envelope_PollResponse{PollResponse: &schema.PollResponse{
 			Number: number, VoterRun: 1, ChangeNumber: v.seq, ActiveMembership: 1, DiskId: 1, Membership: voterMembership(), Registers: cells, IncludesData: true,
-			Databases: []*schema.Record{voterview.EncodeInstance(ports.Instance{ID: "d1", Group: "g", Address: "d1:1", Zone: "a", Primary: true, AnnouncementNumber: 1})}}}}).Table...)
+			Databases: []*schema.Record{learner.EncodeInstance(ports.Instance{ID: "d1", Group: "g", Address: "d1:1", Zone: "a", Primary: true, AnnouncementNumber: 1})}}}}).Table...)
 	}
 	return done
 }
@@ -63,7 +63,7 @@
 }
 
 func table(revision uint64) *schema.RegisterState {
-	return cell(voterview.TableKey, revision, routingtable.Encode(ports.RoutingTable{Revision: 1,
+	return cell(learner.TableKey, revision, routingtable.Encode(ports.RoutingTable{Revision: 1,
 		Routes:     []ports.Route{{Name: "r", Host: "h", Prefix: "/", Group: "g", TimeoutUs: 4_000_000, LatencyTargetUs: 2_000_000}},
 		Groups:     []ports.Group{{Name: "g", ConnectionLimit: 10, RequiredReplicaAcks: 1}},
 		Placements: []ports.Placement{{Group: "g", Site: "a", TableRevision: revision}}}))
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return cell(voterview.LeaderPrefix+"g", revision, b)
+	return cell(learner.LeaderPrefix+"g", revision, b)
 }
 
 // connects asks for a write and says whether the node turns to the primary.
@@ -124,7 +124,7 @@
 		t.Fatal("no lease under the newest table")
 	}
 	// The voters hold table 2; its body has not come.
-	bare := cell(voterview.TableKey, 2, nil)
+	bare := cell(learner.TableKey, 2, nil)
 	for range 3 {
 		v.send(true, bare)
 	}
@@ -147,7 +147,7 @@
 			v.core.Step(v.now, &schema.Envelope{From: from, Body: &schema.Envelope_PollResponse{PollResponse: &schema.PollResponse{
 				Number: number, VoterRun: 1, ChangeNumber: 9, ActiveMembership: 1, DiskId: 1, Membership: voterMembership(), Registers: []*schema.RegisterState{c}}}})
 		}
-		bare := cell(voterview.TableKey, 2, nil)
+		bare := cell(learner.TableKey, 2, nil)
 		for _, o := range voterNames {
 			if o != gone {
 				told(o, 0, bare)
--- a/sessionpool/process.go
+++ b/internal/sessionpool/process.go
@@ -14,12 +14,12 @@
 	"github.com/apex/log"
 	"github.com/jonboulle/clockwork"
 
-	"stoneford/cleanup"
-	"stoneford/links"
-	"stoneford/ports"
+	"stoneford/internal/cleanup"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessiontable"
+	"stoneford/internal/transport"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/sessiontable"
 )
 
 const (
@@ -56,7 +56,7 @@
 	clock         clockwork.Clock
 	startedAt     time.Time
 	context       context.Context
-	links         *links.Transport
+	links         *transport.Transport
 	lastSession   atomic.Uint64
 	tableRevision atomic.Uint64
 
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	p.links = links.New(work, self, links.LocalAddress(self), func(e *schema.Envelope) { p.step(e) })
+	p.links = transport.New(work, self, transport.LocalAddress(self), func(e *schema.Envelope) { p.step(e) })
 	serve(func() error { return p.links.Serve(listener) })
 	p.step(sessiontable.Tick{})
 	serve(func() error { return p.edges.Frontend.Serve(work, p) })
--- a/sessionpool/process_test.go
+++ b/internal/sessionpool/process_test.go
@@ -18,8 +18,8 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"stoneford/ports"
-	"stoneford/sessiontable"
+	"stoneford/internal/ports"
+	"stoneford/internal/sessiontable"
 )
 
 // scriptedCore is a core that does what a test says.
--- a/sessionpool/state.go
+++ b/internal/sessionpool/state.go
@@ -5,8 +5,8 @@
 
 	"github.com/apex/log"
 
-	"stoneford/fleetstate"
-	"stoneford/ports"
+	"stoneford/internal/fleetstate"
+	"stoneford/internal/ports"
 )
 
 // State is what this node is and works by; whole brings the routing table's
--- a/sessiontable/answers.go
+++ b/internal/sessiontable/answers.go
@@ -1,7 +1,7 @@
 package sessiontable
 
 import (
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // receiveAnswer takes the end of the oldest op of a connection.
--- a/sessiontable/calls_test.go
+++ b/internal/sessiontable/calls_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // TestUnsolicitedAnswerClosesConnection ends its connection and is given to nobody.
--- a/sessiontable/clients_test.go
+++ b/internal/sessiontable/clients_test.go
@@ -5,7 +5,7 @@
 	"maps"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // open has a new caller come.
--- a/sessiontable/commits.go
+++ b/internal/sessiontable/commits.go
@@ -1,7 +1,7 @@
 package sessiontable
 
 import (
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // certainty of a commit that a database answered.
--- a/sessiontable/connections.go
+++ b/internal/sessiontable/connections.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // What an op in a connection's list of those without an end is.
--- a/sessiontable/dispatch.go
+++ b/internal/sessiontable/dispatch.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // dispatch starts what it can of an instance's line.
--- a/sessiontable/failures.go
+++ b/internal/sessiontable/failures.go
@@ -1,7 +1,7 @@
 package sessiontable
 
 import (
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // retry has a request run once more, here or elsewhere, if it still may.
--- a/sessiontable/group.go
+++ b/internal/sessiontable/group.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"stoneford/freshness"
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // databaseGroup is one service of databases as this node knows it.
--- a/sessiontable/levels.go
+++ b/internal/sessiontable/levels.go
@@ -2,7 +2,7 @@
 
 import (
 	"stoneford/freshness"
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // recordPosition takes a position that an instance showed.
--- a/sessiontable/place.go
+++ b/internal/sessiontable/place.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"stoneford/freshness"
-	"stoneford/ports"
+	"stoneford/internal/ports"
 	"stoneford/result"
 )
 
--- a/sessiontable/rules_test.go
+++ b/internal/sessiontable/rules_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // bench is a table driven by hand: x leads, y and z follow.
--- a/sessiontable/sessions.go
+++ b/internal/sessiontable/sessions.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // values are a session's values; they never change, a new set takes their place.
--- a/sessiontable/state.go
+++ b/internal/sessiontable/state.go
@@ -1,6 +1,6 @@
 package sessiontable
 
-import "stoneford/fleetstate"
+import "stoneford/internal/fleetstate"
 
 // State is what operators are told of the table.
 func (t *Table) State(now int64) fleetstate.PoolState {
--- a/sessiontable/table.go
+++ b/internal/sessiontable/table.go
@@ -13,8 +13,8 @@
 	"slices"
 
 	"stoneford/freshness"
-	"stoneford/invariant"
-	"stoneford/ports"
+	"stoneford/internal/invariant"
+	"stoneford/internal/ports"
 )
 
 // Options are the bounds the table works by; zero values take the defaults.
--- a/sessiontable/vouched.go
+++ b/internal/sessiontable/vouched.go
@@ -1,8 +1,8 @@
 package sessiontable
 
 import (
-	"stoneford/invariant"
-	"stoneford/ports"
+	"stoneford/internal/invariant"
+	"stoneford/internal/ports"
 )
 
 // A routing table says what is agreed as long as a majority of the voters vouches
--- a/sessiontable/vouched_test.go
+++ b/internal/sessiontable/vouched_test.go
@@ -4,8 +4,8 @@
 	"slices"
 	"testing"
 
-	"stoneford/invariant"
-	"stoneford/ports"
+	"stoneford/internal/invariant"
+	"stoneford/internal/ports"
 )
 
 const routeForTest = 1_500_000
--- a/sessiontable/world_test.go
+++ b/internal/sessiontable/world_test.go
@@ -9,7 +9,7 @@
 	"slices"
 	"testing"
 
-	"stoneford/ports"
+	"stoneford/internal/ports"
 )
 
 // event is something of the world that happens at a moment.
--- a/links/links.go
+++ b/internal/transport/transport.go
@@ -1,7 +1,7 @@
-// Package links carries envelopes between processes over drpc. Delivery is not
+// Package transport carries envelopes between processes over drpc. Delivery is not
 // promised: a neighbour that is slow or gone loses what does not fit its line,
 // and the cores above repeat what matters (design 2.3).
-package links
+package transport
 
 import (
 	"cmp"
--- a/links/links_test.go
+++ b/internal/transport/transport_test.go
@@ -1,4 +1,4 @@
-package links
+package transport
 
 import (
 	"context"
--- a/voterlog/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -1,4 +1,4 @@
-package voterlog_test
+package wal_test
 
 import (
 	"bytes"
@@ -8,10 +8,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/internal/wal"
+	"stoneford/internal/wal/crashdisk"
 	"stoneford/paxos"
 	"stoneford/schema"
-	"stoneford/voterlog"
-	"stoneford/voterlog/crashdisk"
 )
 
 // crash runs a voter over a disk that loses power at any call, or refuses, and
@@ -20,7 +20,7 @@
 	r := rand.New(rand.NewPCG(seed, 7))
 	d := crashdisk.New(r)
 	var v *paxos.Acceptor
-	var l *voterlog.Log
+	var l *wal.Log
 	// What the world outside was told: the newest promise and accepted revision.
 	acknowledged := map[string]*schema.RegisterState{}
 	number := uint64(0)
@@ -29,7 +29,7 @@
 		var err error
 		for {
 			v = paxos.NewAcceptor("a", r.Uint64()|1, paxos.Location{}, []string{"a"})
-			if l, err = voterlog.OpenWith(d, "/v", v.Restore); err == nil {
+			if l, err = wal.OpenWith(d, "/v", v.Restore); err == nil {
 				break
 			}
 			if err != crashdisk.ErrPowerLost {
@@ -106,9 +106,9 @@
 // TestCrashes: over thousands of seeds whatever a voter told is there after the
 // power was lost at any call, the process ended, or the disk refused.
 func TestCrashes(t *testing.T) {
-	seeds, losses, refusals := uint64(3000/voterlog.Slower), 0, 0
+	seeds, losses, refusals := uint64(3000/wal.Slower), 0, 0
 	if testing.Short() {
-		seeds = 500 / voterlog.Slower
+		seeds = 500 / wal.Slower
 	}
 	for seed := range seeds {
 		bad, n, m := crash(seed, crashdisk.NoMutation)
--- a/voterlog/crashdisk/disk.go
+++ b/internal/wal/crashdisk/disk.go
@@ -15,7 +15,7 @@
 
 	"github.com/zeebo/errs"
 
-	"stoneford/voterlog"
+	"stoneford/internal/wal"
 )
 
 var (
@@ -246,7 +246,7 @@
 }
 
 // Create implements voterlog.FileSystem.
-func (d *Disk) Create(p string) (voterlog.File, error) {
+func (d *Disk) Create(p string) (wal.File, error) {
 	if err := d.allow(); err != nil {
 		return nil, err
 	}
@@ -260,7 +260,7 @@
 }
 
 // OpenAppend implements voterlog.FileSystem.
-func (d *Disk) OpenAppend(p string) (voterlog.File, error) {
+func (d *Disk) OpenAppend(p string) (wal.File, error) {
 	c := d.files[p]
 	if c == nil {
 		return nil, fs.ErrNotExist
--- a/voterlog/export_test.go
+++ b/internal/wal/export_test.go
@@ -1,4 +1,4 @@
-package voterlog
+package wal
 
 // Slower is by how much fewer seeds run under the race detector.
 const Slower = slower
--- a/voterlog/folder.go
+++ b/internal/wal/folder.go
@@ -1,4 +1,4 @@
-package voterlog
+package wal
 
 import (
 	"bytes"
--- a/voterlog/history_test.go
+++ b/internal/wal/history_test.go
@@ -1,4 +1,4 @@
-package voterlog_test
+package wal_test
 
 import (
 	"bytes"
@@ -7,9 +7,9 @@
 	"math/rand/v2"
 	"testing"
 
+	"stoneford/internal/wal"
+	"stoneford/internal/wal/crashdisk"
 	"stoneford/schema"
-	"stoneford/voterlog"
-	"stoneford/voterlog/crashdisk"
 )
 
 // state is the simplest replica: one register whose revision counts the changes.
@@ -44,9 +44,9 @@
 }
 
 // openLog plays a disk's log back.
-func openLog(d *crashdisk.Disk) (*voterlog.Log, *state, error) {
+func openLog(d *crashdisk.Disk) (*wal.Log, *state, error) {
 	s := &state{}
-	l, err := voterlog.OpenWith(d, "/v", s.restore)
+	l, err := wal.OpenWith(d, "/v", s.restore)
 	return l, s, err
 }
 
@@ -221,7 +221,7 @@
 			}
 			d, _ = made(true)
 			d.PutFile(secondFile, x)
-			if _, back, err := openLog(d); !voterlog.ErrCorrupt.Has(err) && !voterlog.ErrFormat.Has(err) {
+			if _, back, err := openLog(d); !wal.ErrCorrupt.Has(err) && !wal.ErrFormat.Has(err) {
 				t.Fatalf("cut at %d, zeros %t: the torn snapshot is taken for a log at revision %d: %v", length, zeros, back.revision, err)
 			}
 		}
@@ -301,14 +301,14 @@
 		l.SetDiskSize(x.disk)
 		s.size = x.size
 		read := 0
-		for range x.changes / voterlog.Slower {
+		for range x.changes / wal.Slower {
 			if err := l.Write(s.change(), s.snapshot); err != nil {
 				t.Fatalf("%+v, revision %d: %v", x, s.revision, err)
 			}
 			read = max(read, d.UsedBytes())
 		}
 		t.Logf("disk of %d KB, state of %d KB, %d changes: at most %d KB on disk, %d KB for a start to read, %.2f bytes written for each of a change",
-			x.disk>>10, x.size>>10, x.changes, d.PeakBytes>>10, read>>10, float64(d.WrittenBytes)/float64(x.size*(x.changes/voterlog.Slower)))
+			x.disk>>10, x.size>>10, x.changes, d.PeakBytes>>10, read>>10, float64(d.WrittenBytes)/float64(x.size*(x.changes/wal.Slower)))
 		limit := max(8*x.size, 512<<10) + 3*x.size
 		if read > limit || d.PeakBytes > limit+2*x.size {
 			t.Errorf("%+v: %d bytes at most, %d for a start", x, d.PeakBytes, read)
--- a/voterlog/norace_test.go
+++ b/internal/wal/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package voterlog
+package wal
 
 const slower = 1
--- a/voterlog/race_test.go
+++ b/internal/wal/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package voterlog
+package wal
 
 // slower is by how much fewer seeds run under the race detector.
 const slower = 20
--- a/voterlog/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -1,4 +1,4 @@
-package voterlog_test
+package wal_test
 
 import (
 	"flag"
@@ -9,9 +9,9 @@
 	"strings"
 	"testing"
 
+	"stoneford/internal/wal"
 	"stoneford/paxos"
 	"stoneford/schema"
-	"stoneford/voterlog"
 )
 
 // record writes fixtures that are not there yet. Those that are there are never
@@ -91,12 +91,12 @@
 type recorder struct {
 	t *testing.T
 	a *paxos.Acceptor
-	l *voterlog.Log
+	l *wal.Log
 }
 
 func newRecorder(t *testing.T, dir string, founders ...string) recorder {
 	t.Helper()
-	l, err := voterlog.Open(dir, func(*schema.WALEntry) { t.Fatal("the folder is not empty") })
+	l, err := wal.Open(dir, func(*schema.WALEntry) { t.Fatal("the folder is not empty") })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 	return out
 }
 
-func showReport(r voterlog.Report) string {
+func showReport(r wal.Report) string {
 	return fmt.Sprintf("format %d, %s: %d frames, %d entries, %d torn; life %x, membership %d, active %d, %d registers",
 		r.Format, r.File, r.Frames, r.Entries, r.TornBytes, r.DiskID, r.Membership.GetNumber(), r.ActiveMembership, len(r.Registers))
 }
@@ -236,13 +236,13 @@
 			if err := os.CopyFS(dir, os.DirFS(fixture)); err != nil {
 				t.Fatal(err)
 			}
-			report, err := voterlog.Inspect(dir)
+			report, err := wal.Inspect(dir)
 			if err != nil || showReport(report) != x.report {
 				t.Errorf("Inspect: %s, not %s: %v", showReport(report), x.report, err)
 			}
 			var entries []string
 			a := paxos.NewAcceptor(voterA, 12345, paxos.Location{}, nil)
-			l, err := voterlog.Open(dir, func(e *schema.WALEntry) {
+			l, err := wal.Open(dir, func(e *schema.WALEntry) {
 				entries = append(entries, showEntry(e)...)
 				a.Restore(e)
 			})
@@ -257,7 +257,7 @@
 }
 
 // goOn has the acceptor write behind the old entries, and reads both again.
-func goOn(t *testing.T, dir string, l *voterlog.Log, a *paxos.Acceptor) {
+func goOn(t *testing.T, dir string, l *wal.Log, a *paxos.Acceptor) {
 	t.Helper()
 	fx := a.Step(1, acceptMessage("routes", ballot(2, 12, voterB), 3, "third table", "send-3"))
 	if err := l.Write(fx.Log, a.Snapshot); err != nil {
@@ -267,7 +267,7 @@
 		t.Fatal(err)
 	}
 	back := paxos.NewAcceptor(voterA, 12345, paxos.Location{}, nil)
-	restartStep, err := voterlog.Open(dir, back.Restore)
+	restartStep, err := wal.Open(dir, back.Restore)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -285,7 +285,7 @@
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "voter"))); err != nil {
 		t.Fatal(err)
 	}
-	l, err := voterlog.Open(dir, a.Restore)
+	l, err := wal.Open(dir, a.Restore)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/voterlog/voterlog.go
+++ b/internal/wal/wal.go
@@ -1,4 +1,4 @@
-// Package voterlog is a voter's write-ahead log on disk (design 2.4).
+// Package wal is a voter's write-ahead log on disk (design 2.4).
 //
 // A log is one file, "log-" and its number, that begins with the format's name
 // and goes on with frames. What one call of Write brings is one frame, written
@@ -12,7 +12,7 @@
 // The log is truncated by a snapshot once it is several times as long as the
 // last one, so that its size, and with it the time that a restart takes, is
 // bounded by the size of the state and not by its history (design 19).
-package voterlog
+package wal
 
 import (
 	"bytes"
--- a/language/language.go
+++ b/language/language.go
@@ -10,7 +10,7 @@
 	"time"
 	"unicode"
 
-	"stoneford/bookings"
+	"stoneford/maintenance"
 )
 
 // Help is the whole grammar.
@@ -216,11 +216,11 @@
 	k := r.next()
 	switch strings.ToLower(k.Text) {
 	case "replacement", "replacing":
-		s.Kind = bookings.Replacement
+		s.Kind = maintenance.Replacement
 	case "switch", "switching":
-		s.Kind = bookings.Switch
+		s.Kind = maintenance.Switch
 	case "stop", "stopping":
-		s.Kind = bookings.Stop
+		s.Kind = maintenance.Stop
 	default:
 		return s, errorAt(k.Column, "expected replacement, switch or stop, found "+describe(k))
 	}
--- a/language/language_test.go
+++ b/language/language_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"stoneford/bookings"
+	"stoneford/maintenance"
 )
 
 var (
@@ -23,11 +23,11 @@
 
 func TestParseCommands(t *testing.T) {
 	for text, want := range map[string]Sentence{
-		"book the Cluj replica for replacement at 02:00":       {Verb: VerbSchedule, Kind: bookings.Replacement, At: time.Date(2026, 12, 2, 2, 0, 0, 0, zone)},
-		"book pool-1 for stop at 23:45":                        {Verb: VerbSchedule, Kind: bookings.Stop, At: time.Date(2026, 12, 1, 23, 45, 0, 0, zone)},
-		"Book inventory-1-a for switch at tomorrow 04:05":      {Verb: VerbSchedule, Kind: bookings.Switch, At: time.Date(2026, 12, 2, 4, 5, 0, 0, zone)},
-		"book inventory-1-a for switch at 04:05 2026-12-24":    {Verb: VerbSchedule, Kind: bookings.Switch, At: time.Date(2026, 12, 24, 4, 5, 0, 0, zone)},
-		"book inventory-1-a for switch on 2026-12-24 at 04:05": {Verb: VerbSchedule, Kind: bookings.Switch, At: time.Date(2026, 12, 24, 4, 5, 0, 0, zone)},
+		"book the Cluj replica for replacement at 02:00":       {Verb: VerbSchedule, Kind: maintenance.Replacement, At: time.Date(2026, 12, 2, 2, 0, 0, 0, zone)},
+		"book pool-1 for stop at 23:45":                        {Verb: VerbSchedule, Kind: maintenance.Stop, At: time.Date(2026, 12, 1, 23, 45, 0, 0, zone)},
+		"Book inventory-1-a for switch at tomorrow 04:05":      {Verb: VerbSchedule, Kind: maintenance.Switch, At: time.Date(2026, 12, 2, 4, 5, 0, 0, zone)},
+		"book inventory-1-a for switch at 04:05 2026-12-24":    {Verb: VerbSchedule, Kind: maintenance.Switch, At: time.Date(2026, 12, 24, 4, 5, 0, 0, zone)},
+		"book inventory-1-a for switch on 2026-12-24 at 04:05": {Verb: VerbSchedule, Kind: maintenance.Switch, At: time.Date(2026, 12, 24, 4, 5, 0, 0, zone)},
 		"confirm booking 3":                                    {Verb: VerbConfirm, WindowID: 3},
 		"cancel #4":                                            {Verb: VerbCancel, WindowID: 4},
 		"move booking 3 to tomorrow 05:00":                     {Verb: VerbMove, WindowID: 3, At: time.Date(2026, 12, 2, 5, 0, 0, 0, zone)},
--- a/duties/duties.go
+++ b/leaderelection/leaderelection.go
@@ -1,11 +1,11 @@
-// Package duties gives each one-node duty a holder (design 9). A duty is a
+// Package leaderelection gives each one-node duty a holder (design 9). A duty is a
 // register; its holder names a successor when it can, and where it can't, any
 // candidate takes the duty by a ballot among the voters' majority.
 //
 // Holding a duty is never what makes an act safe when an agreed register can
 // do it; where it is (dividing permits), Exclusive is what counts, and it rests
 // on each process's own monotonic clock alone.
-package duties
+package leaderelection
 
 import (
 	"slices"
@@ -14,7 +14,7 @@
 
 	"stoneford/paxos"
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 const (
@@ -227,7 +227,7 @@
 // candidatesAhead counts the living candidates ahead of this one.
 func (d *Candidate) candidatesAhead(k string, alive func(string) bool) int64 {
 	n := int64(0)
-	for _, c := range step.Rank(k, d.candidates) {
+	for _, c := range statemachine.Rank(k, d.candidates) {
 		if c == d.self {
 			break
 		}
@@ -239,7 +239,7 @@
 }
 
 func (d *Candidate) successor(k string, alive func(string) bool) string {
-	for _, c := range step.Rank(k, d.candidates) {
+	for _, c := range statemachine.Rank(k, d.candidates) {
 		if c != d.self && alive(c) {
 			return c
 		}
--- a/duties/duties_test.go
+++ b/leaderelection/leaderelection_test.go
@@ -1,4 +1,4 @@
-package duties
+package leaderelection
 
 import (
 	"fmt"
--- a/bookings/bookings.go
+++ b/maintenance/maintenance.go
@@ -1,7 +1,7 @@
-// Package bookings keeps the calendar of planned moves (design 11). Its
+// Package maintenance keeps the calendar of planned moves (design 11). Its
 // functions are pure: a calendar goes in, a changed copy comes out, and the
 // register it lives in decides among those who change it at once.
-package bookings
+package maintenance
 
 import (
 	"fmt"
--- a/paxos/acceptor.go
+++ b/paxos/acceptor.go
@@ -13,7 +13,7 @@
 	"slices"
 
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // maxChangeIDs is how many change names a value carries, so that a proposer
@@ -32,9 +32,9 @@
 
 // Effects is what a step asks of its caller.
 type Effects struct {
-	Log          []*schema.WALEntry // to sync first
-	Send         []step.Send        // to send then
-	AcceptedKeys []string           // keys whose accepted value changed here
+	Log          []*schema.WALEntry  // to sync first
+	Send         []statemachine.Send // to send then
+	AcceptedKeys []string            // keys whose accepted value changed here
 }
 
 // register is one key as an acceptor holds it.
@@ -346,7 +346,7 @@
 
 func (a *Acceptor) send(effects *Effects, to string, e *schema.Envelope) {
 	e.From = a.self
-	effects.Send = append(effects.Send, step.Send{To: to, Envelope: e})
+	effects.Send = append(effects.Send, statemachine.Send{To: to, Envelope: e})
 }
 
 func (a *Acceptor) logRegister(key string) *schema.WALEntry {
--- a/paxos/example_test.go
+++ b/paxos/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"stoneford/paxos"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // Three voters and a proposer in one process; envelopes are handed over as they
@@ -16,7 +16,7 @@
 		acceptors[n] = paxos.NewAcceptor(n, uint64(i+1), paxos.Location{}, names)
 	}
 	p := paxos.NewProposer("a", "1", names)
-	var queue []step.Send
+	var queue []statemachine.Send
 	var ended []paxos.Outcome
 	proposed := func(effects paxos.ProposerEffects) {
 		queue, ended = append(queue, effects.Send...), append(ended, effects.Outcomes...)
--- a/paxos/faults_test.go
+++ b/paxos/faults_test.go
@@ -5,9 +5,9 @@
 	"slices"
 	"testing"
 
+	"stoneford/emulator/simulation"
 	"stoneford/paxos"
 	"stoneford/schema"
-	"stoneford/simulation"
 )
 
 // clusterMutation is a fault put into the harness around the cores, to show that the
--- a/paxos/fleet_test.go
+++ b/paxos/fleet_test.go
@@ -10,7 +10,7 @@
 
 	"stoneford/paxos"
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // delivery is an envelope under way. Any of those under way may be the next to
@@ -204,7 +204,7 @@
 	}
 }
 
-func (f *fleet) post(s step.Send) {
+func (f *fleet) post(s statemachine.Send) {
 	f.inTransit = append(f.inTransit, delivery{s.To, proto.Clone(s.Envelope).(*schema.Envelope)})
 	if f.mutation == removedVoterCounts && s.Envelope.GetPrepare() != nil && f.random.IntN(3) == 0 {
 		f.inTransit = append(f.inTransit, delivery{f.anyAddress(), proto.Clone(s.Envelope).(*schema.Envelope)})
@@ -240,7 +240,7 @@
 		// It replies as if it voted still, and accepts what it is sent.
 		q := e.GetPrepare()
 		c := p.acceptor.RegisterState(q.Key)
-		f.post(step.Send{To: e.From, Envelope: &schema.Envelope{From: p.address, Body: &schema.Envelope_Promise{Promise: &schema.Promise{
+		f.post(statemachine.Send{To: e.From, Envelope: &schema.Envelope{From: p.address, Body: &schema.Envelope_Promise{Promise: &schema.Promise{
 			Key: q.Key, Attempt: q.Attempt, Membership: q.Membership, DiskId: p.acceptor.DiskID(), Granted: true, Promised: q.Ballot,
 			Accepted: c.GetAccepted(), Value: c.GetValue()}}}})
 		return nil
@@ -270,7 +270,7 @@
 	f.flush(p)
 	if o := f.anyAddress(); o != address && !f.down[o] && f.random.IntN(2) == 0 {
 		if m := f.processes[o].acceptor.Membership(); m.Number > p.acceptor.Membership().Number {
-			f.post(step.Send{To: address, Envelope: &schema.Envelope{From: o, Body: &schema.Envelope_MembershipNotice{
+			f.post(statemachine.Send{To: address, Envelope: &schema.Envelope{From: o, Body: &schema.Envelope_MembershipNotice{
 				MembershipNotice: &schema.MembershipNotice{Membership: m.Proto()}}}})
 		}
 	}
--- a/paxos/process_test.go
+++ b/paxos/process_test.go
@@ -8,7 +8,7 @@
 
 	"stoneford/paxos"
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // unresponsiveAfter is how long a process may be silent before it counts as gone.
@@ -28,7 +28,7 @@
 	draining           bool
 	startedAt          int64
 	heardAt            map[string]int64
-	outgoing           []step.Send
+	outgoing           []statemachine.Send
 	outcomes           []paxos.Outcome
 	// Faults planted by tests; none where unset.
 	ownVoterOnly   bool // its own voter is taken for a majority
@@ -128,7 +128,7 @@
 func (p *process) ping(others []string) {
 	for _, o := range others {
 		if o != p.address {
-			p.outgoing = append(p.outgoing, step.Send{To: o, Envelope: &schema.Envelope{From: p.address, Body: &schema.Envelope_Ping{Ping: &schema.Ping{}}}})
+			p.outgoing = append(p.outgoing, statemachine.Send{To: o, Envelope: &schema.Envelope{From: p.address, Body: &schema.Envelope_Ping{Ping: &schema.Ping{}}}})
 		}
 	}
 }
@@ -137,7 +137,7 @@
 	p.applyProposerEffects(now, p.proposer.Propose(now, c))
 }
 
-func (p *process) takeOutgoing() []step.Send {
+func (p *process) takeOutgoing() []statemachine.Send {
 	s := p.outgoing
 	p.outgoing = nil
 	return s
--- a/paxos/proposer.go
+++ b/paxos/proposer.go
@@ -7,7 +7,7 @@
 	"strconv"
 
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // Verdict is how a change or a reading ended.
@@ -49,7 +49,7 @@
 
 // ProposerEffects is what a proposer's step asks of its edge.
 type ProposerEffects struct {
-	Send     []step.Send
+	Send     []statemachine.Send
 	Outcomes []Outcome
 }
 
@@ -95,7 +95,7 @@
 // process used. Until it knows a membership it asks the contacts for one.
 func NewProposer(self, run string, contacts []string) *Proposer {
 	name := self + "#" + run
-	return &Proposer{self: self, name: name, attemptNumber: step.FirstRequestNumber("attempt", self, run), contacts: slices.Clone(contacts), inFlight: map[string]*attempt{}, queued: map[string][]Change{}}
+	return &Proposer{self: self, name: name, attemptNumber: statemachine.FirstRequestNumber("attempt", self, run), contacts: slices.Clone(contacts), inFlight: map[string]*attempt{}, queued: map[string][]Change{}}
 }
 
 // SetMembership takes a newer membership; what was under way begins anew under it.
@@ -249,7 +249,7 @@
 		if !a.ownValue && !a.change.Recommit && a.value != nil && hasValue {
 			accept.Value, accept.ValueBallot = nil, cloneBallot(highestAccepted)
 		}
-		effects.Send = append(effects.Send, step.Send{To: address, Envelope: &schema.Envelope{From: p.self, Body: &schema.Envelope_Accept{Accept: accept}}})
+		effects.Send = append(effects.Send, statemachine.Send{To: address, Envelope: &schema.Envelope{From: p.self, Body: &schema.Envelope_Accept{Accept: accept}}})
 	}
 }
 
@@ -335,7 +335,7 @@
 	a.retries++
 	a.quorumRead = false
 	jitterRange := int64(10_000) << min(a.retries, 5)
-	a.retryAt = now + 2_000 + int64(step.Hash(p.name, a.change.Key, strconv.FormatUint(a.number, 36))%uint64(jitterRange))
+	a.retryAt = now + 2_000 + int64(statemachine.Hash(p.name, a.change.Key, strconv.FormatUint(a.number, 36))%uint64(jitterRange))
 }
 
 func (p *Proposer) broadcast(effects *ProposerEffects, e *schema.Envelope) {
@@ -344,7 +344,7 @@
 		to = p.membership.Addresses()
 	}
 	for _, v := range to {
-		effects.Send = append(effects.Send, step.Send{To: v, Envelope: e})
+		effects.Send = append(effects.Send, statemachine.Send{To: v, Envelope: e})
 	}
 }
 
--- a/paxos/reconfigurer.go
+++ b/paxos/reconfigurer.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 const (
@@ -79,7 +79,7 @@
 
 // turnDelay is how long this voter leaves a change to others.
 func (r *Reconfigurer) turnDelay(a *Acceptor, s PlanningInput) int64 {
-	rank := step.Rank("membership", a.Membership().Addresses())
+	rank := statemachine.Rank("membership", a.Membership().Addresses())
 	rank = slices.DeleteFunc(rank, func(o string) bool { return s.Unavailable[o] && o != r.self })
 	return int64(slices.Index(rank, r.self)) * turnInterval
 }
