--- a/paxos/transfer.go
+++ b/paxos/transfer.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 // requestsPerSource is how often a newcomer asks one process for its state before
@@ -17,7 +17,7 @@
 // membership before asks one process at a time: what it is sent may be large, and a
 // single voter of the present membership is enough.
 func (a *Acceptor) requestState(effects *Effects) {
-	sources := step.Rank(a.self, a.membership.Addresses())
+	sources := statemachine.Rank(a.self, a.membership.Addresses())
 	for _, address := range slices.Sorted(maps.Keys(a.membership.Previous)) {
 		if !slices.Contains(sources, address) {
 			sources = append(sources, address)
--- a/relaytree/relaytree.go
+++ b/relaytree/relaytree.go
@@ -12,7 +12,7 @@
 	"slices"
 
 	"stoneford/schema"
-	"stoneford/step"
+	"stoneford/statemachine"
 )
 
 const (
@@ -26,7 +26,7 @@
 
 // Effects of a step. New has the registers that became newer here.
 type Effects struct {
-	Send    []step.Send
+	Send    []statemachine.Send
 	Updated []*schema.Register
 }
 
@@ -49,7 +49,7 @@
 // New makes a relay; roots are the control processes.
 func New(self string, roots []string) *Relay {
 	return &Relay{self: self, roots: slices.Clone(roots), isRoot: slices.Contains(roots, self), values: map[string]*schema.Value{},
-		subscribers: map[string]int64{}, avoidedParents: map[string]int64{}, rootIndex: int(step.Hash(self) % uint64(max(1, len(roots))))}
+		subscribers: map[string]int64{}, avoidedParents: map[string]int64{}, rootIndex: int(statemachine.Hash(self) % uint64(max(1, len(roots))))}
 }
 
 // SetLiveNodes brings the live nodes as this node knows them.
@@ -58,7 +58,7 @@
 	if !r.isRoot && !slices.Contains(r.live, r.self) {
 		r.live = append(r.live, r.self)
 	}
-	r.live = step.Rank("relay", r.live)
+	r.live = statemachine.Rank("relay", r.live)
 }
 
 // Value returns what is held of a key.
@@ -193,5 +193,5 @@
 
 func (r *Relay) send(effects *Effects, to string, e *schema.Envelope) {
 	e.From = r.self
-	effects.Send = append(effects.Send, step.Send{To: to, Envelope: e})
+	effects.Send = append(effects.Send, statemachine.Send{To: to, Envelope: e})
 }
--- a/step/step.go
+++ b/statemachine/statemachine.go
@@ -1,7 +1,7 @@
-// Package step holds what the deterministic cores have in common (design 2):
+// Package statemachine holds what the deterministic cores have in common (design 2):
 // a core is given the time and an event and hands back effects; it starts no
 // goroutine and reads no clock, socket or random source of its own.
-package step
+package statemachine
 
 import (
 	"cmp"
--- a/tools/generate-docs/main.go
+++ b/tools/generate-docs/main.go
@@ -9,9 +9,9 @@
 
 	"google.golang.org/protobuf/reflect/protoreflect"
 
+	"stoneford/internal/settings"
 	"stoneford/result"
 	"stoneford/schema"
-	"stoneford/settings"
 )
 
 func main() {
