--- a/tools/check-names/main.go
+++ b/tools/check-names/main.go
@@ -1,14 +1,12 @@
-// Command check-names looks through the identifiers that our sources and schemas
-// declare for words of the earlier house style that the users have withdrawn
-// (docs/needs.md), and exits with 1 if it finds more than left.txt still allows,
-// or less than it says.
+// Command check-names looks for words that docs/glossary.md withdraws: in the
+// identifiers that our sources and schemas declare, in doc comments, and in the
+// texts of log entries and errors. It exits with 1 if it finds more than the list
+// of remaining findings still allows, or less than it says.
 //
 //	go run ./tools/check-names [-shrink | -begin]
 //
-// With -shrink it first lowers left.txt to what was found; -begin writes it, if no
-// commit has it yet. Only words that hardly
-// occur otherwise are looked for: allow, pass, revision, query, line, return and
-// boot were withdrawn too, but are good names for other things.
+// With -shrink it first lowers the list to what was found; -begin writes it, if no
+// commit has it yet. The words and their standard uses are in words.go.
 package main
 
 import (
@@ -28,38 +26,10 @@
 )
 
 const (
-	listFile = "tools/check-names/left.txt"
-	heading  = "Identifiers that still hold a withdrawn word (go run ./tools/check-names -shrink)."
+	listFile = "tools/check-names/remaining.txt"
+	heading  = "Names and texts that still hold a withdrawn word (go run ./tools/check-names -shrink)."
 )
 
-// withdrawn is each word by its stems, and the standard term.
-var withdrawn = []struct {
-	stems    []string
-	standard string
-}{
-	{[]string{"bounce", "bouncing"}, "refuse"},
-	{[]string{"burden"}, "load"},
-	{[]string{"permit"}, "lease"},
-	{[]string{"neighbour", "neighbor"}, "peer"},
-	{[]string{"expiry", "expirie"}, "deadline"},
-	{[]string{"bootfile"}, "settings"},
-}
-
-var part = regexp.MustCompile(`[A-Z]+(?:[a-z]+|\b|$)|[A-Z]?[a-z]+|[A-Z]+`)
-
-// stem is the withdrawn word in one part of a name, and its standard term.
-func stem(part string) (word, standard string) {
-	part = strings.ToLower(part)
-	for _, w := range withdrawn {
-		for _, s := range w.stems {
-			if strings.HasPrefix(part, s) {
-				return w.stems[0], w.standard
-			}
-		}
-	}
-	return "", ""
-}
-
 type checker struct {
 	names int // identifiers looked at
 	found map[shrinking.Key]int
@@ -70,37 +40,108 @@
 	return &checker{found: map[shrinking.Key]int{}, lines: map[shrinking.Key][]string{}}
 }
 
+// add counts one finding.
+func (c *checker) add(rule, file string, line int, text string) {
+	key := shrinking.Key{Rule: rule, File: file}
+	c.found[key]++
+	c.lines[key] = append(c.lines[key], fmt.Sprintf("%s:%d: %s", file, line, text))
+}
+
 // name looks at one identifier where it is declared.
 func (c *checker) name(file string, line int, name string) {
 	c.names++
-	for _, p := range part.FindAllString(name, -1) {
-		word, standard := stem(p)
-		if word == "" {
-			continue
-		}
-		key := shrinking.Key{Rule: word, File: file}
-		c.found[key]++
-		c.lines[key] = append(c.lines[key], fmt.Sprintf("%s:%d: %s: say %s for %s", file, line, name, standard, word))
+	for _, w := range withdrawnInName(file, name) {
+		c.add(w.word, file, line, fmt.Sprintf("%s: say %s for %s", name, w.standard, w.word))
+	}
+}
+
+// text looks at a doc comment, or at the text of a log entry or an error.
+func (c *checker) text(file string, line int, text string) {
+	for _, w := range withdrawnInText(file, text) {
+		c.add(w.word+"-text", file, line, fmt.Sprintf("say %s for %s in a text", w.standard, w.word))
 	}
 }
 
 // source goes over what a Go file declares, its package's name with it.
 func (c *checker) source(file string) error {
 	set := token.NewFileSet()
-	f, err := parser.ParseFile(set, file, nil, parser.SkipObjectResolution)
+	f, err := parser.ParseFile(set, file, nil, parser.SkipObjectResolution|parser.ParseComments)
 	if err != nil {
 		return err
 	}
+	line := func(n ast.Node) int { return set.Position(n.Pos()).Line }
 	c.name(file, 1, f.Name.Name)
 	ast.Inspect(f, func(n ast.Node) bool {
 		for _, i := range declared(n) {
-			c.name(file, set.Position(i.Pos()).Line, i.Name)
+			c.name(file, line(i), i.Name)
+		}
+		for _, doc := range docComments(n) {
+			if doc != nil {
+				c.text(file, line(doc), doc.Text())
+			}
+		}
+		if strings.HasSuffix(file, "_test.go") {
+			return true
+		}
+		for _, literal := range loggedTexts(n) {
+			c.text(file, line(literal), literal.Value)
 		}
 		return true
 	})
 	return nil
 }
 
+// docComments are the comments that document a node: the one above it, and the
+// one behind it on its line. Either may be nil.
+func docComments(n ast.Node) []*ast.CommentGroup {
+	switch n := n.(type) {
+	case *ast.File:
+		return []*ast.CommentGroup{n.Doc}
+	case *ast.FuncDecl:
+		return []*ast.CommentGroup{n.Doc}
+	case *ast.GenDecl:
+		return []*ast.CommentGroup{n.Doc}
+	case *ast.TypeSpec:
+		return []*ast.CommentGroup{n.Doc, n.Comment}
+	case *ast.ValueSpec:
+		return []*ast.CommentGroup{n.Doc, n.Comment}
+	case *ast.Field:
+		return []*ast.CommentGroup{n.Doc, n.Comment}
+	}
+	return nil
+}
+
+// logFunctions are the functions whose arguments are the texts of log entries and
+// errors, by their name alone, without a package or receiver.
+var logFunctions = regexp.MustCompile(`^(Debug|Info|Warn|Error|Fatal)f?$|^[lL]ogf?$|^Errorf$|^New$|^say$`)
+
+// loggedTexts are the texts that a call hands to a log or an error.
+func loggedTexts(n ast.Node) []*ast.BasicLit {
+	call, ok := n.(*ast.CallExpr)
+	if !ok || !logFunctions.MatchString(calledName(call)) {
+		return nil
+	}
+	var out []*ast.BasicLit
+	for _, argument := range call.Args {
+		if literal, ok := argument.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+			out = append(out, literal)
+		}
+	}
+	return out
+}
+
+// calledName is the name of the function that a call names, without what it
+// belongs to.
+func calledName(call *ast.CallExpr) string {
+	switch f := call.Fun.(type) {
+	case *ast.Ident:
+		return f.Name
+	case *ast.SelectorExpr:
+		return f.Sel.Name
+	}
+	return ""
+}
+
 // declared is the names that one node declares by itself.
 func declared(n ast.Node) []*ast.Ident {
 	switch n := n.(type) {
@@ -202,7 +243,7 @@
 		return err
 	}
 	left, files := shrinking.Total(list)
-	fmt.Fprintf(out, "check-names: %d names, no withdrawn word but for %d left in %d files\n", c.names, left, files)
+	fmt.Fprintf(out, "check-names: %d names, no withdrawn word but for %d remaining in %d files\n", c.names, left, files)
 	return nil
 }
 
