--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -182,7 +182,7 @@
 	self := b.ControlNodeAddress()
 	c := &Core{self: self, run: run, config: b, acceptor: v, proposer: paxos.NewProposer(self, fmt.Sprint(run), b.SeedVoterAddresses()),
 		reconfigurer: paxos.NewReconfigurer(self, fmt.Sprint(run)),
-		learner:      learner.New(self, b.SeedVoterAddresses(), b.Zone, b.Name, "control", run), databases: crdt.New(self),
+		learner:      learner.New(learner.Config{Self: self, Contacts: b.SeedVoterAddresses(), Zone: b.Zone, Name: b.Name, Kind: "control", Run: run}), databases: crdt.New(self),
 		changeNumbers: map[string]uint64{}, acceptedRevisions: map[string]acceptedRevision{}, pollers: map[string]*poller{}, groups: map[string]*group{},
 		pendingProposals: map[string]func(int64, paxos.Outcome){}, catchUpAt: map[string]int64{}, pendingAnnouncements: map[uint64]*pendingAnnouncement{}, pendingCalls: map[uint64]*pendingCall{}, pendingChanges: map[string]*pendingChange{}, heartbeatsSinceForward: map[string]int{}, lastHeartbeatHere: map[string]int64{}, convergedTables: map[string]uint64{}}
 	c.proposer.LocalState = v.RegisterState
--- a/internal/coordinator/learners_test.go
+++ b/internal/coordinator/learners_test.go
@@ -56,7 +56,7 @@
 
 // restart has the learner forget everything.
 func (l *testLearner) restart(c *cluster) {
-	l.learner = learner.New(l.address, c.order[:3], "z", "node", "pool", c.environment.Random.Uint64())
+	l.learner = learner.New(learner.Config{Self: l.address, Contacts: c.order[:3], Zone: "z", Name: "node", Kind: "pool", Run: c.environment.Random.Uint64()})
 }
 
 // revision is the register's revision of the routing table that the learner knows.
--- /dev/null
+++ b/internal/learner/membership.go
@@ -0,0 +1,102 @@
+package learner
+
+import (
+	"slices"
+
+	"stoneford/paxos"
+)
+
+// maxContacts bounds how many processes are asked who the voters are while that is
+// unknown.
+const maxContacts = 16
+
+// SetContacts replaces the addresses that are asked who the voters are.
+func (l *Learner) SetContacts(contacts []string) {
+	l.config.Contacts = slices.Clone(contacts)
+	if !l.membership.Known() {
+		l.setAddresses(contacts)
+	}
+}
+
+// AddContact says that another control process exists. While the voters are unknown
+// it is asked for them as well: the contacts named at the start may all be gone.
+func (l *Learner) AddContact(address string) {
+	if l.membership.Known() || slices.Contains(l.addresses, address) || len(l.addresses) >= maxContacts {
+		return
+	}
+	l.setAddresses(append(slices.Clone(l.addresses), address))
+	l.RequestPoll()
+}
+
+// SetMembership takes a membership that is known to be committed and reports whether
+// it is newer than the one known before.
+func (l *Learner) SetMembership(now int64, membership paxos.Membership) bool {
+	if membership.Number <= l.membership.Number {
+		return false
+	}
+	l.now = max(l.now, now)
+	l.membership = membership
+	l.setAddresses(membership.Addresses())
+	l.RequestPoll()
+	return true
+}
+
+// setAddresses sets whom to poll, and forgets what any other process said.
+func (l *Learner) setAddresses(addresses []string) {
+	l.addresses = slices.Clone(addresses)
+	for _, address := range addresses {
+		if l.voters[address] == nil {
+			l.voters[address] = newVoterState(0)
+		}
+	}
+	for address := range l.voters {
+		if !slices.Contains(addresses, address) {
+			delete(l.voters, address)
+			l.lease.voterForgottenAt = l.now
+		}
+	}
+}
+
+// Membership is the newest membership known to be committed.
+func (l *Learner) Membership() paxos.Membership { return l.membership }
+
+// Voters are the voters' addresses, or the contacts while no voter is known.
+func (l *Learner) Voters() []string { return l.addresses }
+
+// Active reports whether a voter said that it votes under the newest membership.
+func (l *Learner) Active(address string) bool {
+	voter := l.voters[address]
+	return voter != nil && l.isActiveVoter(address, voter)
+}
+
+// isActiveVoter reports whether a voter counts towards a majority: it votes under the
+// newest membership known here, with the disk that is named there.
+func (l *Learner) isActiveVoter(address string, voter *voterState) bool {
+	return l.membership.Known() && voter.activeMembership == l.membership.Number && l.membership.HasVoter(address, voter.diskID)
+}
+
+// Zone is the zone that a voter said it is in, empty if it did not say.
+func (l *Learner) Zone(address string) string {
+	if voter := l.voters[address]; voter != nil {
+		return voter.zone
+	}
+	return ""
+}
+
+// LastResponse is when a voter last answered a poll or sent an update, 0 for never.
+func (l *Learner) LastResponse(address string) int64 {
+	if voter := l.voters[address]; voter != nil {
+		return voter.lastResponse
+	}
+	return 0
+}
+
+// PoolNodes is the number of pool nodes that poll the voters: the highest that any
+// voter reports, since one that just started knows of few.
+func (l *Learner) PoolNodes() int {
+	nodes := 0
+	for _, voter := range l.voters {
+		nodes = max(nodes, voter.poolNodes)
+	}
+	return nodes
+}
--- a/internal/sessionpool/core.go
+++ b/internal/sessionpool/core.go
@@ -63,7 +63,9 @@
 	}
 	options.ReadyGraceUs = cmp.Or(options.ReadyGraceUs, readyGraceUs)
 	options.RoutingGraceUs = cmp.Or(options.RoutingGraceUs, routingGraceUs(boot.Bounds.ApplyUs))
-	return &Core{Table: sessiontable.New(seed, boot.Zone, options), view: learner.New(boot.PoolNodeAddress(), boot.SeedVoterAddresses(), boot.Zone, boot.Name, "pool", run)}
+	return &Core{Table: sessiontable.New(seed, boot.Zone, options), view: learner.New(learner.Config{
+		Self: boot.PoolNodeAddress(), Contacts: boot.SeedVoterAddresses(), Zone: boot.Zone, Name: boot.Name, Kind: "pool", Run: run,
+	})}
 }
 
 // Due is when Step has something to do next even if nothing happens.
