--- a/emulator/fleetsimulation/controls.go
+++ b/emulator/fleetsimulation/controls.go
@@ -21,7 +21,7 @@
 	disk            [][]byte // synced entries of the voter's log
 	writing         [][]byte // being synced
 	syncUs          int64    // added to what a sync takes
-	events          []any
+	events          []coordinator.Event
 	stepping        bool
 	pendingCalls    map[uint64]func(any)
 	lastCall        uint64
@@ -59,7 +59,7 @@
 }
 
 // post queues an event for the process's loop; with none it is just woken.
-func (c *Control) post(src string, events ...any) {
+func (c *Control) post(src string, events ...coordinator.Event) {
 	gen := c.generation
 	c.enter(src, func() {
 		if c.generation != gen {
@@ -96,7 +96,7 @@
 			c.perform(d)
 		}
 		if len(effects.Log) > 0 {
-			c.events = append([]any{coordinator.Synced{Watermark: effects.Watermark}}, c.events...)
+			c.events = append([]coordinator.Event{coordinator.Synced{Watermark: effects.Watermark}}, c.events...)
 		}
 		if len(c.events) > 0 {
 			f.After(0, func() { c.runStep(gen) })
@@ -188,7 +188,7 @@
 	}
 }
 
-func (c *Control) perform(d any) {
+func (c *Control) perform(d coordinator.Effect) {
 	f := c.fleet
 	f.observeControl(c, d)
 	switch d := d.(type) {
--- a/emulator/fleetsimulation/moves.go
+++ b/emulator/fleetsimulation/moves.go
@@ -149,14 +149,14 @@
 
 func (m *moves) to(g *group, site string) {
 	m.requestedMoves++
-	m.call(func(id uint64) any { return coordinator.Move{ID: id, Group: g.name, Site: site} }, "move "+g.name+" to "+site)
+	m.call(func(id uint64) coordinator.Event { return coordinator.Move{ID: id, Group: g.name, Site: site} }, "move "+g.name+" to "+site)
 }
 
 func (m *moves) cancel(g *group) {
-	m.call(func(id uint64) any { return coordinator.CancelMove{ID: id, Group: g.name} }, "cancel the move of "+g.name)
+	m.call(func(id uint64) coordinator.Event { return coordinator.CancelMove{ID: id, Group: g.name} }, "cancel the move of "+g.name)
 }
 
-func (m *moves) call(e func(id uint64) any, what string) {
+func (m *moves) call(e func(id uint64) coordinator.Event, what string) {
 	f := m.fleet
 	c := f.controls[f.Random.IntN(len(f.controls))]
 	f.callControl("operators", c, func(c *Control, id uint64) { c.post("operators", e(id)) }, func(v any) {
--- a/emulator/fleetsimulation/nodes.go
+++ b/emulator/fleetsimulation/nodes.go
@@ -6,6 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/internal/coordinator"
 	"stoneford/internal/learner"
 	"stoneford/internal/ports"
 	"stoneford/internal/sessionpool"
@@ -226,7 +227,7 @@
 
 func (f *Fleet) takeEnvelope(to string, e *schema.Envelope) {
 	if c := f.controlAt[to]; c != nil {
-		c.post(e.From, e)
+		c.post(e.From, coordinator.Message{Envelope: e})
 	} else if n := f.nodeAt[to]; n != nil {
 		gen := n.generation
 		n.enter(e.From, func() {
--- a/internal/coordinator/announcements.go
+++ b/internal/coordinator/announcements.go
@@ -4,17 +4,40 @@
 	"maps"
 	"math"
 	"slices"
+	"time"
 
 	"stoneford/internal/learner"
-	"stoneford/result"
+	"stoneford/internal/ports"
 	"stoneford/schema"
 	"stoneford/statemachine"
 )
 
-// ackTimeout is how long a database waits at most for the acknowledgement of its
-// leave. It calls another process after a second of silence.
-const ackTimeout = 900_000
+const (
+	// ackTimeout bounds how long a database waits for the acknowledgement that it
+	// drains or is gone. It calls another process after a second without a reply.
+	ackTimeout = 900 * time.Millisecond
+	// ackRetryInterval is the time between two sendings of what a majority has not
+	// acknowledged.
+	ackRetryInterval = 200 * time.Millisecond
+	// heartbeatsPerForward is how many announcements that say nothing new arrive for
+	// each that is forwarded. Fewer would have the others count the database as gone
+	// sooner after a loss, more would load them.
+	heartbeatsPerForward = 3
+	// rehomedHeartbeatLimit is how many announcements a database may have missed here
+	// until it counts as one that announced itself elsewhere.
+	rehomedHeartbeatLimit = 2
+)
+
+// announcements is what this process knows of the announcements that it received.
+type announcements struct {
+	newest         uint64 // number of the newest that had to be acknowledged
+	pending        map[uint64]*pendingAnnouncement
+	unsent         map[string]int   // announcements of a database since one was forwarded
+	receivedAt     map[string]int64 // when a database announced itself to this process last
+	nextExpiration int64            // when databases are looked at for missed announcements
+}
 
+// pendingAnnouncement is one that a majority of the voters has to acknowledge.
 type pendingAnnouncement struct {
 	callID   uint64
 	records  []*schema.Record
@@ -23,56 +46,94 @@
 	retryAt  int64
 }
 
-// announce takes a database's word (design 17). A process without contact with a
-// majority keeps and passes on what it can, and acknowledges nothing: the database
-// is to call another one. That a database leaves or is gone is acknowledged once a
+// newAnnouncements begins to number at the run, so that an acknowledgement of an
+// earlier run's announcement ends none of this one's.
+func newAnnouncements(run uint64) announcements {
+	return announcements{
+		newest:     run,
+		pending:    map[uint64]*pendingAnnouncement{},
+		unsent:     map[string]int{},
+		receivedAt: map[string]int64{},
+	}
+}
+
+// resetForwardCounts counts the announcements that are not forwarded anew.
+func (a *announcements) resetForwardCounts() {
+	for id := range a.unsent {
+		a.unsent[id] = 0
+	}
+}
+
+// announce takes a database's announcement (design 17). A process without contact with
+// a majority keeps and forwards what it can and acknowledges nothing: the database is
+// to call another one. That a database drains or is gone is acknowledged once a
 // majority of the voters has it.
 func (c *Core) announce(now int64, e Announce) {
-	k := learner.DatabasePrefix + e.Instance.ID
-	if o := c.databases.Get(k); o != nil && e.Instance.Gone {
-		// The last word names nothing but its identity.
-		was := learner.DecodeInstance(o)
-		was.Gone, was.AnnouncementNumber = true, max(was.AnnouncementNumber, e.Instance.AnnouncementNumber)
-		e.Instance = was
-	}
-	r := learner.EncodeInstance(e.Instance)
-	told := c.mergeRecords(now, []*schema.Record{r})
-	// One that announced itself elsewhere until now is passed on at once: whoever it
-	// told before may be lost, and the others count its silence.
-	moved := now-c.lastHeartbeatHere[e.Instance.ID] > rehomedHeartbeatLimit*c.heartbeatIntervalUs()
-	c.lastHeartbeatHere[e.Instance.ID] = now
-	c.heartbeatsSinceForward[e.Instance.ID]++
-	rests := e.Instance.Draining || e.Instance.Gone
+	record := learner.EncodeInstance(c.completeInstance(e))
+	records := []*schema.Record{record}
+	id := e.Instance.ID
+	changed := c.mergeRecords(now, records)
+	mustBeAcked := e.Instance.Draining || e.Instance.Gone
 	contact := c.inContact(now)
-	pass := told || moved || rests || !contact || c.heartbeatsSinceForward[e.Instance.ID] >= heartbeatsPerForward
-	if pass {
-		c.heartbeatsSinceForward[e.Instance.ID] = 0
+	// One that announced itself elsewhere until now is forwarded at once: the process
+	// that forwarded it before may be lost, and the others count missed announcements.
+	rehomed := now-c.announcements.receivedAt[id] > rehomedHeartbeatLimit*c.heartbeatIntervalUs()
+	c.announcements.receivedAt[id] = now
+	c.announcements.unsent[id]++
+	forward := changed || rehomed || mustBeAcked || !contact || c.announcements.unsent[id] >= heartbeatsPerForward
+	if forward {
+		c.announcements.unsent[id] = 0
 	}
-	if !rests || !contact {
-		if pass {
-			c.forwardAnnouncement(0, []*schema.Record{r})
-		}
-		c.effects.Do = append(c.effects.Do, AnnounceDone{ID: e.ID, OK: contact})
+	if mustBeAcked && contact {
+		c.awaitAcks(now, e.ID, records)
 		return
 	}
-	c.announcementNumber++
-	c.pendingAnnouncements[c.announcementNumber] = &pendingAnnouncement{callID: e.ID, records: []*schema.Record{r}, ackedBy: map[string]bool{}, deadline: now + ackTimeout, retryAt: now + ackRetryInterval}
-	c.forwardAnnouncement(c.announcementNumber, []*schema.Record{r})
-	c.countAnnouncementAck(c.self, c.announcementNumber)
+	if forward {
+		c.forwardAnnouncement(0, records)
+	}
+	c.do(AnnounceDone{ID: e.ID, OK: contact})
+}
+
+// completeInstance is the instance that an announcement describes. The last one of a
+// database names nothing but its identity; the rest is as it was.
+func (c *Core) completeInstance(e Announce) ports.Instance {
+	known := c.databases.Get(learner.DatabasePrefix + e.Instance.ID)
+	if known == nil || !e.Instance.Gone {
+		return e.Instance
+	}
+	instance := learner.DecodeInstance(known)
+	instance.Gone = true
+	instance.AnnouncementNumber = max(instance.AnnouncementNumber, e.Instance.AnnouncementNumber)
+	return instance
 }
 
-// retryAnnouncements repeats what a majority has not acknowledged yet, and refuses it
-// when its time is over or the contact with a majority is lost.
+// awaitAcks forwards an announcement until a majority of the voters has it.
+func (c *Core) awaitAcks(now int64, callID uint64, records []*schema.Record) {
+	c.announcements.newest++
+	number := c.announcements.newest
+	c.announcements.pending[number] = &pendingAnnouncement{
+		callID:   callID,
+		records:  records,
+		ackedBy:  map[string]bool{},
+		deadline: now + ackTimeout.Microseconds(),
+		retryAt:  now + ackRetryInterval.Microseconds(),
+	}
+	c.forwardAnnouncement(number, records)
+	c.countAnnouncementAck(c.self, number)
+}
+
+// retryAnnouncements repeats what a majority has not acknowledged, and refuses it when
+// its time is over or the contact with a majority is lost.
 func (c *Core) retryAnnouncements(now int64) {
-	for _, n := range slices.Sorted(maps.Keys(c.pendingAnnouncements)) {
-		a := c.pendingAnnouncements[n]
+	for _, number := range slices.Sorted(maps.Keys(c.announcements.pending)) {
+		a := c.announcements.pending[number]
 		switch {
 		case now >= a.deadline || !c.inContact(now):
-			delete(c.pendingAnnouncements, n)
-			c.effects.Do = append(c.effects.Do, AnnounceDone{ID: a.callID})
+			delete(c.announcements.pending, number)
+			c.do(AnnounceDone{ID: a.callID})
 		case now >= a.retryAt:
-			a.retryAt = now + ackRetryInterval
-			c.forwardAnnouncement(n, a.records)
+			a.retryAt = now + ackRetryInterval.Microseconds()
+			c.forwardAnnouncement(number, a.records)
 		}
 	}
 }
@@ -80,102 +141,53 @@
 // announcementsDue is when retryAnnouncements has something to do next.
 func (c *Core) announcementsDue() int64 {
 	due := int64(math.MaxInt64)
-	for _, a := range c.pendingAnnouncements {
+	for _, a := range c.announcements.pending {
 		due = min(due, a.deadline, a.retryAt, c.learner.LeaseUntil())
 	}
 	return due
 }
 
-func (c *Core) forwardAnnouncement(n uint64, rs []*schema.Record) {
-	for _, o := range c.learner.Voters() {
-		if o != c.self {
-			c.send(statemachine.Send{To: o, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementForward{AnnouncementForward: &schema.AnnouncementForward{Number: n, Databases: rs}}}})
+// forwardAnnouncement sends records to the other voters, which acknowledge them if the
+// number is not 0.
+func (c *Core) forwardAnnouncement(number uint64, records []*schema.Record) {
+	for _, address := range c.learner.Voters() {
+		if address != c.self {
+			c.sendRecords(address, number, records)
 		}
 	}
 }
 
-// countAnnouncementAck counts a voter that has an announcement; a majority of them ends it.
-func (c *Core) countAnnouncementAck(from string, n uint64) {
-	a := c.pendingAnnouncements[n]
-	if a == nil || !slices.Contains(c.learner.Voters(), from) {
-		return
-	}
-	a.ackedBy[from] = true
-	has := 0
-	for _, o := range c.learner.Voters() {
-		if a.ackedBy[o] {
-			has++
-		}
-	}
-	if c.membershipKnown() && has >= c.learner.Membership().Quorum() {
-		delete(c.pendingAnnouncements, n)
-		c.effects.Do = append(c.effects.Do, AnnounceDone{ID: a.callID, OK: true})
-	}
+func (c *Core) sendRecords(to string, number uint64, records []*schema.Record) {
+	message := &schema.AnnouncementForward{Number: number, Databases: records}
+	c.send(statemachine.Send{To: to, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementForward{AnnouncementForward: message}}})
 }
 
-// mergeRecords takes records of databases and says whether one of them said something
-// new.
-func (c *Core) mergeRecords(now int64, rs []*schema.Record) bool {
-	told := false
-	for _, r := range rs {
-		old := c.databases.Get(r.Key)
-		if len(c.databases.Merge(now, r)) > 0 {
-			told = c.recordMerged(now, r, old) || told
-		}
-	}
-	return told
-}
-
-func (c *Core) recordMerged(now int64, r, old *schema.Record) bool {
-	if old != nil && slices.Equal(old.Data, r.Data) {
-		return false // only its stamp
-	}
-	c.increment(r.Key)
-	i := learner.DecodeInstance(r)
-	g := c.group(i.Group)
-	g.databases[i.ID], g.changed = i, true
-	c.logf(result.DatabaseStateChanged, "%s of %s at %s: leaves %t, leads %t, gone %t", i.ID, i.Group, i.Address, i.Draining, i.Primary, i.Gone)
-	return true
-}
-
-func (c *Core) heartbeatIntervalUs() int64 {
-	if c.config.AnnouncementIntervalUs > 0 {
-		return c.config.AnnouncementIntervalUs
+// handleAnnouncementForward takes records that another control process received, and
+// acknowledges them where it asks for that.
+func (c *Core) handleAnnouncementForward(now int64, from string, forward *schema.AnnouncementForward) {
+	c.mergeRecords(now, forward.Databases)
+	if forward.Number == 0 {
+		return
 	}
-	return defaultHeartbeatInterval
-}
-
-// heardAllDatabases says that this process has run, and was in touch with a majority, for
-// so long that it heard of every database that there is. A cut that ended just now
-// leaves it with announcements as old as the cut.
-func (c *Core) heardAllDatabases(now int64) bool {
-	return now < c.learner.LeaseUntil() && now-max(c.startedAt, c.disconnectedAt) >= missedHeartbeatLimit*c.heartbeatIntervalUs()
+	ack := &schema.AnnouncementAck{Number: forward.Number}
+	c.send(statemachine.Send{To: from, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementAck{AnnouncementAck: ack}}})
 }
 
-// expireDatabases takes databases that were silent for long as gone, unless this process
-// may be the one that hears nothing, or was until lately: databases announce
-// themselves to the others then, and what these heard is not here yet.
-func (c *Core) expireDatabases(now int64) {
-	if !c.heardAllDatabases(now) {
+// countAnnouncementAck counts a voter that has an announcement; a majority ends it.
+func (c *Core) countAnnouncementAck(from string, number uint64) {
+	a := c.announcements.pending[number]
+	if a == nil || !slices.Contains(c.learner.Voters(), from) {
 		return
 	}
-	var old []string
-	c.databases.ForEach(learner.DatabasePrefix, func(r *schema.Record) {
-		i := learner.DecodeInstance(r)
-		age := c.databases.AgeUs(now, r.Key)
-		switch {
-		case i.Gone && age > goneRetention:
-			old = append(old, r.Key)
-		case !i.Gone && age > missedHeartbeatLimit*c.heartbeatIntervalUs():
-			i.Gone = true
-			c.mergeRecords(now, []*schema.Record{learner.EncodeInstance(i)})
+	a.ackedBy[from] = true
+	count := 0
+	for _, address := range c.learner.Voters() {
+		if a.ackedBy[address] {
+			count++
 		}
-	})
-	for _, k := range old {
-		i := learner.DecodeInstance(c.databases.Get(k))
-		delete(c.group(i.Group).databases, i.ID)
-		c.databases.Forget(k)
-		delete(c.changeNumbers, k)
-		delete(c.lastHeartbeatHere, i.ID)
+	}
+	if c.membershipKnown() && count >= c.learner.Membership().Quorum() {
+		delete(c.announcements.pending, number)
+		c.do(AnnounceDone{ID: a.callID, OK: true})
 	}
 }
--- /dev/null
+++ b/internal/coordinator/changes.go
@@ -0,0 +1,150 @@
+package coordinator
+
+import (
+	"slices"
+	"time"
+
+	"stoneford/internal/invariant"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
+	"stoneford/paxos"
+	"stoneford/schema"
+)
+
+// pendingChange is an operator's change that this process is deciding, and the callers
+// that wait for its outcome: the same change sent again joins it.
+type pendingChange struct {
+	change        ports.TableChange
+	knownRevision uint64 // register revision that was known to be committed when it came
+	callers       []uint64
+	deadline      int64
+}
+
+// changeUnavailable is the result of a change that this process cannot decide now. The
+// change may or may not be in force.
+var changeUnavailable = ports.ChangeResult{Outcome: ports.Unavailable}
+
+// changeTable takes an operator's change: it reads the newest table through a majority,
+// checks the change against it and proposes the result (design 18).
+func (c *Core) changeTable(now int64, e ChangeTable) {
+	timeout := replyTimeout + replyTimeoutPerRoute*time.Duration(len(e.Change.Routes))
+	if !c.admitCall(now, e.ID, timeout, ChangeTableDone{ID: e.ID, Result: changeUnavailable}) {
+		return
+	}
+	if pending := c.tableChanges[e.Change.Digest]; pending != nil {
+		pending.callers = append(pending.callers, e.ID)
+		return
+	}
+	pending := &pendingChange{
+		change:        e.Change,
+		knownRevision: c.committedTableRevision(),
+		callers:       []uint64{e.ID},
+		deadline:      now + changeTimeout.Microseconds(),
+	}
+	c.tableChanges[e.Change.Digest] = pending
+	c.readRegister(now, learner.TableKey, func(now int64, read paxos.Outcome) { c.decideChange(now, pending, read) })
+}
+
+// decideChange decides a change by the newest table, as a reading or a proposal that
+// lost brought it. Without that table there is no clear answer.
+func (c *Core) decideChange(now int64, pending *pendingChange, newest paxos.Outcome) {
+	current, err := routingtable.Decode(newest.Value.GetData())
+	known := newest.Verdict == paxos.Committed || newest.Value != nil
+	known = known && c.notOlder(newest.Value, pending.knownRevision)
+	if !known || err != nil || now >= pending.deadline {
+		c.finishChange(now, pending, changeUnavailable)
+		return
+	}
+	next, result, decided := judgeChange(current, newest.Value, pending.change)
+	if decided {
+		c.finishChange(now, pending, result)
+		return
+	}
+	// Other processes may propose the very same change. They share its ID, so it is
+	// applied once.
+	proposal := paxos.Change{
+		ID:           pending.change.Digest,
+		Key:          learner.TableKey,
+		BaseRevision: newest.Value.GetRevision(),
+		Data:         routingtable.Encode(next),
+		Deadline:     pending.deadline,
+	}
+	c.propose(now, proposal, func(now int64, outcome paxos.Outcome) { c.changeProposed(now, pending, outcome) })
+}
+
+// judgeChange says what becomes of a change on top of a table: its result if that is
+// decided, else the table that it makes.
+func judgeChange(current ports.RoutingTable, value *schema.Value, change ports.TableChange) (next ports.RoutingTable, result ports.ChangeResult, decided bool) {
+	state := routingtable.OrderStatus(current, change)
+	if slices.Contains(value.GetChangeIds(), change.Digest) {
+		state = routingtable.Applied // by a version of the program that kept no list of orders
+	}
+	switch {
+	case state == routingtable.Applied:
+		return next, ports.ChangeResult{Outcome: ports.Committed, Revision: current.Revision}, true
+	case state == routingtable.Forgotten:
+		return next, changeUnavailable, true
+	case current.Revision != change.BaseRevision:
+		return next, ports.ChangeResult{Outcome: ports.Stale, Revision: current.Revision}, true
+	}
+	next, problems := routingtable.Apply(current, change)
+	if len(problems) > 0 {
+		return next, ports.ChangeResult{Outcome: ports.Invalid, Revision: current.Revision, Problems: problems}, true
+	}
+	return next, result, false
+}
+
+// changeProposed ends a change that was proposed. Where another revision came first it is
+// decided once more: that may be the change itself, proposed by another process, or a
+// move, which leaves the operators' revision as it is.
+func (c *Core) changeProposed(now int64, pending *pendingChange, outcome paxos.Outcome) {
+	if outcome.Verdict != paxos.Committed {
+		c.decideChange(now, pending, outcome)
+		return
+	}
+	table, err := routingtable.Decode(outcome.Value.GetData())
+	if err != nil {
+		c.finishChange(now, pending, changeUnavailable)
+		return
+	}
+	c.finishChange(now, pending, ports.ChangeResult{Outcome: ports.Committed, Revision: table.Revision})
+}
+
+// finishChange replies to all callers that wait for a change.
+func (c *Core) finishChange(now int64, pending *pendingChange, result ports.ChangeResult) {
+	delete(c.tableChanges, pending.change.Digest)
+	for _, id := range pending.callers {
+		c.finishCall(now, id, ChangeTableDone{ID: id, Result: result})
+	}
+}
+
+// fetchTable reads the newest table through a majority.
+func (c *Core) fetchTable(now int64, e FetchTable) {
+	if !c.admitCall(now, e.ID, replyTimeout, FetchTableDone{ID: e.ID}) {
+		return
+	}
+	known := c.committedTableRevision()
+	c.readRegister(now, learner.TableKey, func(now int64, read paxos.Outcome) {
+		table, err := routingtable.Decode(read.Value.GetData())
+		ok := read.Verdict == paxos.Committed && err == nil && table.Revision > 0 && c.notOlder(read.Value, known)
+		c.finishCall(now, e.ID, FetchTableDone{ID: e.ID, Table: table, OK: ok})
+	})
+}
+
+// committedTableRevision is the register revision of the newest routing table known to
+// be committed.
+func (c *Core) committedTableRevision() uint64 {
+	known, _ := c.learner.Committed(learner.TableKey)
+	return known.Revision
+}
+
+// notOlder reports whether a table that a majority returned is at least as new as what
+// was known to be committed when it was asked. Anything else is a broken invariant.
+func (c *Core) notOlder(returned *schema.Value, known uint64) bool {
+	if returned.GetRevision() >= known {
+		return true
+	}
+	c.invariants.Violated(invariant.StaleTableReturned, "a majority brought revision %d; %d was known to be agreed", returned.GetRevision(), known)
+	return false
+}
--- /dev/null
+++ b/internal/coordinator/databases_test.go
@@ -0,0 +1,124 @@
+package coordinator
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+)
+
+// TestRejoiningExpiresOnlyDatabasesThatNobodyHeard: a control process that was partitioned from
+// the others heard nothing of the databases that announce themselves to these. Once it
+// is back it declares none of them gone; one that announces itself to nobody is declared
+// gone all the same.
+func TestRejoiningExpiresOnlyDatabasesThatNobodyHeard(t *testing.T) {
+	for seed := range uint64(30) {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			c := newCluster(t, seed, 3, 3, 1)
+			for _, address := range c.order {
+				c.start(address)
+			}
+			c.run(2_000_000)
+			announcer := c.announceRegularly(c.order[1], "stays", "ends")
+			c.run(10_000_000)
+			c.partitionFromAll(c.order[0], true)
+			c.run(c.environment.Between(8_000_000, 20_000_000))
+			c.network.Repair()
+			for range 500 {
+				c.run(20_000)
+				if by := c.goneAt("stays"); len(by) > 0 {
+					t.Fatalf("a database that announces itself is gone for %v", by)
+				}
+			}
+			announcer.stop("ends")
+			c.run(missedHeartbeatLimit*defaultHeartbeatInterval.Microseconds() + 8_000_000)
+			if by := c.goneAt("ends"); fmt.Sprint(by) != fmt.Sprint(c.order) {
+				t.Fatalf("a database that does not announce itself is gone for %v only", by)
+			}
+		})
+	}
+}
+
+// announcer announces databases to one process at the default interval.
+type announcer struct {
+	cluster *cluster
+	to      string
+	ids     []string
+	calls   uint64
+}
+
+// announceRegularly begins to announce databases to a process.
+func (c *cluster) announceRegularly(to string, ids ...string) *announcer {
+	a := &announcer{cluster: c, to: to, ids: ids}
+	a.next()
+	return a
+}
+
+func (a *announcer) next() {
+	for _, id := range a.ids {
+		a.calls++
+		a.cluster.step(a.to, Announce{ID: a.calls, Instance: ports.Instance{ID: id, Group: "g", Address: "10.1.1.1:1", AnnouncementNumber: a.calls}})
+	}
+	a.cluster.environment.After(defaultHeartbeatInterval.Microseconds(), a.next)
+}
+
+// stop ends the announcements of one database.
+func (a *announcer) stop(id string) {
+	a.ids = slices.DeleteFunc(slices.Clone(a.ids), func(other string) bool { return other == id })
+}
+
+// partitionFromAll partitions a process from all others, or heals that.
+func (c *cluster) partitionFromAll(address string, broken bool) {
+	for _, other := range c.order {
+		if other != address {
+			c.network.SetPartition(address, other, broken)
+			c.network.SetPartition(other, address, broken)
+		}
+	}
+}
+
+// goneAt are the processes that do not know a database, or know it as gone.
+func (c *cluster) goneAt(id string) (by []string) {
+	for _, address := range c.order {
+		record := c.members[address].core.databases.Get(learner.DatabasePrefix + id)
+		if record == nil || learner.DecodeInstance(record).Gone {
+			by = append(by, address)
+		}
+	}
+	return by
+}
+
+// TestPartitionedExpiresNoDatabase: a process that was partitioned heard no
+// announcements; back among the others it declares no database gone for that.
+func TestPartitionedExpiresNoDatabase(t *testing.T) {
+	for seed := range uint64(12) {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			c := newCluster(t, seed, 3, 3, 1)
+			for _, address := range c.order {
+				c.start(address)
+			}
+			c.run(2_000_000)
+			c.announceRegularly(c.order[0], "db")
+			c.run(15_000_000)
+			isolated := c.order[2]
+			c.partitionFromAll(isolated, true)
+			c.run(4_000_000 + int64(seed)*400_000)
+			c.partitionFromAll(isolated, false)
+			for range 600 {
+				c.run(10_000)
+				if by := c.goneAt("db"); len(by) > 0 {
+					t.Fatalf("the database is gone for %v", by)
+				}
+			}
+			// One that announces itself to nobody is declared gone.
+			c.step(c.order[1], Announce{ID: 1 << 40, Instance: ports.Instance{ID: "silent", Group: "g", Address: "10.1.1.2:1", AnnouncementNumber: 1}})
+			c.run(14_000_000)
+			record := c.members[isolated].core.databases.Get(learner.DatabasePrefix + "silent")
+			if record == nil || !learner.DecodeInstance(record).Gone {
+				t.Fatal("one that does not announce itself for long is not declared gone")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordinator/group.go
@@ -0,0 +1,184 @@
+package coordinator
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"stoneford/failover/fenced"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/paxos"
+	"stoneford/schema"
+	"stoneford/statemachine"
+)
+
+// groupSweepInterval is the time between two steps of a group of which nothing was
+// heard.
+const groupSweepInterval = 250 * time.Millisecond
+
+// group is a primary with its replicas, as this process looks after it.
+type group struct {
+	decider   *fenced.Group
+	databases map[string]ports.Instance // announced, and those that are gone, by identity
+	freeze    freezeState
+	// successors are the control processes in the order in which they claim the group's
+	// role when its owner is lost, and the number of the membership that it is of.
+	successors           []string
+	successorsMembership uint64
+	moveProposedAt       int64  // when a change of its move was proposed, 0 for none
+	seenRevision         uint64 // newest revision of its leadership that was stepped here
+	changed              bool   // it is to be stepped
+}
+
+// group is the state of a group, which is new if nothing was known of it.
+func (c *Core) group(name string) *group {
+	g := c.groups[name]
+	if g == nil {
+		g = &group{decider: fenced.New(), databases: map[string]ports.Instance{}}
+		c.groups[name] = g
+	}
+	return g
+}
+
+// requestAllGroupSteps has every group stepped.
+func (c *Core) requestAllGroupSteps() {
+	for _, g := range c.groups {
+		g.changed = true
+	}
+}
+
+// tickGroups steps the groups of which something is new or due, in order of their
+// names.
+func (c *Core) tickGroups(now int64) {
+	if !c.isVoting() {
+		return
+	}
+	sweep := now >= c.nextSweep
+	if sweep {
+		c.nextSweep = now + groupSweepInterval.Microseconds()
+	}
+	var due []string
+	for name, g := range c.groups {
+		if sweep || g.changed || now >= g.decider.NextStepAt() || g.freeze.pending() {
+			due = append(due, name)
+		}
+	}
+	slices.Sort(due)
+	c.reportConvergedTable(now)
+	for _, name := range due {
+		c.tickGroup(now, name, c.groups[name])
+	}
+}
+
+// groupsDue is when a group has something to do next.
+func (c *Core) groupsDue(now int64) int64 {
+	due := int64(math.MaxInt64)
+	for _, g := range c.groups {
+		due = min(due, g.decider.NextStepAt())
+		if g.changed {
+			due = min(due, now)
+		}
+		if !g.freeze.pending() {
+			continue
+		}
+		due = min(due, g.freeze.acceptedAt+learner.LeaseEndBoundUs)
+		if heardAll := c.startedAt + learner.LeaseEndBoundUs; heardAll > now {
+			due = min(due, heardAll)
+		}
+	}
+	return due
+}
+
+// tickGroup steps one group: it brings the decider what is known, and carries out what
+// the decider asks for.
+func (c *Core) tickGroup(now int64, name string, g *group) {
+	g.changed = false
+	c.rankSuccessors(name, g)
+	c.clearFreeze(now, name, g)
+	i := slices.IndexFunc(c.table.content.Groups, func(t ports.Group) bool { return t.Name == name })
+	if i < 0 {
+		return
+	}
+	input := c.leadershipInput(now, name)
+	input.RequiredReplicaAcks = c.table.content.Groups[i].RequiredReplicaAcks
+	owner := g.decider.CanAct(now, input)
+	if g.seenRevision != input.Revision {
+		g.seenRevision = input.Revision
+		if owner {
+			c.learner.RequestPoll() // a majority is to be met after the change
+		}
+	}
+	if owner {
+		c.addGroupInput(now, name, g, &input)
+		c.addRequestedMove(name, &input)
+	}
+	effects := g.decider.Step(now, input)
+	if owner {
+		c.tickMove(now, name, g, input)
+	}
+	for _, effect := range effects {
+		c.handleGroupEffect(now, name, g, effect)
+	}
+}
+
+// rankSuccessors orders the voters for a group after the membership changed.
+func (c *Core) rankSuccessors(name string, g *group) {
+	voters, number := c.learner.Voters(), c.learner.Membership().Number
+	if g.successorsMembership != number || len(g.successors) != len(voters) {
+		g.successorsMembership = number
+		g.successors = statemachine.Rank("change/"+name, voters)
+	}
+}
+
+// leadershipInput is the part of a decider's input that every control process has: the
+// group's register, and how this process stands towards its role.
+func (c *Core) leadershipInput(now int64, name string) fenced.Input {
+	key := learner.LeaderPrefix + name
+	committed, ok := c.learner.Committed(key)
+	leadership := &schema.Leadership{}
+	if ok {
+		leadership = learner.DecodeLeadership(committed)
+	}
+	return fenced.Input{
+		Group:    name,
+		State:    leadership,
+		Revision: committed.Revision,
+		UpToDate: !c.learner.Unconfirmed(key),
+		Role:     c.roleState(now, name, leadership),
+	}
+}
+
+// handleGroupEffect carries out what a group's decider asks for.
+func (c *Core) handleGroupEffect(now int64, name string, g *group, effect any) {
+	switch e := effect.(type) {
+	case fenced.DatabaseCall:
+		c.do(DatabaseCall{Group: name, Call: e})
+	case fenced.Promote:
+		c.do(Promote{Group: name, Promote: e})
+	case fenced.LogEntry:
+		c.logf(e.Code, "%s", e.Message)
+	case fenced.ProposeMembers:
+		data := encode(&schema.GroupMembers{DatabaseIds: e.IDs})
+		c.proposeValue(now, learner.MembersPrefix+name, e.BaseRevision, data, func(int64, paxos.Outcome) {
+			g.decider.MembersProposalDone()
+			g.changed = true
+		})
+	case fenced.ProposeState:
+		c.proposeValue(now, learner.LeaderPrefix+name, e.BaseRevision, e.Data, func(int64, paxos.Outcome) {
+			g.decider.StateProposalDone()
+			g.changed = true
+		})
+	}
+}
+
+// encode writes a register's value, the same bytes in every process.
+func encode(message proto.Message) []byte {
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+	if err != nil {
+		panic(err) // the messages hold nothing that cannot be encoded
+	}
+	return data
+}
--- /dev/null
+++ b/internal/coordinator/groupinput.go
@@ -0,0 +1,82 @@
+package coordinator
+
+import (
+	"maps"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"stoneford/failover/fenced"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/schema"
+)
+
+// addGroupInput adds what databases and pool nodes said lately to a decider's input.
+func (c *Core) addGroupInput(now int64, name string, g *group, input *fenced.Input) {
+	c.addDatabases(now, g, input)
+	input.InventoryComplete = c.inventoryComplete(now)
+	c.addMembers(name, input)
+	input.HealthReports = map[string]fenced.HealthReport{}
+	input.Idle, input.AllNotified = true, true
+	for _, p := range c.pollers {
+		if p.isPoolNode() && now-p.lastPoll <= pollerTimeout.Microseconds() {
+			addPoolNode(now, p, input)
+		}
+	}
+	input.NoOlderRevisionInUse = c.majorityCleared(name, g, input.State.FreezeRevision)
+}
+
+// addDatabases adds the group's databases, and when each announced itself last.
+func (c *Core) addDatabases(now int64, g *group, input *fenced.Input) {
+	input.LastAnnounced, input.Gone = map[string]int64{}, map[string]bool{}
+	for _, id := range slices.Sorted(maps.Keys(g.databases)) {
+		instance := g.databases[id]
+		if instance.Gone {
+			input.Gone[id] = true
+			continue
+		}
+		input.Instances = append(input.Instances, instance)
+		input.LastAnnounced[id] = now - c.databases.AgeUs(now, learner.DatabasePrefix+id)
+	}
+}
+
+// addMembers adds the committed members' register, where there is one.
+func (c *Core) addMembers(name string, input *fenced.Input) {
+	committed, ok := c.learner.Committed(learner.MembersPrefix + name)
+	if !ok {
+		return
+	}
+	members := &schema.GroupMembers{}
+	if proto.Unmarshal(committed.Data, members) == nil {
+		input.Members, input.MembersRevision = members.DatabaseIds, committed.Revision
+	}
+}
+
+// addPoolNode adds what one pool node says of the group and of the databases that it
+// cannot use.
+func addPoolNode(now int64, p *poller, input *fenced.Input) {
+	input.ReportingNodes++
+	if now-p.lastPoll <= ownerTimeout.Microseconds() {
+		for _, report := range p.healthReports {
+			addHealthReport(now, p, report, input)
+		}
+	}
+	status := p.groupStatuses[input.Group]
+	input.Idle = input.Idle && status.GetIdle() && status.GetRevision() >= input.Revision
+	input.AllNotified = input.AllNotified && status.GetRevision() >= input.State.FreezeRevision
+	acknowledged := ports.Position{Term: status.GetAckedTerm(), Number: status.GetAckedNumber()}
+	if input.Acknowledged.Before(acknowledged) {
+		input.Acknowledged = acknowledged
+	}
+}
+
+func addHealthReport(now int64, p *poller, report *schema.HealthReport, input *fenced.Input) {
+	total := input.HealthReports[report.DatabaseId]
+	total.UnreachableFrom++
+	if report.Disconnected {
+		total.DisconnectedFrom++
+	}
+	total.LongestFailingUs = max(total.LongestFailingUs, report.FailingUs+now-p.lastPoll)
+	input.HealthReports[report.DatabaseId] = total
+}
--- /dev/null
+++ b/internal/coordinator/learned.go
@@ -0,0 +1,81 @@
+package coordinator
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"stoneford/internal/learner"
+	"stoneford/internal/routingtable"
+	"stoneford/paxos"
+	"stoneford/result"
+	"stoneford/schema"
+)
+
+// handlePollResponse takes a voter's answer to a poll of this process, or its update.
+func (c *Core) handlePollResponse(now int64, from string, response *schema.PollResponse) {
+	if c.acceptor.IsFounding() {
+		return // the founders learn the first membership from each other only (design 3.3)
+	}
+	if response.Membership != nil {
+		c.adoptMembership(now, paxos.MembershipFromProto(response.Membership))
+	}
+	c.learner.Step(now, from, response)
+	c.applyLearned()
+}
+
+// applyLearned applies the registers that became newer or unconfirmed.
+func (c *Core) applyLearned() {
+	keys, _ := c.learner.TakeChanges()
+	if slices.Contains(keys, learner.TableKey) {
+		c.applyTable()
+	}
+	for _, key := range keys {
+		for _, prefix := range []string{learner.LeaderPrefix, learner.MembersPrefix, learner.MovePrefix} {
+			if name, ok := strings.CutPrefix(key, prefix); ok {
+				c.group(name).changed = true
+			}
+		}
+	}
+}
+
+// applyTable has this process work by the newest committed routing table. One that
+// cannot be read is logged and left out: the one before stays in force here.
+func (c *Core) applyTable() {
+	committed, ok := c.learner.Committed(learner.TableKey)
+	if !ok || committed.Revision <= c.table.revision {
+		return
+	}
+	content, err := routingtable.Decode(committed.Data)
+	if err != nil {
+		c.logf(result.InvalidConfiguration, "%s revision %d: %v", learner.TableKey, committed.Revision, err)
+		return
+	}
+	c.table = appliedTable{content: content, revision: committed.Revision}
+	c.logf(result.RevisionApplied, "routes revision %d, the operators' %d", committed.Revision, content.Revision)
+	for _, g := range content.Groups {
+		c.group(g.Name).changed = true
+	}
+	c.learner.RequestPoll() // a move may wait to hear that this process works by it
+}
+
+// report is what this process reports to the other voters with its polls.
+func (c *Core) report() learner.Report {
+	report := learner.Report{
+		Draining:       c.shutdown.draining,
+		TableRevision:  c.table.revision,
+		ConvergedTable: c.convergence.here,
+	}
+	if c.anyMoveStaged() {
+		report.LaggingProcesses = c.laggingProcesses(c.lastStep)
+	}
+	for _, name := range slices.Sorted(maps.Keys(c.groups)) {
+		g := c.groups[name]
+		if g.freeze.cleared > 0 {
+			g.freeze.reported = g.freeze.cleared
+			report.GroupStatuses = append(report.GroupStatuses, &schema.GroupStatus{Group: name, Revision: g.freeze.cleared, Idle: true})
+		}
+	}
+	report.GroupStatuses = c.appendLeaseStatus(c.lastStep, report.GroupStatuses)
+	return report
+}
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -2,150 +2,141 @@
 
 import (
 	"slices"
+	"time"
 
 	"stoneford/internal/ports"
 	"stoneford/paxos"
 	"stoneford/result"
-	"stoneford/schema"
-	"stoneford/statemachine"
 )
 
 const (
-	// voterReplaceTimeout is how long a voter is silent until another process may take its
-	// place.
-	voterReplaceTimeout = 2_000_000
+	// voterReplaceTimeout is how long a voter is unheard until another process may take
+	// its place. Sooner would replace voters that are only slow; later would leave the
+	// others longer without the reserve that the tolerance asks for.
+	voterReplaceTimeout = 2 * time.Second
 	// candidateTimeout is how long a process that asked to vote stays a candidate.
-	candidateTimeout = 2_500_000
-	// voteHandoverTimeout is how long a voter that leaves waits, after its place was taken, for
-	// the others to vote.
-	voteHandoverTimeout = 1_500_000
+	candidateTimeout = 2500 * time.Millisecond
+	// handoverTimeout is how long a voter that shuts down waits, after its place was
+	// taken, for all others to vote. With a majority it may stop after that.
+	handoverTimeout = 1500 * time.Millisecond
 )
 
-// targetVoters is how many voters it takes for a majority to be left of whatever
-// may be lost at once.
+// targetVoters is how many voters it takes for a majority to be left of whatever may be
+// lost at once.
 func targetVoters(t ports.Tolerance) int {
 	return 2*max(t.Machines, t.Zones, t.Regions) + 1
 }
 
-// Restore makes a control process of what its log holds; life is the identity of
-// the disk, should it be empty, and must be random. Who votes is what the log says,
-// or what other processes tell; on the first start of all the seeds found the first
-// membership. A process that knows no voters and is not at the first start founds
-// nothing: it asks.
-func Restore(b ports.ProcessConfig, entries []*schema.WALEntry, life, run uint64) *Core {
-	var founders []string
-	if b.Bootstrap && len(entries) == 0 {
-		founders = slices.Sorted(slices.Values(b.SeedVoterAddresses()))
-	}
-	place := paxos.Location{Zone: b.Zone, Region: b.Region, Eligible: b.QuorumMember}
-	acceptor := paxos.NewAcceptor(b.ControlNodeAddress(), life, place, founders)
-	for _, entry := range entries {
-		acceptor.Restore(entry)
-	}
-	return NewCore(b, acceptor, run)
-}
-
-// membershipKnown reports whether this process knows who the voters are. Nothing is put to
-// the vote before that.
+// membershipKnown reports whether this process knows who the voters are. Nothing is
+// proposed before that.
 func (c *Core) membershipKnown() bool { return c.learner.Membership().Known() }
 
-// adoptMembership takes a membership that is known to be chosen everywhere in this process.
-func (c *Core) adoptMembership(now int64, m paxos.Membership) {
+// adoptMembership has this process go by a membership that is known to be committed, if
+// it is newer than the known one.
+func (c *Core) adoptMembership(now int64, membership paxos.Membership) {
 	before := c.learner.Membership()
-	if c.learner.SetMembership(now, m) {
-		c.membershipChanged(now, before, m)
+	if !c.learner.SetMembership(now, membership) {
+		return
 	}
-}
-
-// membershipChanged has the parts of this process go by a newer membership.
-func (c *Core) membershipChanged(now int64, before, m paxos.Membership) {
-	c.logf(result.MembershipChosen, "%d: %v", m.Number, m.Addresses())
-	c.proposer.SetMembership(now, m)
-	c.membershipToReport()
-	for _, address := range m.Addresses() {
-		if !before.HasVoter(address, m.Voters[address]) && address != c.self {
+	c.logf(result.MembershipChosen, "%d: %v", membership.Number, membership.Addresses())
+	c.proposer.SetMembership(now, membership)
+	c.changes.membershipChanged()
+	for _, address := range membership.Addresses() {
+		if !before.HasVoter(address, membership.Voters[address]) && address != c.self {
 			c.sendInstances(address)
 		}
 	}
 }
 
-// membershipToReport has all that look here told the newest membership.
-func (c *Core) membershipToReport() {
-	c.changeNumber++
-	c.membershipChange = c.changeNumber
-	c.pushNeeded = true
-}
-
-// sendInstances sends all databases' records to a process that is to vote.
-func (c *Core) sendInstances(to string) {
-	var all []*schema.Record
-	c.databases.ForEach("", func(r *schema.Record) { all = append(all, r) })
-	if len(all) > 0 {
-		c.send(statemachine.Send{To: to, Envelope: &schema.Envelope{From: c.self, Body: &schema.Envelope_AnnouncementForward{AnnouncementForward: &schema.AnnouncementForward{Databases: all}}}})
-	}
-}
-
-// tickMembership has the acceptor go by the newest membership and puts a change of
-// it to the vote when one is due.
+// tickMembership has the acceptor go by the newest membership and proposes a change of
+// it when one is due.
 func (c *Core) tickMembership(now int64) {
-	if m := c.learner.Membership(); m.Number > c.acceptor.Membership().Number && c.acceptorAvailable() {
-		c.holdAcceptorEffects(now, c.acceptor.AdoptMembership(m))
+	if m := c.learner.Membership(); m.Number > c.acceptor.Membership().Number && c.disk.available() {
+		c.deferAcceptorEffects(now, c.acceptor.AdoptMembership(m))
 	}
 	c.adoptMembership(now, c.acceptor.Membership())
-	if change, due := c.reconfigurer.Step(now, c.acceptor, c.survey(now)); due {
-		c.propose(now, change, func(now int64, o paxos.Outcome) {
-			c.reconfigurer.Done()
-			if m, ok := paxos.ChosenMembership(o); ok {
-				c.adoptMembership(now, m)
-			}
-		})
+	change, due := c.reconfigurer.Step(now, c.acceptor, c.planningInput(now))
+	if !due {
+		return
 	}
+	c.propose(now, change, func(now int64, outcome paxos.Outcome) {
+		c.reconfigurer.Done()
+		if m, ok := paxos.ChosenMembership(outcome); ok {
+			c.adoptMembership(now, m)
+		}
+	})
 }
 
-// survey is what this process knows of the voters and of those who ask to vote.
-func (c *Core) survey(now int64) paxos.PlanningInput {
-	target := targetVoters(c.config.Tolerance)
-	s := paxos.PlanningInput{Unavailable: map[string]bool{}, Zones: map[string]string{}, Regions: map[string]string{}, TargetVoters: target}
+// planningInput is what this process knows of the voters and of those who ask to vote.
+func (c *Core) planningInput(now int64) paxos.PlanningInput {
+	tolerance := c.config.Tolerance
+	target := targetVoters(tolerance)
+	input := paxos.PlanningInput{
+		Unavailable:  map[string]bool{},
+		Zones:        map[string]string{},
+		Regions:      map[string]string{},
+		TargetVoters: target,
+	}
 	for _, address := range c.learner.Voters() {
-		f := c.pollers[address]
-		silent := address != c.self && now-max(c.learner.LastResponse(address), c.startedAt) > voterReplaceTimeout
-		s.Unavailable[address] = silent || f != nil && f.draining && address != c.self || address == c.self && c.draining
-		zone := c.learner.Zone(address)
-		if address == c.self {
-			zone = c.config.Zone
-		}
-		s.Zones[address], s.Regions[address] = zone, c.config.Zones[zone]
+		zone := c.voterZone(address)
+		input.Unavailable[address] = c.voterUnavailable(now, address)
+		input.Zones[address], input.Regions[address] = zone, c.config.Zones[zone]
 	}
-	for _, candidate := range c.acceptor.Candidates(now, candidateTimeout) {
-		if f := c.pollers[candidate.Address]; f == nil || !f.draining {
-			s.Candidates = append(s.Candidates, candidate)
+	for _, candidate := range c.acceptor.Candidates(now, candidateTimeout.Microseconds()) {
+		if p := c.pollers[candidate.Address]; p == nil || !p.draining {
+			input.Candidates = append(input.Candidates, candidate)
 		}
 	}
-	if c.config.Tolerance.Zones > 0 {
-		s.MaxPerZone = (target - 1) / 2 / c.config.Tolerance.Zones
+	minority := (target - 1) / 2
+	if tolerance.Zones > 0 {
+		input.MaxPerZone = minority / tolerance.Zones
+	}
+	if tolerance.Regions > 0 {
+		input.MaxPerRegion = minority / tolerance.Regions
+	}
+	return input
+}
+
+// voterUnavailable reports whether a voter may be replaced: it is unheard for long, or
+// shuts down.
+func (c *Core) voterUnavailable(now int64, address string) bool {
+	if address == c.self {
+		return c.shutdown.draining
+	}
+	if now-max(c.learner.LastResponse(address), c.startedAt) > voterReplaceTimeout.Microseconds() {
+		return true
 	}
-	if c.config.Tolerance.Regions > 0 {
-		s.MaxPerRegion = (target - 1) / 2 / c.config.Tolerance.Regions
+	p := c.pollers[address]
+	return p != nil && p.draining
+}
+
+func (c *Core) voterZone(address string) string {
+	if address == c.self {
+		return c.config.Zone
 	}
-	return s
+	return c.learner.Zone(address)
 }
 
-// MayStop reports whether this process, which leaves, has handed over its vote or has
-// nobody to hand it to.
+// MayStop reports whether this process, which shuts down, has handed over its vote or
+// has nobody to hand it to.
 func (c *Core) MayStop(now int64) bool {
-	m := c.learner.Membership()
-	if m.HasVoter(c.self, c.acceptor.DiskID()) {
-		return !slices.ContainsFunc(c.acceptor.Candidates(now, candidateTimeout), func(o paxos.Candidate) bool { return o.Eligible })
+	membership := c.learner.Membership()
+	if membership.HasVoter(c.self, c.acceptor.DiskID()) {
+		candidates := c.acceptor.Candidates(now, candidateTimeout.Microseconds())
+		return !slices.ContainsFunc(candidates, func(candidate paxos.Candidate) bool { return candidate.Eligible })
 	}
-	if c.removedAt == 0 {
-		c.removedAt = now
+	if c.shutdown.removedAt == 0 {
+		c.shutdown.removedAt = now
 	}
 	active := 0
-	for _, address := range m.Addresses() {
+	for _, address := range membership.Addresses() {
 		if c.learner.Active(address) {
 			active++
 		}
 	}
+	if active == len(membership.Voters) {
+		return true
+	}
 	// What this process holds may be needed until a majority votes.
-	return active == len(m.Voters) || active >= m.Quorum() && now-c.removedAt > voteHandoverTimeout
+	return active >= membership.Quorum() && now-c.shutdown.removedAt > handoverTimeout.Microseconds()
 }
--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -112,8 +112,8 @@
 }
 
 // TestDiskRefusesAtStart: a process whose disk refuses when it starts stays,
-// tells each caller that it serves nothing, and goes on with what it kept, or
-// founds what was to be founded, once the disk takes it; it ends when told to.
+// refuses each caller, and goes on with what it kept, or
+// founds what was to be founded, once the disk takes it; it ends when it is to.
 func TestDiskRefusesAtStart(t *testing.T) {
 	folder := t.TempDir()
 	voter, aside := filepath.Join(folder, "voter"), filepath.Join(folder, "kept")
--- /dev/null
+++ b/internal/coordinator/restore.go
@@ -0,0 +1,85 @@
+package coordinator
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/binary"
+	"path/filepath"
+	"time"
+
+	"github.com/apex/log"
+
+	"stoneford/internal/wal"
+	"stoneford/result"
+	"stoneford/schema"
+)
+
+// openRetryInterval is the time between two attempts to open the voter's log.
+const openRetryInterval = 500 * time.Millisecond
+
+// openLog opens the voter's log, again and again while the disk refuses; callers are
+// refused meanwhile. It returns nil when the context ends first.
+func (p *Process) openLog(ctx context.Context) *Core {
+	for {
+		core, err := p.restore()
+		if err == nil {
+			return core
+		}
+		log.WithFields(log.Fields{"code": int(result.VoterDiskFailed)}).WithError(err).Error(result.VoterDiskFailed.String())
+		if !p.refuseFor(ctx, openRetryInterval) {
+			return nil
+		}
+	}
+}
+
+// refuseFor refuses callers for a time. It returns false when the context ends first.
+func (p *Process) refuseFor(ctx context.Context, period time.Duration) bool {
+	over := time.After(period)
+	for {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-over:
+			return true
+		case in := <-p.inbox:
+			p.refuse(in)
+		}
+	}
+}
+
+// restore opens the voter's log and makes the core of what it holds. A log that is
+// damaged is set aside; the voter joins anew, as with a disk that was lost.
+func (p *Process) restore() (*Core, error) {
+	// The disk's identity applies if the log is empty. The run differs from any other by
+	// chance and not by the time of day, which may step back.
+	var random [16]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return nil, err
+	}
+	folder := filepath.Join(p.config.DataFolder, "voter")
+	var entries []*schema.WALEntry
+	keep := func(entry *schema.WALEntry) { entries = append(entries, entry) }
+	voterLog, err := wal.Open(folder, keep)
+	if wal.ErrCorrupt.Has(err) {
+		if err := quarantine(folder, err); err != nil {
+			return nil, err
+		}
+		entries = nil
+		voterLog, err = wal.Open(folder, keep)
+		p.config.Bootstrap = false // what was here is lost: nothing is founded anew
+	}
+	if err != nil {
+		return nil, err
+	}
+	voterLog.SetDiskSize(int(p.config.DiskMB) << 20)
+	p.logWriter = newWriter(voterLog, p.post)
+	diskID, run := binary.LittleEndian.Uint64(random[:])|1, binary.LittleEndian.Uint64(random[8:])|1 // 0 stands for none
+	return Restore(p.config, entries, diskID, run), nil
+}
+
+// quarantine sets a damaged log aside and logs why.
+func quarantine(folder string, cause error) error {
+	movedTo, err := wal.Quarantine(folder)
+	log.WithFields(log.Fields{"code": int(result.LogDamaged), "moved_to": movedTo}).WithError(cause).Error(result.LogDamaged.String())
+	return err
+}
--- /dev/null
+++ b/internal/coordinator/roles.go
@@ -0,0 +1,112 @@
+package coordinator
+
+import (
+	"slices"
+
+	"stoneford/failover/fenced"
+	"stoneford/internal/learner"
+	"stoneford/schema"
+)
+
+// Each group has a singleton role: one control process at a time commands its databases
+// (design 16). Package switchover claims and hands over the role; this file says how
+// this process and the others stand towards it.
+
+// leaseStatusGroup stands in the place of a group's name in the status by which a
+// control process says whether it lacks a lease; its revision is 1 if it does. No group
+// of the routing table can have this name.
+const leaseStatusGroup = "(lease)"
+
+// roleState is how this process stands towards a group's role.
+func (c *Core) roleState(now int64, name string, leadership *schema.Leadership) fenced.RoleState {
+	state := fenced.RoleState{
+		Self:         c.config.Name,
+		Run:          c.run,
+		Eligible:     c.eligible(),
+		Successor:    c.isSuccessor(now, name),
+		OwnerPresent: c.ownerPresent(now, leadership),
+	}
+	if c.table.revision >= leadership.TableRevision { // under an older routing table nothing is carried out
+		until := c.learner.LeaseUntil()
+		state.Lease = fenced.Lease{ConfirmedAt: until - learner.LeaseDurationUs, Until: until}
+	}
+	return state
+}
+
+// eligible reports whether this process may own roles.
+func (c *Core) eligible() bool {
+	return c.isVoting() && !c.shutdown.draining && slices.Contains(c.learner.Voters(), c.self)
+}
+
+// canOwnRoles reports whether another control process was heard lately and may own
+// roles.
+func (c *Core) canOwnRoles(now int64, address string) bool {
+	p := c.pollers[address]
+	return p != nil && now-p.lastPoll < ownerTimeout.Microseconds() && !p.draining && !p.lacksLease
+}
+
+// isSuccessor reports whether this process is the one to claim a role whose owner is
+// lost: the first, by the group's hash, of those that may own it.
+func (c *Core) isSuccessor(now int64, name string) bool {
+	if now-c.startedAt < ownerTimeout.Microseconds() {
+		return false // the others had no time to be heard
+	}
+	for _, address := range c.group(name).successors {
+		if address == c.self {
+			return !c.shutdown.draining
+		}
+		if c.canOwnRoles(now, address) {
+			return false
+		}
+	}
+	return false
+}
+
+// ownerPresent reports whether the committed owner of a role may own it, in the run
+// that claimed it.
+func (c *Core) ownerPresent(now int64, leadership *schema.Leadership) bool {
+	return slices.ContainsFunc(c.learner.Voters(), func(address string) bool {
+		p := c.pollers[address]
+		return address != c.self && p != nil && p.name == leadership.RoleOwner && p.run == leadership.RoleOwnerRun && c.canOwnRoles(now, address)
+	})
+}
+
+// ownsGroup reports whether this process owns a group's role and has a lease.
+func (c *Core) ownsGroup(now int64, name string) bool {
+	key := learner.LeaderPrefix + name
+	committed, ok := c.learner.Committed(key)
+	if !ok || !c.isVoting() || c.learner.Unconfirmed(key) {
+		return false
+	}
+	leadership := learner.DecodeLeadership(committed)
+	return c.group(name).decider.CanAct(now, fenced.Input{State: leadership, Revision: committed.Revision, Role: c.roleState(now, name, leadership)})
+}
+
+// lacksLease reports whether no majority has answered a poll of this process for so
+// long that others would count it as lost.
+func (c *Core) lacksLease(now int64) bool {
+	return now-max(c.learner.LeaseUntil()-learner.LeaseDurationUs, c.startedAt) > ownerTimeout.Microseconds()
+}
+
+// appendLeaseStatus adds whether this process lacks a lease, once it has lacked one.
+func (c *Core) appendLeaseStatus(now int64, statuses []*schema.GroupStatus) []*schema.GroupStatus {
+	if now >= c.learner.LeaseUntil() {
+		c.contact.disconnectedAt = now
+	}
+	status := &schema.GroupStatus{Group: leaseStatusGroup}
+	if c.lacksLease(now) {
+		c.contact.lackedLease, status.Revision = true, 1
+	}
+	if !c.contact.lackedLease {
+		return statuses
+	}
+	return append(statuses, status)
+}
+
+// takeLeaseStatus takes what another control process says of its lease.
+func (c *Core) takeLeaseStatus(p *poller, status *schema.GroupStatus) {
+	if lacksLease := status.Revision > 0; p.lacksLease != lacksLease {
+		p.lacksLease = lacksLease
+		c.requestAllGroupSteps()
+	}
+}
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -2,12 +2,10 @@
 
 import (
 	"cmp"
-	"context"
 	"maps"
 	"slices"
 	"strings"
 
-	"github.com/apex/log"
 	"google.golang.org/protobuf/proto"
 
 	"stoneford/internal/fleetstate"
@@ -16,110 +14,119 @@
 	"stoneford/schema"
 )
 
-// State is what this process knows of the fleet; whole brings the routing
-// table's items.
-func (c *Core) State(now int64, whole bool) fleetstate.ProcessState {
-	s := fleetstate.ProcessState{Name: c.config.Name, Kind: fleetstate.KindControl, Zone: c.config.Zone, Node: c.self, Run: c.run, Draining: c.draining,
-		Ready: c.isVoting(), Membership: c.learner.Membership().Number, Candidates: c.candidateStates(now), Voters: c.learner.VoterStates(now), LeaseLeftUs: c.learner.LeaseUntil() - now,
-		Registers: c.learner.RegisterStates(), Table: fleetstate.DescribeTable(c.routingTable, c.tableRevision, whole), Violations: c.Violations()}
-	for i := range s.Registers {
-		r := &s.Registers[i]
-		if v := c.acceptor.RegisterState(r.Key).GetValue(); v != nil {
-			r.Accepted, r.Changes = v.Revision, slices.Clone(v.ChangeIds)
+// State is what this process knows of the fleet, for operators. The routing table's
+// items are listed where withItems says so.
+func (c *Core) State(now int64, withItems bool) fleetstate.ProcessState {
+	state := fleetstate.ProcessState{
+		Name:        c.config.Name,
+		Kind:        fleetstate.KindControl,
+		Zone:        c.config.Zone,
+		Node:        c.self,
+		Run:         c.run,
+		Draining:    c.shutdown.draining,
+		Ready:       c.isVoting(),
+		Membership:  c.learner.Membership().Number,
+		Candidates:  c.candidateStates(now),
+		Voters:      c.learner.VoterStates(now),
+		LeaseLeftUs: c.learner.LeaseUntil() - now,
+		Registers:   c.learner.RegisterStates(),
+		Table:       fleetstate.DescribeTable(c.table.content, c.table.revision, withItems),
+		Violations:  c.Violations(),
+	}
+	for i := range state.Registers {
+		register := &state.Registers[i]
+		if value := c.acceptor.RegisterState(register.Key).GetValue(); value != nil {
+			register.Accepted, register.Changes = value.Revision, slices.Clone(value.ChangeIds)
 		}
 	}
-	s.Control = &fleetstate.ControlState{Databases: c.databaseStates(now), Leaders: c.leaderStates(now), Nodes: c.nodeStates(now)}
-	return s
+	state.Control = &fleetstate.ControlState{Databases: c.databaseStates(now), Leaders: c.leadershipStates(now), Nodes: c.nodeStates(now)}
+	return state
 }
 
 func (c *Core) candidateStates(now int64) []fleetstate.Candidate {
-	var out []fleetstate.Candidate
-	for _, o := range c.acceptor.Candidates(now, candidateTimeout) {
-		out = append(out, fleetstate.Candidate{Node: o.Address, Zone: o.Zone, Disk: fleetstate.DiskName(o.DiskID), CountsForQuorum: o.Eligible, HeardUs: now - o.RequestedAt})
+	var states []fleetstate.Candidate
+	for _, candidate := range c.acceptor.Candidates(now, candidateTimeout.Microseconds()) {
+		states = append(states, fleetstate.Candidate{
+			Node:            candidate.Address,
+			Zone:            candidate.Zone,
+			Disk:            fleetstate.DiskName(candidate.DiskID),
+			CountsForQuorum: candidate.Eligible,
+			HeardUs:         now - candidate.RequestedAt,
+		})
 	}
-	return out
+	return states
 }
 
 func (c *Core) databaseStates(now int64) []fleetstate.Database {
-	ds := []fleetstate.Database{}
-	c.databases.ForEach(learner.DatabasePrefix, func(r *schema.Record) {
-		i := learner.DecodeInstance(r)
-		ds = append(ds, fleetstate.Database{ID: i.ID, Group: i.Group, Address: i.Address, Zone: i.Zone, Capacity: i.Capacity,
-			Primary: i.Primary, Draining: i.Draining, Gone: i.Gone, HeardUs: max(c.databases.AgeUs(now, r.Key), 0)})
+	states := []fleetstate.Database{}
+	c.databases.ForEach(learner.DatabasePrefix, func(record *schema.Record) {
+		instance := learner.DecodeInstance(record)
+		states = append(states, fleetstate.Database{
+			ID:       instance.ID,
+			Group:    instance.Group,
+			Address:  instance.Address,
+			Zone:     instance.Zone,
+			Capacity: instance.Capacity,
+			Primary:  instance.Primary,
+			Draining: instance.Draining,
+			Gone:     instance.Gone,
+			HeardUs:  max(c.databases.AgeUs(now, record.Key), 0),
+		})
 	})
-	slices.SortFunc(ds, func(a, b fleetstate.Database) int {
+	slices.SortFunc(states, func(a, b fleetstate.Database) int {
 		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.ID, b.ID))
 	})
-	return ds
+	return states
 }
 
-func (c *Core) leaderStates(now int64) []fleetstate.Leadership {
-	ls := []fleetstate.Leadership{}
-	for _, n := range slices.Sorted(maps.Keys(c.groups)) {
-		k := learner.LeaderPrefix + n
-		s := fleetstate.Leadership{Group: n, Unconfirmed: c.learner.Unconfirmed(k), Phase: "none", CanAct: c.ownsGroup(now, n)}
-		if v, ok := c.learner.Committed(k); ok {
-			l := learner.DecodeLeadership(v)
-			s.Revision, s.Term, s.Primary, s.Address, s.Phase = v.Revision, l.Term, l.Primary, l.Address, fleetstate.PhaseName(ports.Phase(l.Phase))
-			s.Cause, s.RoleOwner, s.FencingToken, s.PreviousPrimary, s.LastFailoverUs = l.Cause, l.RoleOwner, l.FencingToken, l.PreviousPrimary, l.LastFailoverUs
-		}
-		if v, ok := c.learner.Committed(learner.MembersPrefix + n); ok {
-			m := &schema.GroupMembers{}
-			if proto.Unmarshal(v.Data, m) == nil {
-				s.Members = m.DatabaseIds
-			}
+func (c *Core) leadershipStates(now int64) []fleetstate.Leadership {
+	states := []fleetstate.Leadership{}
+	for _, name := range slices.Sorted(maps.Keys(c.groups)) {
+		states = append(states, c.leadershipState(now, name))
+	}
+	return states
+}
+
+func (c *Core) leadershipState(now int64, name string) fleetstate.Leadership {
+	key := learner.LeaderPrefix + name
+	state := fleetstate.Leadership{Group: name, Unconfirmed: c.learner.Unconfirmed(key), Phase: "none", CanAct: c.ownsGroup(now, name)}
+	if committed, ok := c.learner.Committed(key); ok {
+		leadership := learner.DecodeLeadership(committed)
+		state.Revision, state.Term = committed.Revision, leadership.Term
+		state.Primary, state.Address = leadership.Primary, leadership.Address
+		state.Phase, state.Cause = fleetstate.PhaseName(ports.Phase(leadership.Phase)), leadership.Cause
+		state.RoleOwner, state.FencingToken = leadership.RoleOwner, leadership.FencingToken
+		state.PreviousPrimary, state.LastFailoverUs = leadership.PreviousPrimary, leadership.LastFailoverUs
+	}
+	if committed, ok := c.learner.Committed(learner.MembersPrefix + name); ok {
+		members := &schema.GroupMembers{}
+		if proto.Unmarshal(committed.Data, members) == nil {
+			state.Members = members.DatabaseIds
 		}
-		ls = append(ls, s)
 	}
-	return ls
+	return state
 }
 
 func (c *Core) nodeStates(now int64) []fleetstate.Node {
-	ns := []fleetstate.Node{}
-	for _, a := range slices.Sorted(maps.Keys(c.pollers)) {
-		f := c.pollers[a]
-		s := fleetstate.Node{Name: f.name, Node: a, Kind: f.kind, Run: f.run, HeardUs: max(now-f.lastPoll, 0), Draining: f.draining}
-		for _, g := range f.healthReports {
-			s.HealthReports = append(s.HealthReports, fleetstate.HealthReport{DatabaseID: g.DatabaseId, FailingUs: g.FailingUs, Disconnected: g.Disconnected})
-		}
-		for _, n := range slices.Sorted(maps.Keys(f.groupStatuses)) {
-			w := f.groupStatuses[n]
-			s.Groups = append(s.Groups, fleetstate.GroupStatus{Group: n, Revision: w.Revision, Acknowledged: ports.Position{Term: w.AckedTerm, Number: w.AckedNumber}, Idle: w.Idle})
-		}
-		ns = append(ns, s)
+	states := []fleetstate.Node{}
+	for _, address := range slices.Sorted(maps.Keys(c.pollers)) {
+		states = append(states, c.pollers[address].state(now, address))
 	}
-	slices.SortStableFunc(ns, func(a, b fleetstate.Node) int {
+	slices.SortStableFunc(states, func(a, b fleetstate.Node) int {
 		return cmp.Or(strings.Compare(a.Kind, b.Kind), strings.Compare(a.Name, b.Name))
 	})
-	return ns
-}
-
-// stateRequest asks the loop for the state.
-type stateRequest struct {
-	id        uint64
-	withItems bool
-}
-
-// State is what this process knows, put together now by its loop.
-func (p *Process) State(ctx context.Context, whole bool) (fleetstate.ProcessState, bool) {
-	s, ok := p.call(ctx, func(id uint64) any { return stateRequest{id, whole} }).(fleetstate.ProcessState)
-	return s, ok
-}
-
-func (p *Process) stateNow(whole bool) fleetstate.ProcessState {
-	now := p.nowUs()
-	s := p.core.State(now, whole)
-	s.UpUs = now - 1_000_000
-	return s
+	return states
 }
 
-// serveState tells operators the state; the process runs without that too.
-func (p *Process) serveState(ctx context.Context) {
-	at, ok := p.config.StateAddress(p.config.PortFirst)
-	if !ok {
-		return
+func (p *poller) state(now int64, address string) fleetstate.Node {
+	state := fleetstate.Node{Name: p.name, Node: address, Kind: p.kind, Run: p.run, HeardUs: max(now-p.lastPoll, 0), Draining: p.draining}
+	for _, report := range p.healthReports {
+		state.HealthReports = append(state.HealthReports, fleetstate.HealthReport{DatabaseID: report.DatabaseId, FailingUs: report.FailingUs, Disconnected: report.Disconnected})
 	}
-	if err := fleetstate.Serve(ctx, at, p.State, p.MountMoves); err != nil {
-		log.WithError(err).Error("operators are not told the state")
+	for _, name := range slices.Sorted(maps.Keys(p.groupStatuses)) {
+		status := p.groupStatuses[name]
+		acknowledged := ports.Position{Term: status.AckedTerm, Number: status.AckedNumber}
+		state.Groups = append(state.Groups, fleetstate.GroupStatus{Group: name, Revision: status.Revision, Acknowledged: acknowledged, Idle: status.Idle})
 	}
+	return state
 }
