--- a/internal/behaviourhash/recorder.go
+++ b/internal/behaviourhash/recorder.go
@@ -23,7 +23,7 @@
 // New makes a Recorder of a run without records.
 func New() *Recorder { return &Recorder{hash: sha256.New()} }
 
-// Each value is preceded by its kind, so that neighbouring values cannot run into
+// Each value is preceded by its kind, so that adjacent values cannot run into
 // each other.
 const (
 	recordBegin byte = iota + 1
@@ -105,7 +105,7 @@
 	return r
 }
 
-// Bool adds a truth value.
+// Bool adds a boolean.
 func (r *Recorder) Bool(v bool) *Recorder {
 	if r == nil {
 		return nil
--- a/internal/behaviourhash/dutystate.go
+++ b/internal/behaviourhash/rolestate.go
@@ -9,9 +9,10 @@
 
 var deterministic = proto.MarshalOptions{Deterministic: true}
 
-// encode is an envelope's deterministic encoding. Package leaderelection encodes the state
-// of a duty, which holds maps, with their entries in any order, and sends the bytes
-// on inside of envelopes: these are encoded anew. Nothing but that order is lost.
+// encode is an envelope's deterministic encoding. Package leaderelection marshals a
+// RoleState, which holds maps, without a fixed order of their entries, and sends the
+// bytes inside envelopes; these are marshalled again, deterministically. Only the
+// order of the entries is lost.
 func encode(envelope proto.Message) []byte {
 	m := proto.Clone(envelope)
 	orderMessage(m.ProtoReflect())
@@ -26,7 +27,7 @@
 	return b
 }
 
-// orderMessage puts the maps of duty states within a message in order.
+// orderMessage marshals the role states within a message deterministically.
 func orderMessage(m protoreflect.Message) {
 	m.Range(func(field protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		switch {
@@ -37,7 +38,7 @@
 		case field.Message() != nil:
 			orderMessage(v.Message())
 		case field.Kind() == protoreflect.BytesKind:
-			m.Set(field, protoreflect.ValueOfBytes(orderDutyState(v.Bytes())))
+			m.Set(field, protoreflect.ValueOfBytes(orderRoleState(v.Bytes())))
 		}
 		return true
 	})
@@ -59,14 +60,14 @@
 		case field.Message() != nil:
 			orderMessage(values.Get(i).Message())
 		case field.Kind() == protoreflect.BytesKind:
-			values.Set(i, protoreflect.ValueOfBytes(orderDutyState(values.Get(i).Bytes())))
+			values.Set(i, protoreflect.ValueOfBytes(orderRoleState(values.Get(i).Bytes())))
 		}
 	}
 }
 
-// orderDutyState encodes bytes anew if they are a duty state with grants; others
-// are given back as they are.
-func orderDutyState(b []byte) []byte {
+// orderRoleState marshals bytes again if they are a RoleState with connection
+// leases; other bytes are returned unchanged.
+func orderRoleState(b []byte) []byte {
 	s := &schema.RoleState{}
 	if proto.Unmarshal(b, s) != nil || s.Leader == "" || s.ConnectionLeases == nil {
 		return b
--- a/tools/check-lint/main_test.go
+++ b/tools/check-lint/main_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestSeededFindingsAreFound runs the pinned linters with our rules over a
+// TestSeededFindingsAreFound runs the linters with our rules over a
 // package that breaks the ones with stated limits, and some of the others.
 func TestSeededFindingsAreFound(t *testing.T) {
 	t.Chdir("../..")
--- a/tools/check-names/main.go
+++ b/tools/check-names/main.go
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// look goes over all sources and schemas below the working folder.
-func (c *checker) look() error {
+// checkAll goes over all sources and schemas below the working folder.
+func (c *checker) checkAll() error {
 	err := filepath.WalkDir(".", func(p string, d fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -226,7 +226,7 @@
 
 func run(mode shrinking.Mode, out io.Writer) error {
 	c := newChecker()
-	if err := c.look(); err != nil {
+	if err := c.checkAll(); err != nil {
 		return err
 	}
 	if err := shrinking.Check(listFile, heading, c.found, mode); err != nil {
--- a/tools/check-names/words.go
+++ b/tools/check-names/words.go
@@ -98,7 +98,8 @@
 	{"share", regexp.MustCompile(`^shared|^sharedLock`), nil},
 	{"doubt", regexp.MustCompile(`(?i)in doubt`), nil}, // a transaction in doubt
 	{"doubt", regexp.MustCompile(`^(in|In)Doubt|InDoubt`), nil},
-	{"cut", regexp.MustCompile(`^Cut(Prefix|Suffix)?$`), nil}, // strings.Cut and the like
+	{"cut", regexp.MustCompile(`^Cut(Prefix|Suffix)?$`), nil},   // strings.Cut and the like
+	{"word", regexp.MustCompile(`(?i)word`), []string{"tools"}}, // a word of a text
 	{"silence", regexp.MustCompile(`(?i)silently`), nil},
 }
 
@@ -111,7 +112,7 @@
 func withdrawnInName(file, name string) []withdrawnWord {
 	var out []withdrawnWord
 	for _, part := range namePart.FindAllString(name, -1) {
-		if w, ok := lookUp(strings.ToLower(part)); ok && !isStandard(w.word, file, name) {
+		if w, ok := findWithdrawn(strings.ToLower(part)); ok && !isStandard(w.word, file, name) {
 			out = append(out, w)
 		}
 	}
@@ -122,15 +123,15 @@
 func withdrawnInText(file, text string) []withdrawnWord {
 	var out []withdrawnWord
 	for _, part := range textWord.FindAllString(text, -1) {
-		if w, ok := lookUp(strings.ToLower(part)); ok && !w.nameOnly && !isStandard(w.word, file, text) {
+		if w, ok := findWithdrawn(strings.ToLower(part)); ok && !w.nameOnly && !isStandard(w.word, file, text) {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// lookUp finds the withdrawn word that a lower-case part of a name is.
-func lookUp(part string) (withdrawnWord, bool) {
+// findWithdrawn finds the withdrawn word that a lower-case part of a name is.
+func findWithdrawn(part string) (withdrawnWord, bool) {
 	for _, w := range withdrawnWords {
 		if part == w.word || slices.Contains(w.forms, part) {
 			return w, true
--- a/tools/generate-schema/main.go
+++ b/tools/generate-schema/main.go
@@ -1,6 +1,6 @@
-// Command generate-schema compiles schema/*.proto and runs the two pinned
-// generators (protobuf and drpc) over them. It is a build tool: it needs no
-// compiler beside what go.mod pins.
+// Command generate-schema compiles schema/*.proto and runs the two
+// generators that go.mod names (protobuf and drpc) over them. It is a build tool: it needs no
+// other compiler.
 package main
 
 import (
