--- a/paxos/ballot.go
+++ b/paxos/ballot.go
@@ -2,7 +2,7 @@
 
 import "stoneford/schema"
 
-// BallotLess orders ballots: by membership, then by round, then by proposer. A nil
+// BallotLess orders ballots by membership, then by number, then by proposer. A nil
 // ballot is below all others.
 func BallotLess(a, b *schema.Ballot) bool {
 	switch {
@@ -15,9 +15,10 @@
 	}
 }
 
-// BallotEqual reports whether two ballots are one.
+// BallotEqual reports whether neither ballot is below the other.
 func BallotEqual(a, b *schema.Ballot) bool { return !BallotLess(a, b) && !BallotLess(b, a) }
 
+// cloneBallot returns a ballot of its own; a nil one becomes the zero ballot.
 func cloneBallot(b *schema.Ballot) *schema.Ballot {
 	return &schema.Ballot{Membership: b.GetMembership(), Number: b.GetNumber(), Proposer: b.GetProposer()}
 }
--- a/paxos/founding.go
+++ b/paxos/founding.go
@@ -7,138 +7,158 @@
 	"stoneford/schema"
 )
 
-// firstMembership is the number of the membership that founders form.
+// firstMembership is the number of the membership that the founders form.
 const firstMembership = 1
 
-// sendFounderReports tells the other founders which disks this one knows to be theirs.
+// founding is what an acceptor knows of the founders before the first membership is
+// formed (design 3.3). What it knows only grows: of two disks of one founder the one
+// with the greater identity counts, for everybody and for good.
+type founding struct {
+	founders []string                     // addresses, nil at a process that founds nothing
+	diskIDs  map[string]uint64            // newest disk known of each founder, this one's included
+	reports  map[string]map[string]uint64 // disk IDs that each other founder reported last
+}
+
+func newFounding(self string, diskID uint64, founders []string) founding {
+	return founding{
+		founders: slices.Clone(founders),
+		diskIDs:  map[string]uint64{self: diskID},
+		reports:  map[string]map[string]uint64{},
+	}
+}
+
+// restore takes the founders and their known disks from the log.
+func (f *founding) restore(founders []*schema.Voter) {
+	f.founders = nil
+	for _, voter := range founders {
+		f.founders = append(f.founders, voter.Address)
+		if voter.DiskId != 0 {
+			f.diskIDs[voter.Address] = voter.DiskId
+		}
+	}
+}
+
+// voters returns the founders in the order given, with the disks known so far.
+func (f *founding) voters() []*schema.Voter {
+	var voters []*schema.Voter
+	for _, address := range f.founders {
+		voters = append(voters, &schema.Voter{Address: address, DiskId: f.diskIDs[address]})
+	}
+	return voters
+}
+
+// learnDisk takes a founder's disk if it is newer than the one known, and reports
+// whether it was.
+func (f *founding) learnDisk(founder string, diskID uint64) bool {
+	if diskID <= f.diskIDs[founder] {
+		return false
+	}
+	f.diskIDs[founder] = diskID
+	return true
+}
+
+// knowsAllDisks reports whether a disk of each founder is known, so that the others
+// may have been sent a report that lets them form.
+func (f *founding) knowsAllDisks() bool {
+	return len(f.founders) > 0 && len(f.diskIDs) == len(f.founders)
+}
+
+// agreed reports whether all other founders reported exactly the disks known here.
+func (f *founding) agreed(self string) bool {
+	for _, founder := range f.founders {
+		if founder != self && !maps.Equal(f.reports[founder], f.diskIDs) {
+			return false
+		}
+	}
+	return true
+}
+
+// IsFounding reports whether this acceptor is a founder and the first membership is
+// not formed yet, as far as it knows.
+func (a *Acceptor) IsFounding() bool {
+	return slices.Contains(a.founding.founders, a.self) && !a.membership.Known()
+}
+
+// sendFounderReports tells the other founders which disks this one knows. What is
+// reported is in the log first.
 func (a *Acceptor) sendFounderReports(effects *Effects) {
 	if !a.identityLogged {
 		a.logFounders(effects)
 	}
-	for _, f := range a.founders {
-		if f != a.self {
-			a.send(effects, f, &schema.Envelope{Body: &schema.Envelope_FounderReport{
-				FounderReport: &schema.FounderReport{Founders: a.founders, Voters: votersToProto(a.founderDisks)}}})
+	for _, founder := range a.founding.founders {
+		if founder != a.self {
+			a.send(effects, founder, &schema.Envelope{Body: &schema.Envelope_FounderReport{
+				FounderReport: &schema.FounderReport{Founders: a.founding.founders, Voters: votersToProto(a.founding.diskIDs)}}})
 		}
 	}
 	a.formFirstMembership(effects)
 }
 
-// handleFounderReport takes what another founder knows. One whose disk is empty again
-// before any founder formed takes part anew: it cannot have voted. Of two disks of
-// one founder the greater identity counts for everybody, so what a founder knows
-// only ever grows, however late an envelope of a lost disk comes.
+// handleFounderReport takes what another founder knows. A founder whose disk is empty
+// again before anybody formed takes part anew: it cannot have voted.
 func (a *Acceptor) handleFounderReport(effects *Effects, from string, m *schema.FounderReport) {
 	if a.membership.Known() {
-		a.send(effects, from, &schema.Envelope{Body: &schema.Envelope_MembershipNotice{
-			MembershipNotice: &schema.MembershipNotice{Membership: a.membership.Proto(), ReportedVoters: m.Voters}}})
+		a.send(effects, from, membershipNotice(a.membership, m.Voters))
 		return
 	}
 	if !slices.Contains(m.Founders, from) || !slices.Contains(m.Founders, a.self) {
 		return
 	}
-	if len(a.founders) == 0 {
-		a.founders, a.nextRequestAt = slices.Clone(m.Founders), 0
+	if len(a.founding.founders) == 0 {
+		a.founding.founders, a.nextRequestAt = slices.Clone(m.Founders), 0
 	}
 	report := votersFromProto(m.Voters)
-	newer := a.learnFounderDisk(from, report[from])
-	if a.raiseDiskID(report[a.self]) || newer {
+	newDisk := a.founding.learnDisk(from, report[from])
+	if a.raiseDiskID(report[a.self]) || newDisk {
 		a.logFounders(effects)
 		a.nextRequestAt = 0
 	}
-	a.founderReports[from] = report
+	a.founding.reports[from] = report
 	a.formFirstMembership(effects)
 }
 
-// logFounders keeps who founds, and whose disks are known, over a restart.
-func (a *Acceptor) logFounders(effects *Effects) {
-	a.identityLogged = true
-	effects.Log = append(effects.Log, &schema.WALEntry{DiskId: a.diskID, Founders: a.founderVoters()})
-}
-
-// founderVoters are the founders, with the identities of those disks that are known.
-func (a *Acceptor) founderVoters() []*schema.Voter {
-	var out []*schema.Voter
-	for _, f := range a.founders {
-		out = append(out, &schema.Voter{Address: f, DiskId: a.founderDisks[f]})
-	}
-	return out
-}
-
-func (a *Acceptor) restoreFounders(founders []*schema.Voter) {
-	a.founders = nil
-	for _, f := range founders {
-		a.founders = append(a.founders, f.Address)
-		if f.DiskId != 0 {
-			a.founderDisks[f.Address] = f.DiskId
-		}
-	}
-}
-
-// learnFounderDisk takes a founder's disk if it is newer than the one known.
-func (a *Acceptor) learnFounderDisk(founder string, diskID uint64) bool {
-	if diskID <= a.founderDisks[founder] {
-		return false
-	}
-	a.founderDisks[founder] = diskID
-	return true
-}
-
-// raiseDiskID gives this disk an identity above one of a disk that was lost here, so
-// that it counts for the others. It has not voted under the one it had.
+// raiseDiskID gives this disk an identity above the one of a disk that was lost here,
+// so that it counts for the others, and reports whether it did. It is safe because
+// nothing was voted on under the identity before.
 func (a *Acceptor) raiseDiskID(lost uint64) bool {
 	if lost <= a.diskID {
 		return false
 	}
 	a.diskID = lost + 1 + a.diskID>>32
-	a.founderDisks[a.self] = a.diskID
+	a.founding.diskIDs[a.self] = a.diskID
 	return true
 }
 
-// formFirstMembership makes the first membership once all founders know the same disks. A founder
-// that has formed never reports anything else, so any two that form with each other's
-// disks as they are form the same one.
+// formFirstMembership forms membership 1 once all founders know the same disks. A
+// founder that has formed reports nothing else afterwards, so any two that form with
+// each other's disks form the same membership.
 func (a *Acceptor) formFirstMembership(effects *Effects) {
-	if !a.knowsAllFounderDisks() {
+	if !a.founding.knowsAllDisks() || !a.founding.agreed(a.self) {
 		return
 	}
-	for _, f := range a.founders {
-		if f != a.self && !maps.Equal(a.founderReports[f], a.founderDisks) {
-			return
-		}
-	}
-	a.adoptMembership(effects, Membership{Number: firstMembership, Voters: maps.Clone(a.founderDisks)})
-	for _, f := range a.founders {
-		if f != a.self {
-			a.sendMembershipNotice(effects, f)
+	a.adoptMembership(effects, Membership{Number: firstMembership, Voters: maps.Clone(a.founding.diskIDs)})
+	for _, founder := range a.founding.founders {
+		if founder != a.self {
+			a.sendMembershipNotice(effects, founder)
 		}
 	}
 }
 
-// knowsAllFounderDisks reports whether this founder knows a disk of each, and so may have
-// told the others that it would form with these.
-func (a *Acceptor) knowsAllFounderDisks() bool {
-	return len(a.founders) > 0 && len(a.founderDisks) == len(a.founders)
-}
-
-// IsFounding reports whether this acceptor is a founder that knows no membership yet.
-func (a *Acceptor) IsFounding() bool {
-	return slices.Contains(a.founders, a.self) && !a.membership.Known()
-}
-
-// trusts reports whether a membership may be taken from a process. A founder that
-// knows another disk of the sender's takes no first membership from it, since the
-// others may form another with that disk, unless the sender knows of that disk too:
-// then the sender is not the disk that was lost.
-func (a *Acceptor) trusts(from string, m Membership, known map[string]uint64) bool {
-	if m.Number != firstMembership || a.membership.Known() || !a.knowsAllFounderDisks() {
+// trusts reports whether a membership may be adopted from a process. A founder that
+// knows a disk of the sender takes no first membership from another disk at the
+// sender's address, since the others may form with the disk known here; unless the
+// sender replies to a report that names that disk, which shows that it is not the disk
+// that was lost.
+func (a *Acceptor) trusts(from string, m Membership, reported map[string]uint64) bool {
+	if m.Number != firstMembership || a.membership.Known() || !a.founding.knowsAllDisks() {
 		return true
 	}
-	return m.HasVoter(from, a.founderDisks[from]) || known[from] == a.founderDisks[from] && known[from] != 0
+	known := a.founding.diskIDs[from]
+	return m.HasVoter(from, known) || reported[from] == known && known != 0
 }
 
-// recordFirstMembership has the membership's register hold the first membership, so
-// that its revision is the number of the membership ever after.
+// recordFirstMembership stores the first membership in its register, so that the
+// register's revision is the membership's number ever after.
 func (a *Acceptor) recordFirstMembership() {
 	r := a.ensureRegister(MembershipKey)
 	r.accepted = &schema.Ballot{Number: 1}
--- /dev/null
+++ b/paxos/join.go
@@ -0,0 +1,67 @@
+package paxos
+
+import (
+	"maps"
+	"slices"
+
+	"stoneford/schema"
+)
+
+// tickJoin asks to become a voter; a spare that nobody takes for long asks less often.
+func (a *Acceptor) tickJoin(effects *Effects, now int64) {
+	if a.transfer.joinRequests++; a.transfer.joinRequests > maxQuickJoinRequests {
+		a.nextRequestAt = now + spareRequestInterval.Microseconds()
+	}
+	if !a.draining {
+		a.requestJoin(effects)
+	}
+}
+
+// requestJoin asks all voters to be made one of them.
+func (a *Acceptor) requestJoin(effects *Effects) {
+	for _, address := range a.membership.Addresses() {
+		if address == a.self {
+			continue
+		}
+		a.send(effects, address, &schema.Envelope{Body: &schema.Envelope_JoinRequest{JoinRequest: &schema.JoinRequest{
+			DiskId:     a.diskID,
+			Zone:       a.location.Zone,
+			Region:     a.location.Region,
+			Eligible:   a.location.Eligible,
+			Membership: a.membership.Number,
+		}}})
+	}
+}
+
+// handleJoinRequest remembers a candidate. One that is a voter already, or knows an
+// older membership only, is sent the newest.
+func (a *Acceptor) handleJoinRequest(effects *Effects, now int64, from string, m *schema.JoinRequest) {
+	if a.membership.HasVoter(from, m.DiskId) {
+		a.sendMembershipNotice(effects, from)
+		return
+	}
+	a.candidates[from] = Candidate{
+		Address:     from,
+		DiskID:      m.DiskId,
+		Zone:        m.Zone,
+		Region:      m.Region,
+		Eligible:    m.Eligible,
+		RequestedAt: now,
+	}
+	if m.Membership < a.membership.Number {
+		a.sendMembershipNotice(effects, from)
+	}
+}
+
+// Candidates returns the processes that asked to join within so many microseconds
+// before now and are no voters, sorted by address.
+func (a *Acceptor) Candidates(now, within int64) []Candidate {
+	var candidates []Candidate
+	for _, address := range slices.Sorted(maps.Keys(a.candidates)) {
+		candidate := a.candidates[address]
+		if now-candidate.RequestedAt < within && !a.membership.HasVoter(candidate.Address, candidate.DiskID) {
+			candidates = append(candidates, candidate)
+		}
+	}
+	return candidates
+}
--- /dev/null
+++ b/paxos/notices.go
@@ -0,0 +1,49 @@
+package paxos
+
+import "stoneford/schema"
+
+// AdoptMembership takes a membership that is known to be chosen. Older ones are
+// ignored. The acceptor votes under no earlier membership from then on.
+func (a *Acceptor) AdoptMembership(m Membership) Effects {
+	var effects Effects
+	a.adoptMembership(&effects, m)
+	return effects
+}
+
+func (a *Acceptor) adoptMembership(effects *Effects, m Membership) {
+	if m.Number <= a.membership.Number {
+		return
+	}
+	a.membership, a.nextRequestAt = m, 0
+	a.transfer = newTransfer()
+	effects.Log = append(effects.Log, &schema.WALEntry{DiskId: a.diskID, Membership: m.Proto()})
+	a.identityLogged = true
+	a.activate(effects)
+}
+
+// sendMembershipNotice sends the newest membership known here to another process.
+func (a *Acceptor) sendMembershipNotice(effects *Effects, to string) {
+	if a.membership.Known() {
+		a.send(effects, to, membershipNotice(a.membership, nil))
+	}
+}
+
+// handleMembershipNotice adopts a membership that another process knows to be chosen,
+// or replies with a newer one.
+func (a *Acceptor) handleMembershipNotice(effects *Effects, from string, notice *schema.MembershipNotice) {
+	m := MembershipFromProto(notice.Membership)
+	if m.Number < a.membership.Number {
+		a.sendMembershipNotice(effects, from)
+		return
+	}
+	if a.trusts(from, m, votersFromProto(notice.ReportedVoters)) {
+		a.adoptMembership(effects, m)
+	}
+}
+
+// membershipNotice is a notice of a membership; reported are the voters of the
+// founder's report that it replies to, if it replies to one.
+func membershipNotice(m Membership, reported []*schema.Voter) *schema.Envelope {
+	return &schema.Envelope{Body: &schema.Envelope_MembershipNotice{
+		MembershipNotice: &schema.MembershipNotice{Membership: m.Proto(), ReportedVoters: reported}}}
+}
--- a/paxos/reconfigurer.go
+++ b/paxos/reconfigurer.go
@@ -3,66 +3,78 @@
 import (
 	"fmt"
 	"slices"
+	"time"
 
-	"stoneford/schema"
 	"stoneford/statemachine"
 )
 
 const (
-	// sealedResolveDelay is how long an acceptor that accepted a successor waits to hear
-	// that it was chosen before it settles which membership is the newest: either the
-	// successor is chosen, or a later ballot takes it back and the voter votes again.
-	sealedResolveDelay = 150_000
-	// turnInterval is how long each voter leaves a change of the membership to those
-	// that rank before it.
-	turnInterval = 300_000
-	// changeTimeout is how long a change of the membership is tried.
-	changeTimeout = 2_000_000
+	// sealedResolveDelay is how long an acceptor that accepted a successor membership
+	// waits to hear that it was chosen before it has the register's newest value
+	// accepted anew. Either the successor is chosen then, or a higher ballot takes it back
+	// and the acceptor votes again. Writes pause for that long when a proposer dies; a
+	// shorter delay competes with proposers that are merely slow.
+	sealedResolveDelay = 150 * time.Millisecond
+	// turnInterval is how long each voter leaves a change of the membership to the one
+	// that ranks before it, so that they seldom compete.
+	turnInterval = 300 * time.Millisecond
+	// membershipChangeTimeout bounds one attempt to change the membership.
+	membershipChangeTimeout = 2 * time.Second
 )
 
-// Reconfigurer decides when this voter puts a change of the membership to the
-// vote: at most one at a time, and the voters take turns so that they seldom
-// compete. Which membership follows is Plan's.
+// Reconfigurer decides when this voter proposes a change of the membership: at most one
+// at a time, the voters taking turns. PlanMembership decides which membership follows.
 type Reconfigurer struct {
 	self           string
 	name           string // unique to this run of the process
 	changeCount    uint64
-	pending        bool
-	changeDueSince int64 // since when a change is due here
-	sealedSince    int64 // since when the acceptor is sealed
+	pending        bool  // a change is under way
+	changeDueSince int64 // since when a change is due here, 0 if none is
+	sealedSince    int64 // since when the acceptor is sealed, 0 if it is not
 }
 
-// NewReconfigurer makes a reconfigurer; run must be a name that no earlier run of
-// the process used.
+// NewReconfigurer returns a reconfigurer; run must be a name that no earlier run of the
+// process used.
 func NewReconfigurer(self, run string) *Reconfigurer {
 	return &Reconfigurer{self: self, name: self + "#" + run}
 }
 
-// Done ends the change that Step asked for, however it ended.
+// Done ends the change that Step returned, however it ended.
 func (r *Reconfigurer) Done() { r.pending = false }
 
-// Step is the change to put to the vote now, if any. Silent names the voters that
-// were not heard lately, which are not waited for.
-func (r *Reconfigurer) Step(now int64, a *Acceptor, s PlanningInput) (Change, bool) {
+// Step returns the change to propose now, if any. The caller proposes it and calls Done
+// when it ended.
+func (r *Reconfigurer) Step(now int64, acceptor *Acceptor, input PlanningInput) (Change, bool) {
 	if r.pending {
 		return Change{}, false
 	}
-	if a.Sealed() {
-		if r.sealedSince == 0 {
-			r.sealedSince = now
-		}
-		if now-r.sealedSince < sealedResolveDelay+r.turnDelay(a, s)/2 {
-			return Change{}, false
-		}
-		r.sealedSince = now
-		return r.newChange(now, Change{ReadOnly: true, Recommit: true}), true
+	if acceptor.Sealed() {
+		return r.resolveSealed(now, acceptor, input)
 	}
 	r.sealedSince = 0
-	if !a.IsVoter() {
-		r.changeDueSince = 0
+	return r.planChange(now, acceptor, input)
+}
+
+// resolveSealed has the membership's newest value accepted anew if the acceptor has
+// been sealed for too long.
+func (r *Reconfigurer) resolveSealed(now int64, acceptor *Acceptor, input PlanningInput) (Change, bool) {
+	if r.sealedSince == 0 {
+		r.sealedSince = now
+	}
+	if now-r.sealedSince < sealedResolveDelay.Microseconds()+r.turnDelay(acceptor, input)/2 {
 		return Change{}, false
 	}
-	next, due := PlanMembership(a.Membership(), s)
+	r.sealedSince = now
+	return r.newChange(now, Change{ReadOnly: true, Recommit: true}), true
+}
+
+// planChange proposes the next membership once it has been due for this voter's turn.
+func (r *Reconfigurer) planChange(now int64, acceptor *Acceptor, input PlanningInput) (Change, bool) {
+	current := acceptor.Membership()
+	next, due := Membership{}, false
+	if acceptor.IsVoter() {
+		next, due = PlanMembership(current, input)
+	}
 	if !due {
 		r.changeDueSince = 0
 		return Change{}, false
@@ -70,28 +82,34 @@
 	if r.changeDueSince == 0 {
 		r.changeDueSince = now
 	}
-	if now-r.changeDueSince < r.turnDelay(a, s) {
+	if now-r.changeDueSince < r.turnDelay(acceptor, input) {
 		return Change{}, false
 	}
 	r.changeDueSince = 0
-	return r.newChange(now, Change{BaseRevision: a.Membership().Number, Data: next.Encode()}), true
+	return r.newChange(now, Change{BaseRevision: current.Number, Data: next.Encode()}), true
 }
 
-// turnDelay is how long this voter leaves a change to others.
-func (r *Reconfigurer) turnDelay(a *Acceptor, s PlanningInput) int64 {
-	rank := statemachine.Rank("membership", a.Membership().Addresses())
-	rank = slices.DeleteFunc(rank, func(o string) bool { return s.Unavailable[o] && o != r.self })
-	return int64(slices.Index(rank, r.self)) * turnInterval
+// turnDelay returns for how many microseconds this voter leaves a change to those that
+// rank before it. Unavailable voters have no turn.
+func (r *Reconfigurer) turnDelay(acceptor *Acceptor, input PlanningInput) int64 {
+	ranked := statemachine.Rank("membership", acceptor.Membership().Addresses())
+	ranked = slices.DeleteFunc(ranked, func(address string) bool {
+		return input.Unavailable[address] && address != r.self
+	})
+	return int64(slices.Index(ranked, r.self)) * turnInterval.Microseconds()
 }
 
-func (r *Reconfigurer) newChange(now int64, c Change) Change {
+func (r *Reconfigurer) newChange(now int64, change Change) Change {
 	r.changeCount++
 	r.pending = true
-	c.Key, c.ID, c.Deadline = MembershipKey, fmt.Sprintf("%s#membership#%d", r.name, r.changeCount), now+changeTimeout
-	return c
+	change.Key = MembershipKey
+	change.ID = fmt.Sprintf("%s#membership#%d", r.name, r.changeCount)
+	change.Deadline = now + membershipChangeTimeout.Microseconds()
+	return change
 }
 
-// ChosenMembership is the membership that an outcome shows to be chosen.
+// ChosenMembership returns the membership that an outcome shows to be chosen, if it
+// shows one.
 func ChosenMembership(o Outcome) (Membership, bool) {
 	if o.Change.Key != MembershipKey || o.Verdict != Committed && o.Verdict != Conflict || o.Value == nil {
 		return Membership{}, false
@@ -99,22 +117,3 @@
 	m, err := DecodeMembership(o.Value.GetData())
 	return m, err == nil && m.Number == o.Value.Revision
 }
-
-// IsForAcceptor reports whether an envelope is for a process's acceptor.
-func IsForAcceptor(e *schema.Envelope) bool {
-	switch e.Body.(type) {
-	case *schema.Envelope_Prepare, *schema.Envelope_Accept, *schema.Envelope_FounderReport, *schema.Envelope_JoinRequest,
-		*schema.Envelope_StateRequest, *schema.Envelope_StateResponse, *schema.Envelope_MembershipNotice:
-		return true
-	}
-	return false
-}
-
-// IsForProposer reports whether an envelope is for a process's proposer.
-func IsForProposer(e *schema.Envelope) bool {
-	switch e.Body.(type) {
-	case *schema.Envelope_Promise, *schema.Envelope_Accepted, *schema.Envelope_MembershipNotice:
-		return true
-	}
-	return false
-}
--- /dev/null
+++ b/paxos/routing.go
@@ -0,0 +1,23 @@
+package paxos
+
+import "stoneford/schema"
+
+// IsForAcceptor reports whether an envelope is for a process's Acceptor.
+func IsForAcceptor(e *schema.Envelope) bool {
+	switch e.Body.(type) {
+	case *schema.Envelope_Prepare, *schema.Envelope_Accept, *schema.Envelope_FounderReport, *schema.Envelope_JoinRequest,
+		*schema.Envelope_StateRequest, *schema.Envelope_StateResponse, *schema.Envelope_MembershipNotice:
+		return true
+	}
+	return false
+}
+
+// IsForProposer reports whether an envelope is for a process's Proposer. A membership
+// notice is for both.
+func IsForProposer(e *schema.Envelope) bool {
+	switch e.Body.(type) {
+	case *schema.Envelope_Promise, *schema.Envelope_Accepted, *schema.Envelope_MembershipNotice:
+		return true
+	}
+	return false
+}
