--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -40,7 +40,7 @@
 	tokens    atomic.Pointer[map[string]string]
 	clock     clockwork.Clock
 	core      *Core
-	loop      *eventloop.Loop
+	loop      *eventloop.Loop[any]
 	links     *transport.Transport
 	databases *databaseclient.Client
 	voterLog  *wal.Log
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{boot: b, clock: clock, loop: eventloop.New(clock, clock.Now(), eventQueueLength), databases: databaseclient.New(transport.LocalAddress(b.Bind, b.Listen))}
+	p := &Process{boot: b, clock: clock, loop: eventloop.New[any](clock, clock.Now(), eventQueueLength), databases: databaseclient.New(transport.LocalAddress(b.Bind, b.Listen))}
 	p.SetTokens(b.Tokens)
 	newCore := func() *Core {
 		return NewCore(b, uint64(clock.Now().UnixMicro()), binary.LittleEndian.Uint64(n[:])|1)
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	p.voterLog, err = wal.Open(dir, p.core.Restore)
-	if wal.ErrCorrupt.Has(err) {
+	if errors.Is(err, wal.ErrCorrupt) {
 		// What this voter once said can't be known any more: it is a voter
 		// without a disk, and joins anew (design 3.3).
 		to, aside := wal.Quarantine(dir)
--- a/internal/coordinator/process.go
+++ b/internal/coordinator/process.go
@@ -122,7 +122,7 @@
 	var es []*schema.WALEntry
 	keep := func(l *schema.WALEntry) { es = append(es, l) }
 	st, err := wal.Open(folder, keep)
-	if wal.ErrCorrupt.Has(err) {
+	if errors.Is(err, wal.ErrCorrupt) {
 		to, moved := wal.Quarantine(folder)
 		log.WithFields(log.Fields{"code": int(result.LogDamaged), "moved_to": to}).WithError(err).Error(result.LogDamaged.String())
 		if moved != nil {
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,5 +1,3 @@
-// Package eventloop runs a deterministic core on a goroutine of its own: events come
-// in through a line, the clock's ticks between them.
 package eventloop
 
 import (
@@ -9,60 +7,71 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// maxBatch is how many events one step takes at the most.
+// maxBatch is how many events one step takes at most. A larger batch saves steps under
+// load; it makes the events behind it wait longer.
 const maxBatch = 256
 
-// Loop is one core's goroutine.
-type Loop struct {
+// startTime is the loop's time at the start of the process, so that 0 can stand for never.
+const startTime = time.Second
+
+// Loop is one core's goroutine and its queue of events of type E.
+type Loop[E any] struct {
 	clock     clockwork.Clock
 	startedAt time.Time
-	queue     chan any
+	queue     chan E
 }
 
-// New makes a loop with a line of the length given. began is the start of the
-// process: its loops tell each other times.
-func New(clock clockwork.Clock, startedAt time.Time, capacity int) *Loop {
-	return &Loop{clock: clock, startedAt: startedAt, queue: make(chan any, capacity)}
+// New returns a loop whose queue holds capacity events. startedAt is the start of the
+// process, the same for all its loops: they exchange times.
+func New[E any](clock clockwork.Clock, startedAt time.Time, capacity int) *Loop[E] {
+	return &Loop[E]{clock: clock, startedAt: startedAt, queue: make(chan E, capacity)}
 }
 
-// NowUs is the process's monotonic time; it starts at a second, so that 0 can
-// stand for never.
-func (l *Loop) NowUs() int64 { return l.clock.Since(l.startedAt).Microseconds() + 1_000_000 }
+// NowUs returns the process's monotonic time in microseconds. It starts at one second.
+func (l *Loop[E]) NowUs() int64 {
+	return (l.clock.Since(l.startedAt) + startTime).Microseconds()
+}
 
-// Post puts an event in line; it waits while the line is full.
-func (l *Loop) Post(e any) { l.queue <- e }
+// Post queues an event; it blocks while the queue is full.
+func (l *Loop[E]) Post(event E) { l.queue <- event }
 
-// TryPost puts an event in line unless the line is full.
-func (l *Loop) TryPost(e any) bool {
+// TryPost queues an event unless the queue is full, and reports whether it did.
+func (l *Loop[E]) TryPost(event E) bool {
 	select {
-	case l.queue <- e:
+	case l.queue <- event:
 		return true
 	default:
 		return false
 	}
 }
 
-// Run steps until the context ends.
-func (l *Loop) Run(ctx context.Context, tick time.Duration, step func(now int64, events []any)) {
-	t := l.clock.NewTicker(tick)
-	defer t.Stop()
+// Run calls step until the context ends: with the events that are queued when one
+// arrives, and without events at each tick of the interval.
+func (l *Loop[E]) Run(ctx context.Context, interval time.Duration, step func(now int64, events []E)) {
+	ticker := l.clock.NewTicker(interval)
+	defer ticker.Stop()
 	for {
-		var events []any
+		var events []E
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.Chan():
-		case e := <-l.queue:
-			events = append(events, e)
+		case <-ticker.Chan():
+		case event := <-l.queue:
+			events = append(events, event)
 		}
-		for more := true; more && len(events) < maxBatch; {
-			select {
-			case e := <-l.queue:
-				events = append(events, e)
-			default:
-				more = false
-			}
+		step(l.NowUs(), l.takeQueued(events))
+	}
+}
+
+// takeQueued appends what is queued now, up to maxBatch events in all.
+func (l *Loop[E]) takeQueued(events []E) []E {
+	for len(events) < maxBatch {
+		select {
+		case event := <-l.queue:
+			events = append(events, event)
+		default:
+			return events
 		}
-		step(l.NowUs(), events)
 	}
+	return events
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,9 +1,8 @@
-// Package membership reads from the mergeable records who is in the fleet and who
-// of them counts as alive (design 4).
 package membership
 
 import (
 	"strings"
+	"time"
 
 	"google.golang.org/protobuf/proto"
 
@@ -12,86 +11,93 @@
 	"stoneford/schema"
 )
 
-// Keys of the records.
+// Prefixes of the records' keys.
 const (
-	NodePrefix    = "node/"
-	SuspectPrefix = "suspect/"
-	ReportPrefix  = "report/"
-	AppliedPrefix = "applied/"
-	// After is the first key behind all of a prefix's.
+	NodePrefix    = "node/"    // followed by the node's address; schema.NodeRecord
+	SuspectPrefix = "suspect/" // followed by SuspectKey's parts; schema.SuspectRecord
+	ReportPrefix  = "report/"  // schema.DatabaseReport
+	AppliedPrefix = "applied/" // schema.AppliedRecord
+
+	// The first keys behind all of a prefix: "0" follows "/".
 	nodePrefixEnd    = "node0"
 	suspectPrefixEnd = "suspect0"
 )
 
-// recordRetention is when a node whose record was not renewed drops out.
-const recordRetention = 8_000_000
+// recordExpiry is how long a node stays a member whose record was not renewed: several
+// renewals, so that a few lost ones remove nobody.
+const recordExpiry = 8 * time.Second
 
 // Node is one process of the fleet.
 type Node struct {
 	Address string
 	*schema.NodeRecord
-	Alive bool
+	Alive bool // neither draining nor confirmed dead
 }
 
-// ReplicatedRanges are the ranges of keys every node keeps, as pairs.
+// ReplicatedRanges returns the ranges of keys that every node replicates, as pairs of a
+// first key and the first key behind the range.
 func ReplicatedRanges() [][2]string {
 	return [][2]string{{NodePrefix, nodePrefixEnd}, {SuspectPrefix, suspectPrefixEnd}}
 }
 
-// SuspectKey is where a watcher writes what it holds of a node.
+// SuspectKey returns the key of a watcher's suspicion of a node.
 func SuspectKey(node, watcher string) string { return SuspectPrefix + node + "/" + watcher }
 
-// ReadNodes returns all nodes, in order of their addresses.
-func ReadNodes(now int64, s *crdt.Store) []Node {
-	var ns []Node
-	var all []string
-	s.ForEach(NodePrefix, func(r *schema.Record) {
-		d := &schema.NodeRecord{}
-		if proto.Unmarshal(r.Data, d) != nil || s.AgeUs(now, r.Key) > recordRetention {
+// ReadNodes returns all nodes, sorted by address. Records that cannot be decoded are
+// ignored.
+func ReadNodes(now int64, store *crdt.Store) []Node {
+	var nodes []Node
+	store.ForEach(NodePrefix, func(record *schema.Record) {
+		node := &schema.NodeRecord{}
+		if proto.Unmarshal(record.Data, node) != nil || store.AgeUs(now, record.Key) > recordExpiry.Microseconds() {
 			return
 		}
-		a := strings.TrimPrefix(r.Key, NodePrefix)
-		ns = append(ns, Node{Address: a, NodeRecord: d})
-		all = append(all, a)
+		nodes = append(nodes, Node{Address: strings.TrimPrefix(record.Key, NodePrefix), NodeRecord: node})
 	})
-	for i, n := range ns {
-		ns[i].Alive = !n.Draining && !failuredetector.SuspicionConfirmed(n.Address, all, func(w string) bool {
-			r := s.Get(SuspectKey(n.Address, w))
-			d := &schema.SuspectRecord{}
-			return r != nil && proto.Unmarshal(r.Data, d) == nil && d.Suspected && d.Run == n.Run
+	addresses := Addresses(nodes)
+	for i, node := range nodes {
+		nodes[i].Alive = !node.Draining && !failuredetector.SuspicionConfirmed(node.Address, addresses, func(watcher string) bool {
+			return isSuspected(store, node, watcher)
 		})
 	}
-	return ns
+	return nodes
+}
+
+// isSuspected reports whether a watcher suspects the present run of a node.
+func isSuspected(store *crdt.Store, node Node, watcher string) bool {
+	record := store.Get(SuspectKey(node.Address, watcher))
+	suspicion := &schema.SuspectRecord{}
+	return record != nil && proto.Unmarshal(record.Data, suspicion) == nil && suspicion.Suspected && suspicion.Run == node.Run
 }
 
 // Addresses returns the nodes' addresses.
-func Addresses(ns []Node) []string {
-	as := make([]string, len(ns))
-	for i, n := range ns {
-		as[i] = n.Address
+func Addresses(nodes []Node) []string {
+	addresses := make([]string, len(nodes))
+	for i, node := range nodes {
+		addresses[i] = node.Address
 	}
-	return as
+	return addresses
 }
 
-// LiveAddresses returns the addresses of those that count as alive.
-func LiveAddresses(ns []Node) []string {
-	var as []string
-	for _, n := range ns {
-		if n.Alive {
-			as = append(as, n.Address)
+// LiveAddresses returns the addresses of the nodes that are alive.
+func LiveAddresses(nodes []Node) []string {
+	var addresses []string
+	for _, node := range nodes {
+		if node.Alive {
+			addresses = append(addresses, node.Address)
 		}
 	}
-	return as
+	return addresses
 }
 
-// NewSuspicion is the record a watcher writes of a node: it holds for the node's
-// run of now only.
-func NewSuspicion(ns []Node, node string, suspected bool) *schema.SuspectRecord {
-	d := &schema.SuspectRecord{Suspected: suspected}
-	for _, n := range ns {
-		if n.Address == node {
-			d.Run = n.Run
+// NewSuspicion returns the record that a watcher writes of a node. It is about the node's
+// present run only.
+func NewSuspicion(nodes []Node, address string, suspected bool) *schema.SuspectRecord {
+	suspicion := &schema.SuspectRecord{Suspected: suspected}
+	for _, node := range nodes {
+		if node.Address == address {
+			suspicion.Run = node.Run
 		}
 	}
-	return d
+	return suspicion
 }
--- a/internal/pool/callers_test.go
+++ b/internal/pool/callers_test.go
@@ -53,7 +53,7 @@
 func TestReusedSessionNameIsNotEnded(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	p := &Process{clock: clock}
-	r := &runner{process: p, group: "g", loop: eventloop.New(clock, clock.Now(), 64)}
+	r := &runner{process: p, group: "g", loop: eventloop.New[any](clock, clock.Now(), 64)}
 	p.routes.Store(&map[string]Route{"r": {Group: "g"}})
 	p.sharedRunners.Store(&map[string]*runner{"g": r})
 	seen := &sessionEvents{}
--- a/internal/pool/process.go
+++ b/internal/pool/process.go
@@ -44,7 +44,7 @@
 	clock     clockwork.Clock
 	startedAt time.Time
 	core      *Core
-	loop      *eventloop.Loop
+	loop      *eventloop.Loop[any]
 	links     *transport.Transport
 	databases *databaseclient.Client
 	runners   map[string]*runner
@@ -68,7 +68,7 @@
 func NewProcess(b *schema.Boot, clock clockwork.Clock) *Process {
 	began := clock.Now()
 	run := uint64(began.UnixMicro())
-	p := &Process{boot: b, run: run, clock: clock, startedAt: began, core: NewCore(b, run), loop: eventloop.New(clock, began, eventQueueLength),
+	p := &Process{boot: b, run: run, clock: clock, startedAt: began, core: NewCore(b, run), loop: eventloop.New[any](clock, began, eventQueueLength),
 		databases: databaseclient.New(transport.LocalAddress(b.Bind, b.Listen)), runners: map[string]*runner{}}
 	p.routes.Store(&map[string]Route{})
 	p.sharedRunners.Store(&map[string]*runner{})
@@ -180,7 +180,7 @@
 func (p *Process) setDesired(w SetDesired) {
 	r := p.runners[w.Group]
 	if r == nil {
-		r = &runner{process: p, group: w.Group, loop: eventloop.New(p.clock, p.startedAt, eventQueueLength), table: querytable.New(randomSeed())}
+		r = &runner{process: p, group: w.Group, loop: eventloop.New[any](p.clock, p.startedAt, eventQueueLength), table: querytable.New(randomSeed())}
 		p.runners[w.Group] = r
 		m := make(map[string]*runner, len(p.runners))
 		for k, v := range p.runners {
@@ -207,7 +207,7 @@
 type runner struct {
 	process         *Process
 	group           string
-	loop            *eventloop.Loop
+	loop            *eventloop.Loop[any]
 	table           *querytable.Table
 	waiters         sync.Map // query id to chan querytable.Reply
 	explainRequests sync.Map // id to Why
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,18 +1,12 @@
-// Package transport carries envelopes between processes over drpc. Delivery is not
-// promised: a neighbour that is slow or gone loses what does not fit its line,
-// and the cores above repeat what matters (design 2.3).
 package transport
 
 import (
-	"cmp"
 	"context"
 	"net"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
 	"storj.io/drpc/drpcconn"
 	"storj.io/drpc/drpcmux"
 	"storj.io/drpc/drpcserver"
@@ -21,185 +15,182 @@
 )
 
 const (
-	queueCapacity         = 1024
-	dialTimeout           = 300 * time.Millisecond
-	redialDelay           = 100 * time.Millisecond
-	idleTimeout           = 30 * time.Second
-	writeTimeout          = 3 * time.Second
-	unacknowledgedTimeout = 900 * time.Millisecond
+	// queueCapacity is how many envelopes wait for one peer; what exceeds it is dropped. A
+	// longer queue bears bursts; what waits long is out of date.
+	queueCapacity = 1024
+	// dialTimeout bounds one attempt to connect.
+	dialTimeout = 300 * time.Millisecond
+	// redialDelay is the wait after a failed or broken connection.
+	redialDelay = 100 * time.Millisecond
+	// idleTimeout is how long a connection that carries nothing is kept.
+	idleTimeout = 30 * time.Second
 )
 
-// Transport is one process's end of all its links.
+// Transport is one process's end of its streams to and from all others.
 type Transport struct {
 	self         string
-	localAddress net.Addr
+	localAddress net.Addr // that connections come from, nil for any
 	receive      func(*schema.Envelope)
-	ctx          context.Context
-	mu           sync.Mutex
-	queues       map[string]chan *schema.Envelope
-	sent         atomic.Uint64
-	dropped      atomic.Uint64
-	received     atomic.Uint64
-	partitioned  atomic.Bool
-}
+	ctx          context.Context // ends all streams
+
+	mu     sync.Mutex
+	queues map[string]chan *schema.Envelope // by peer; each has a goroutine that sends
 
-// SetPartitioned has nothing pass any more, in either direction, until it is mended: what a
-// broken network does, for trials.
-func (l *Transport) SetPartitioned(broken bool) { l.partitioned.Store(broken) }
+	sent        atomic.Uint64
+	dropped     atomic.Uint64
+	received    atomic.Uint64
+	partitioned atomic.Bool
+}
 
-// New makes the links of a process, whose connections come from a local address
-// or from any; receive is called from many goroutines.
-func New(ctx context.Context, self string, local net.Addr, receive func(*schema.Envelope)) *Transport {
-	return &Transport{self: self, localAddress: local, receive: receive, ctx: ctx, queues: map[string]chan *schema.Envelope{}}
+// New returns the transport of a process, which lives until ctx ends. Its connections
+// come from localAddress, or from any address if that is nil. receive is called for each
+// envelope that arrives, from many goroutines; while it blocks, its stream waits.
+func New(ctx context.Context, self string, localAddress net.Addr, receive func(*schema.Envelope)) *Transport {
+	return &Transport{
+		self:         self,
+		localAddress: localAddress,
+		receive:      receive,
+		ctx:          ctx,
+		queues:       map[string]chan *schema.Envelope{},
+	}
 }
 
-// Counts are envelopes sent, dropped and received.
-func (l *Transport) Counts() (sent, dropped, received uint64) {
-	return l.sent.Load(), l.dropped.Load(), l.received.Load()
+// SetPartitioned drops everything in both directions while it is true, as a partitioned
+// network does. It is for tests and trials.
+func (t *Transport) SetPartitioned(partitioned bool) { t.partitioned.Store(partitioned) }
+
+// Counts returns how many envelopes were sent, dropped and received so far.
+func (t *Transport) Counts() (sent, dropped, received uint64) {
+	return t.sent.Load(), t.dropped.Load(), t.received.Load()
 }
 
-// Send hands an envelope on; it never blocks.
-func (l *Transport) Send(to string, e *schema.Envelope) {
-	if to == l.self {
-		l.receive(e)
+// Send queues an envelope for a peer, or drops it if the queue is full; it never blocks.
+// An envelope to this process itself is received at once. The envelope must not be
+// changed afterwards.
+func (t *Transport) Send(to string, envelope *schema.Envelope) {
+	if to == t.self {
+		t.receive(envelope)
 		return
 	}
-	if l.partitioned.Load() {
-		l.dropped.Add(1)
+	if t.partitioned.Load() {
+		t.dropped.Add(1)
 		return
 	}
-	l.mu.Lock()
-	ch := l.queues[to]
-	if ch == nil {
-		ch = make(chan *schema.Envelope, queueCapacity)
-		l.queues[to] = ch
-		go l.sendLoop(to, ch)
-	}
-	l.mu.Unlock()
 	select {
-	case ch <- e:
+	case t.queue(to) <- envelope:
 	default:
-		l.dropped.Add(1)
+		t.dropped.Add(1)
 	}
 }
 
-func (l *Transport) sendLoop(to string, ch chan *schema.Envelope) {
-	for l.ctx.Err() == nil {
-		if l.sendOverConnection(to, ch) {
-			l.mu.Lock()
-			if len(ch) == 0 {
-				delete(l.queues, to)
-				l.mu.Unlock()
-				return
-			}
-			l.mu.Unlock()
+// queue returns the queue towards a peer, a new one with its goroutine if there is none.
+func (t *Transport) queue(to string) chan *schema.Envelope {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	queue := t.queues[to]
+	if queue == nil {
+		queue = make(chan *schema.Envelope, queueCapacity)
+		t.queues[to] = queue
+		go t.sendLoop(to, queue)
+	}
+	return queue
+}
+
+// sendLoop sends a peer's queue, over one connection after the other, until the
+// connection was idle.
+func (t *Transport) sendLoop(to string, queue chan *schema.Envelope) {
+	for t.ctx.Err() == nil {
+		if idle := t.sendOverConnection(to, queue); idle && t.removeIfEmpty(to, queue) {
+			return
 		}
-		t := time.NewTimer(redialDelay)
+		timer := time.NewTimer(redialDelay)
 		select {
-		case <-l.ctx.Done():
-		case <-t.C:
-		}
-		t.Stop()
-		// What waited out a failed dial is old news.
-		for n := len(ch); n > 0; n-- {
-			<-ch
-			l.dropped.Add(1)
+		case <-t.ctx.Done():
+		case <-timer.C:
 		}
+		timer.Stop()
+		t.dropQueued(queue)
+	}
+}
+
+// removeIfEmpty removes a peer's queue if nothing waits in it, and reports whether it did.
+func (t *Transport) removeIfEmpty(to string, queue chan *schema.Envelope) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(queue) > 0 {
+		return false
 	}
+	delete(t.queues, to)
+	return true
 }
 
-// sendOverConnection sends over one connection until it breaks; true says that it was
-// merely idle.
-func (l *Transport) sendOverConnection(to string, ch chan *schema.Envelope) bool {
-	d := net.Dialer{Timeout: dialTimeout, LocalAddr: l.localAddress, Control: setUserTimeout}
-	nc, err := d.DialContext(l.ctx, "tcp", to)
+// dropQueued drops what waited during a failed connection: it is out of date.
+func (t *Transport) dropQueued(queue chan *schema.Envelope) {
+	for n := len(queue); n > 0; n-- {
+		<-queue
+		t.dropped.Add(1)
+	}
+}
+
+// sendOverConnection sends a peer's queue over one connection until that breaks or is
+// idle; it reports whether it was idle.
+func (t *Transport) sendOverConnection(to string, queue chan *schema.Envelope) (idle bool) {
+	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: t.localAddress, Control: setUserTimeout}
+	raw, err := dialer.DialContext(t.ctx, "tcp", to)
 	if err != nil {
 		return false
 	}
-	c := drpcconn.New(writeDeadlineConn{nc})
-	defer c.Close()
-	ctx, stop := context.WithCancel(l.ctx)
+	conn := drpcconn.New(writeTimeoutConn{raw})
+	defer conn.Close()
+	ctx, stop := context.WithCancel(t.ctx)
 	defer stop()
-	s, err := schema.NewDRPCNodesClient(c).Link(ctx)
+	stream, err := schema.NewDRPCNodesClient(conn).Link(ctx)
 	if err != nil {
 		return false
 	}
-	t := time.NewTimer(idleTimeout)
-	defer t.Stop()
+	timer := time.NewTimer(idleTimeout)
+	defer timer.Stop()
 	for {
 		select {
-		case e := <-ch:
-			if s.Send(e) != nil {
+		case envelope := <-queue:
+			if stream.Send(envelope) != nil {
 				return false
 			}
-			l.sent.Add(1)
-			t.Reset(idleTimeout)
-		case <-c.Closed():
+			t.sent.Add(1)
+			timer.Reset(idleTimeout)
+		case <-conn.Closed():
 			return false
-		case <-t.C:
+		case <-timer.C:
 			return true
-		case <-l.ctx.Done():
+		case <-t.ctx.Done():
 			return true
 		}
 	}
 }
 
-// setUserTimeout has the kernel end a connection whose bytes nobody confirms: behind
-// a cut it would else try again ever less often, and long after the cut is over.
-func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var err error
-	if e := c.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
-	}); e != nil {
-		return e
-	}
-	return err
-}
-
-// writeDeadlineConn gives up on a neighbour that takes no bytes: its kernel may hold
-// the connection open long after its process stopped.
-type writeDeadlineConn struct{ net.Conn }
-
-func (d writeDeadlineConn) Write(b []byte) (int, error) {
-	if err := d.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
-		return 0, err
-	}
-	return d.Conn.Write(b)
-}
-
-// LocalAddress is the address that connections of a process come from, so that others
-// can tell it by it: the IP of the first address named, on which it listens, or
-// any where it listens on all.
-func LocalAddress(listen ...string) net.Addr {
-	h, _, err := net.SplitHostPort(cmp.Or(listen...))
-	if ip := net.ParseIP(h); err == nil && ip != nil && !ip.IsUnspecified() {
-		return &net.TCPAddr{IP: ip}
+// Serve accepts streams on a listener until the transport's context ends.
+func (t *Transport) Serve(listener net.Listener) error {
+	mux := drpcmux.New()
+	if err := schema.DRPCRegisterNodes(mux, nodesServer{t}); err != nil {
+		return err
 	}
-	return nil
+	return drpcserver.New(mux).Serve(t.ctx, listener)
 }
 
+// nodesServer implements the drpc service that peers send to.
 type nodesServer struct{ transport *Transport }
 
-// Link takes a neighbour's envelopes until it hangs up.
-func (n nodesServer) Link(s schema.DRPCNodes_LinkStream) error {
+// Link receives a peer's envelopes until it closes the stream.
+func (s nodesServer) Link(stream schema.DRPCNodes_LinkStream) error {
 	for {
-		e, err := s.Recv()
+		envelope, err := stream.Recv()
 		if err != nil {
-			return s.SendAndClose(&schema.LinkEnd{})
+			return stream.SendAndClose(&schema.LinkEnd{})
 		}
-		if n.transport.partitioned.Load() {
+		if s.transport.partitioned.Load() {
 			continue
 		}
-		n.transport.received.Add(1)
-		n.transport.receive(e)
-	}
-}
-
-// Serve takes links on a listener until the context ends.
-func (l *Transport) Serve(ln net.Listener) error {
-	m := drpcmux.New()
-	if err := schema.DRPCRegisterNodes(m, nodesServer{l}); err != nil {
-		return err
+		s.transport.received.Add(1)
+		s.transport.receive(envelope)
 	}
-	return drpcserver.New(m).Serve(l.ctx, ln)
 }
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -32,7 +33,7 @@
 			if l, err = wal.OpenWith(d, "/v", v.Restore); err == nil {
 				break
 			}
-			if err != crashdisk.ErrPowerLost {
+			if !errors.Is(err, crashdisk.ErrPowerLost) {
 				return err.Error()
 			}
 			d.Mutation = crashdisk.NoMutation
--- /dev/null
+++ b/internal/wal/crashdisk/file.go
@@ -0,0 +1,52 @@
+package crashdisk
+
+import (
+	"bytes"
+	"path/filepath"
+)
+
+// file is an open file of a Disk.
+type file struct {
+	disk    *Disk
+	path    string // under which it was opened
+	content *fileContent
+	offset  int // of the next write
+}
+
+// Write implements io.Writer. Of a write that fails some bytes may be written all the
+// same.
+func (f *file) Write(data []byte) (int, error) {
+	d := f.disk
+	err := d.allow()
+	length := len(data)
+	switch {
+	case err != nil:
+		length = d.random.IntN(len(data) + 1)
+	case d.Full:
+		length, err = 0, ErrFull
+	case d.Capacity > 0 && d.UsedBytes()+len(data) > d.Capacity:
+		length, err = max(d.Capacity-d.UsedBytes(), 0), ErrFull
+	}
+	f.content.writes = append(f.content.writes, write{offset: f.offset, data: bytes.Clone(data[:length])})
+	f.offset += length
+	d.WrittenBytes += length
+	d.PeakBytes = max(d.PeakBytes, d.UsedBytes())
+	return length, err
+}
+
+// Sync syncs the file's content, not its name.
+func (f *file) Sync() error {
+	if err := f.disk.allow(); err != nil {
+		return err
+	}
+	f.disk.SyncCount++
+	unfinished := filepath.Ext(f.path) == ".new"
+	if f.disk.Mutation == SyncDoesNothing || f.disk.Mutation == SnapshotNotSynced && unfinished {
+		return nil
+	}
+	f.content.sync()
+	return nil
+}
+
+// Close implements io.Closer. It syncs nothing.
+func (f *file) Close() error { return nil }
--- a/internal/wal/history_test.go
+++ b/internal/wal/history_test.go
@@ -221,7 +221,7 @@
 			}
 			d, _ = made(true)
 			d.PutFile(secondFile, x)
-			if _, back, err := openLog(d); !wal.ErrCorrupt.Has(err) && !wal.ErrFormat.Has(err) {
+			if _, back, err := openLog(d); !errors.Is(err, wal.ErrCorrupt) && !errors.Is(err, wal.ErrFormat) {
 				t.Fatalf("cut at %d, zeros %t: the torn snapshot is taken for a log at revision %d: %v", length, zeros, back.revision, err)
 			}
 		}
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -20,7 +20,7 @@
 
 const (
 	voterA, voterB, voterC = "10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001"
-	lifeA, lifeB, lifeC    = uint64(0xa1a2a3a4a5a6a7a9), uint64(0xb1b2b3b4b5b6b7b9), uint64(0xc1c2c3c4c5c6c7c9)
+	diskA, diskB, diskC    = uint64(0xa1a2a3a4a5a6a7a9), uint64(0xb1b2b3b4b5b6b7b9), uint64(0xc1c2c3c4c5c6c7c9)
 )
 
 // storedFolders are the fixtures: what is in each, entry by entry, and what an
@@ -89,9 +89,9 @@
 
 // recorder is an acceptor whose effects go to a folder.
 type recorder struct {
-	t *testing.T
-	a *paxos.Acceptor
-	l *wal.Log
+	t        *testing.T
+	acceptor *paxos.Acceptor
+	log      *wal.Log
 }
 
 func newRecorder(t *testing.T, dir string, founders ...string) recorder {
@@ -100,12 +100,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return recorder{t: t, a: paxos.NewAcceptor(voterA, lifeA, paxos.Location{}, founders), l: l}
+	return recorder{t: t, acceptor: paxos.NewAcceptor(voterA, diskA, paxos.Location{}, founders), log: l}
 }
 
-func (r recorder) write(fx paxos.Effects) {
+func (r recorder) write(effects paxos.Effects) {
 	r.t.Helper()
-	if err := r.l.Write(fx.Log, nil); err != nil {
+	if err := r.log.Write(effects.Log, nil); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -113,27 +113,27 @@
 func (r recorder) step(es ...*schema.Envelope) {
 	r.t.Helper()
 	for _, e := range es {
-		r.write(r.a.Step(1, e))
+		r.write(r.acceptor.Step(1, e))
 	}
 }
 
-// recordVoter has a voter form alone, go over to a membership of three, write a
-// snapshot and go on.
+// recordVoter has a voter form a membership alone, change to one of three, write a
+// snapshot and continue.
 func recordVoter(t *testing.T, dir string) {
 	r := newRecorder(t, dir, voterA)
-	r.write(r.a.Tick(1))
-	next := r.a.Membership().Next(map[string]uint64{voterA: lifeA, voterB: lifeB, voterC: lifeC})
+	r.write(r.acceptor.Tick(1))
+	next := r.acceptor.Membership().Next(map[string]uint64{voterA: diskA, voterB: diskB, voterC: diskC})
 	r.step(
 		acceptMessage("routes", ballot(1, 2, voterA), 1, "first table", "send-1"),
 		acceptMessage("leader/shop/orders", ballot(1, 3, voterA), 1, "term one", "claim-1"),
 		acceptMessage(paxos.MembershipKey, ballot(1, 5, voterA), 2, string(next.Encode()), "join-1"),
 	)
-	r.write(r.a.AdoptMembership(next))
+	r.write(r.acceptor.AdoptMembership(next))
 	r.step(
 		acceptMessage("bookings", ballot(2, 4, voterB), 2, "two bookings", "book-2", "book-1"),
 		prepareMessage("bookings", ballot(2, 9, voterC)),
 	)
-	if err := r.l.Write([]*schema.WALEntry{r.a.Snapshot()}, nil); err != nil {
+	if err := r.log.Write([]*schema.WALEntry{r.acceptor.Snapshot()}, nil); err != nil {
 		t.Fatal(err)
 	}
 	r.step(
@@ -142,18 +142,18 @@
 		acceptMessage("routes", ballot(2, 8, voterC), 2, "second table", "send-2", "send-1"),
 		prepareMessage("routes", ballot(2, 11, voterB)),
 	)
-	if err := r.l.Close(); err != nil {
+	if err := r.log.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// recordFounder has one of three founders hear of one other.
+// recordFounder has one of three founders receive a report of one other.
 func recordFounder(t *testing.T, dir string) {
 	r := newRecorder(t, dir, voterA, voterB, voterC)
-	r.write(r.a.Tick(1))
+	r.write(r.acceptor.Tick(1))
 	r.step(&schema.Envelope{From: voterB, Body: &schema.Envelope_FounderReport{FounderReport: &schema.FounderReport{
-		Founders: []string{voterA, voterB, voterC}, Voters: []*schema.Voter{{Address: voterB, DiskId: lifeB}}}}})
-	if err := r.l.Close(); err != nil {
+		Founders: []string{voterA, voterB, voterC}, Voters: []*schema.Voter{{Address: voterB, DiskId: diskB}}}}})
+	if err := r.log.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -165,7 +165,7 @@
 	return fmt.Sprintf("%d/%d/%s", b.Membership, b.Number, b.Proposer)
 }
 
-func showCell(c *schema.RegisterState) string {
+func showRegister(c *schema.RegisterState) string {
 	value := "none"
 	if v := c.Value; v != nil {
 		value = fmt.Sprintf("revision %d %v %q", v.Revision, v.ChangeIds, v.Data)
@@ -194,17 +194,17 @@
 		out = append(out, "  founders "+showVoters(e.Founders))
 	}
 	for _, c := range e.Registers {
-		out = append(out, showCell(c))
+		out = append(out, showRegister(c))
 	}
 	return out
 }
 
-// showAcceptor is what an acceptor holds, the membership's register left out.
+// showAcceptor is an acceptor's state, the membership's register left out.
 func showAcceptor(a *paxos.Acceptor) []string {
 	out := []string{fmt.Sprintf("life %x membership %d active %d votes %t", a.DiskID(), a.Membership().Number, a.ActiveMembership(), a.IsVoter())}
 	for _, c := range a.Snapshot().Registers {
 		if c.Key != paxos.MembershipKey {
-			out = append(out, showCell(c))
+			out = append(out, showRegister(c))
 		}
 	}
 	return out
@@ -222,9 +222,9 @@
 	}
 }
 
-// TestStoredFolders: voters' folders that earlier code wrote are read whole: each
+// TestStoredFolders: voters' directories that earlier code wrote are read completely: each
 // entry, each register with its ballots, the identity of the disk and the
-// memberships; and an acceptor goes on from them as a control process does.
+// memberships; and an acceptor continues from them as a control process does.
 func TestStoredFolders(t *testing.T) {
 	for _, x := range storedFolders {
 		t.Run(x.dir, func(t *testing.T) {
@@ -251,34 +251,34 @@
 			}
 			sameLines(t, "the log", entries, x.entries)
 			sameLines(t, "the acceptor", showAcceptor(a), x.acceptor)
-			goOn(t, dir, l, a)
+			checkContinues(t, dir, l, a)
 		})
 	}
 }
 
-// goOn has the acceptor write behind the old entries, and reads both again.
-func goOn(t *testing.T, dir string, l *wal.Log, a *paxos.Acceptor) {
+// checkContinues has the acceptor write behind the old entries, and reads both again.
+func checkContinues(t *testing.T, dir string, l *wal.Log, a *paxos.Acceptor) {
 	t.Helper()
-	fx := a.Step(1, acceptMessage("routes", ballot(2, 12, voterB), 3, "third table", "send-3"))
-	if err := l.Write(fx.Log, a.Snapshot); err != nil {
+	effects := a.Step(1, acceptMessage("routes", ballot(2, 12, voterB), 3, "third table", "send-3"))
+	if err := l.Write(effects.Log, a.Snapshot); err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	back := paxos.NewAcceptor(voterA, 12345, paxos.Location{}, nil)
-	restartStep, err := wal.Open(dir, back.Restore)
+	reopened, err := wal.Open(dir, back.Restore)
 	if err != nil {
 		t.Fatal(err)
 	}
 	sameLines(t, "after one more write", showAcceptor(back), showAcceptor(a))
-	if err := restartStep.Close(); err != nil {
+	if err := reopened.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestStoredFolderPromises: an acceptor rebuilt from an old folder keeps what that
-// voter promised, and tells what it accepted.
+// TestStoredFolderPromises: an acceptor restored from an old directory keeps what that
+// voter promised, and returns what it accepted.
 func TestStoredFolderPromises(t *testing.T) {
 	a := paxos.NewAcceptor(voterA, 12345, paxos.Location{}, nil)
 	dir := filepath.Join(t.TempDir(), "voter")
@@ -306,12 +306,12 @@
 		{"unheard", 1, true, "-", 0},
 	} {
 		t.Run(fmt.Sprint(x.key, x.round), func(t *testing.T) {
-			fx := a.Step(1, prepareMessage(x.key, ballot(2, x.round, voterB)))
-			if len(fx.Send) != 1 {
-				t.Fatalf("%d replies", len(fx.Send))
+			effects := a.Step(1, prepareMessage(x.key, ballot(2, x.round, voterB)))
+			if len(effects.Send) != 1 {
+				t.Fatalf("%d replies", len(effects.Send))
 			}
-			p := fx.Send[0].Envelope.GetPromise()
-			if p.GetGranted() != x.given || showBallot(p.GetAccepted()) != x.accepted || p.GetValue().GetRevision() != x.revision || p.GetDiskId() != lifeA {
+			p := effects.Send[0].Envelope.GetPromise()
+			if p.GetGranted() != x.given || showBallot(p.GetAccepted()) != x.accepted || p.GetValue().GetRevision() != x.revision || p.GetDiskId() != diskA {
 				t.Errorf("replied %v", p)
 			}
 		})
