--- /dev/null
+++ b/relaytree/relay_test.go
@@ -0,0 +1,169 @@
+package relaytree
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"stoneford/schema"
+	"stoneford/statemachine"
+)
+
+const testKey = "config/x"
+
+// network is three roots and forty nodes, over links that lose one envelope in twenty.
+type network struct {
+	t         *testing.T
+	seed      uint64
+	random    *rand.Rand
+	now       int64
+	roots     []string
+	nodes     []string
+	relays    map[string]*Relay
+	dead      map[string]bool
+	inFlight  []statemachine.Send
+	revisions map[string]uint64 // of testKey, by node
+}
+
+func newNetwork(t *testing.T, seed uint64) *network {
+	n := &network{
+		t:         t,
+		seed:      seed,
+		random:    rand.New(rand.NewPCG(seed, 4)),
+		now:       1,
+		roots:     []string{"r1", "r2", "r3"},
+		relays:    map[string]*Relay{},
+		dead:      map[string]bool{},
+		revisions: map[string]uint64{},
+	}
+	for _, root := range n.roots {
+		n.relays[root] = New(root, n.roots)
+	}
+	for i := range 40 {
+		node := fmt.Sprintf("n%02d", i)
+		n.nodes = append(n.nodes, node)
+		n.relays[node] = New(node, n.roots)
+	}
+	return n
+}
+
+func (n *network) send(effects Effects) {
+	for _, s := range effects.Send {
+		if n.random.IntN(20) > 0 {
+			n.random.Int64N(3000) // keeps each seed's schedule what it was
+			n.inFlight = append(n.inFlight, s)
+		}
+	}
+}
+
+// step lets 20 ms pass, delivers everything and checks that no revision goes back.
+func (n *network) step() {
+	n.now += 20_000
+	for _, name := range append(slices.Clone(n.roots), n.nodes...) {
+		if !n.dead[name] {
+			n.send(n.relays[name].Tick(n.now))
+		}
+	}
+	for i := 0; i < len(n.inFlight); i++ {
+		s := n.inFlight[i]
+		if !n.dead[s.To] && n.relays[s.To] != nil {
+			n.send(n.relays[s.To].Step(n.now, s.Envelope))
+		}
+	}
+	n.inFlight = nil
+	for _, node := range n.nodes {
+		revision := n.relays[node].Value(testKey).GetRevision()
+		if revision < n.revisions[node] {
+			n.t.Fatalf("seed %d: %s went back from %d to %d", n.seed, node, n.revisions[node], revision)
+		}
+		n.revisions[node] = revision
+	}
+}
+
+// setLiveNodes has each node forget some that are live and believe in some dead ones.
+func (n *network) setLiveNodes() {
+	for _, node := range n.nodes {
+		live := slices.DeleteFunc(slices.Clone(n.nodes), func(string) bool { return n.random.IntN(12) == 0 })
+		n.relays[node].SetLiveNodes(live)
+	}
+}
+
+// reached reports whether all live nodes have a revision.
+func (n *network) reached(revision uint64) bool {
+	for _, node := range n.nodes {
+		if !n.dead[node] && n.revisions[node] < revision {
+			return false
+		}
+	}
+	return true
+}
+
+// publish has one root learn a revision and returns how long it took to reach all nodes.
+func (n *network) publish(revision uint64) int64 {
+	publishedAt := n.now
+	register := &schema.Register{Key: testKey, Value: &schema.Value{Revision: revision}}
+	n.send(n.relays[n.roots[n.random.IntN(3)]].Learn(n.now, []*schema.Register{register}, 0, ""))
+	for {
+		n.step()
+		if n.now-publishedAt > 20_000_000 {
+			n.t.Fatalf("seed %d: revision %d did not reach all", n.seed, revision)
+		}
+		if n.reached(revision) {
+			return n.now - publishedAt
+		}
+	}
+}
+
+// TestUpdatesReachAllNodes: nodes believe different things of who is live, relays die
+// and envelopes are lost; updates still reach every live node, and no node's revision
+// ever goes back.
+func TestUpdatesReachAllNodes(t *testing.T) {
+	var worst int64
+	for seed := range uint64(60) {
+		n := newNetwork(t, seed)
+		n.setLiveNodes()
+		for range 60 {
+			n.step()
+		}
+		for revision := uint64(1); revision <= 4; revision++ {
+			for range 3 {
+				n.dead[n.nodes[n.random.IntN(len(n.nodes))]] = true
+			}
+			n.setLiveNodes()
+			worst = max(worst, n.publish(revision))
+		}
+	}
+	t.Logf("longest time for a revision to reach all: %d us", worst)
+}
+
+// TestNoCycle: whatever a node believes of who is live, its parent has a lower rank.
+func TestNoCycle(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 1))
+	for range 2000 {
+		var live []string
+		for i := range 1 + random.IntN(60) {
+			live = append(live, fmt.Sprint("n", i))
+		}
+		r := New(live[random.IntN(len(live))], []string{"r1", "r2", "r3"})
+		r.SetLiveNodes(live)
+		parent := r.chooseParent()
+		if own, parents := slices.Index(r.live, r.self), slices.Index(r.live, parent); parents >= own {
+			t.Fatalf("%s at rank %d subscribes to %s at rank %d", r.self, own, parent, parents)
+		}
+	}
+}
+
+func ExampleRelay() {
+	root, node := New("r1", []string{"r1"}), New("n1", []string{"r1"})
+	node.SetLiveNodes([]string{"n1"})
+	for _, s := range node.Tick(1).Send { // subscribes to its parent
+		root.Step(2, s.Envelope)
+	}
+	update := root.Learn(3, []*schema.Register{{Key: "config/pharmacies", Value: &schema.Value{Revision: 4}}}, 0, "")
+	for _, s := range update.Send {
+		node.Step(4, s.Envelope)
+	}
+	fmt.Println(node.Parent(), node.Value("config/pharmacies").Revision)
+	// Output: r1 4
+}
