--- a/crdt/antientropy.go
+++ b/crdt/antientropy.go
@@ -88,12 +88,12 @@
 
 // splitRange returns digests of the parts of a range that holds these keys, with about
 // as many keys in each.
-func (s *Store) splitRange(whole *schema.RangeDigest, keys []string) []*schema.RangeDigest {
+func (s *Store) splitRange(all *schema.RangeDigest, keys []string) []*schema.RangeDigest {
 	var parts []*schema.RangeDigest
-	start := whole.Start
+	start := all.Start
 	for i := 1; i <= rangeFanOut; i++ {
 		last := i == rangeFanOut
-		end := whole.End
+		end := all.End
 		if !last {
 			end = keys[len(keys)*i/rangeFanOut]
 		}
--- a/failuredetector/detector.go
+++ b/failuredetector/detector.go
@@ -16,7 +16,7 @@
 const (
 	// probeInterval is how often each peer is pinged.
 	probeInterval = 250 * time.Millisecond
-	// suspicionTimeout is how long a peer may be silent before it is suspected: some
+	// suspicionTimeout is how long a peer may not answer before it is suspected: some
 	// probes. A longer one bears more loss and pauses; a shorter one detects sooner.
 	suspicionTimeout = time.Second
 )
@@ -70,14 +70,14 @@
 // Peers returns the nodes that this one probes, sorted.
 func (d *Detector) Peers() []string { return slices.Sorted(maps.Keys(d.peers)) }
 
-// Tick pings the peers and suspects those that have been silent for too long.
+// Tick pings the peers and suspects those that have not answered for too long.
 func (d *Detector) Tick(now int64) Effects {
 	effects := Effects{Changed: map[string]bool{}}
 	if now < d.nextProbeAt {
 		return effects
 	}
 	if d.nextProbeAt > 0 && now-d.nextProbeAt > suspicionTimeout.Microseconds() {
-		// This process itself was paused: the silence may be its own.
+		// This process itself was paused: the peers may have answered.
 		for _, p := range d.peers {
 			p.heardAt = now
 		}
@@ -94,7 +94,7 @@
 	return effects
 }
 
-// Step answers a ping, or takes a pong as a sign of life; other messages are ignored.
+// Step answers a ping, or takes a pong as a proof of liveness; other messages are ignored.
 func (d *Detector) Step(now int64, envelope *schema.Envelope) Effects {
 	effects := Effects{Changed: map[string]bool{}}
 	switch body := envelope.Body.(type) {
--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestPausedWatcherSuspectsNobody: a watcher that was paused itself starts anew instead
-// of suspecting all its peers; one that is silent afterwards is suspected all the same.
+// of suspecting all its peers; one that does not answer afterwards is suspected all the same.
 func TestPausedWatcherSuspectsNobody(t *testing.T) {
 	d := New("a")
 	now := int64(1_000_000)
@@ -50,7 +50,7 @@
 		suspected = suspected || len(d.Tick(now).Changed) > 0
 	}
 	if !suspected {
-		t.Fatal("a peer that is silent is never suspected")
+		t.Fatal("an unresponsive peer is never suspected")
 	}
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -23,9 +23,9 @@
 	suspectPrefixEnd = "suspect0"
 )
 
-// recordExpiry is how long a node stays a member whose record was not renewed: several
+// memberTimeout is how long a node stays a member whose record was not renewed: several
 // renewals, so that a few lost ones remove nobody.
-const recordExpiry = 8 * time.Second
+const memberTimeout = 8 * time.Second
 
 // Node is one process of the fleet.
 type Node struct {
@@ -49,7 +49,7 @@
 	var nodes []Node
 	store.ForEach(NodePrefix, func(record *schema.Record) {
 		node := &schema.NodeRecord{}
-		if proto.Unmarshal(record.Data, node) != nil || store.AgeUs(now, record.Key) > recordExpiry.Microseconds() {
+		if proto.Unmarshal(record.Data, node) != nil || store.AgeUs(now, record.Key) > memberTimeout.Microseconds() {
 			return
 		}
 		nodes = append(nodes, Node{Address: strings.TrimPrefix(record.Key, NodePrefix), NodeRecord: node})
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -42,7 +42,7 @@
 	partitioned atomic.Bool
 }
 
-// New returns the transport of a process, which lives until ctx ends. Its connections
+// New returns the transport of a process, which runs until ctx ends. Its connections
 // come from localAddress, or from any address if that is nil. receive is called for each
 // envelope that arrives, from many goroutines; while it blocks, its stream waits.
 func New(ctx context.Context, self string, localAddress net.Addr, receive func(*schema.Envelope)) *Transport {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -81,9 +81,9 @@
 	return len(r.counts), repeated
 }
 
-// TestEnvelopeDeliveredAtMostOnce: connections break at any byte; what was lost with one
+// TestEnvelopeIsNeverDeliveredTwice: connections break at any byte; what was lost with one
 // is not sent again over the next.
-func TestEnvelopeDeliveredAtMostOnce(t *testing.T) {
+func TestEnvelopeIsNeverDeliveredTwice(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	received := &receivedCounts{counts: map[string]int{}}
 	receiver := New(ctx, "there", nil, received.receive)
--- a/internal/wal/copy.go
+++ b/internal/wal/copy.go
@@ -8,9 +8,9 @@
 	"path/filepath"
 )
 
-// maxCopyAttempts bounds how often Copy reads the log anew because a snapshot replaced
+// maxReadAttempts bounds how often Copy reads the log anew because a snapshot replaced
 // the file meanwhile.
-const maxCopyAttempts = 5
+const maxReadAttempts = 5
 
 // Copy writes the log in a directory into another directory, which must hold none, and
 // reads it back. A copy of a running voter's log is what that voter had on disk at some
@@ -29,12 +29,12 @@
 	if existing.fileNumber > 0 || len(existing.leftovers) > 0 {
 		return fmt.Errorf("%s holds a log already", to)
 	}
-	source, data, err := readForCopy(files, from)
+	source, data, err := readSource(files, from)
 	if err != nil {
 		return err
 	}
 	path := logPath(to, source.fileNumber)
-	if err := writeCopy(files, to, path, data); err != nil {
+	if err := writeLogFile(files, to, path, data); err != nil {
 		return err
 	}
 	readBack, err := files.ReadFile(path)
@@ -51,10 +51,10 @@
 	return err
 }
 
-// readForCopy reads the sound part of the log in a directory. A snapshot may replace the
+// readSource reads the sound part of the log in a directory. A snapshot may replace the
 // file between scanning the directory and reading the file, so it tries a few times.
-func readForCopy(files FileSystem, dir string) (content dirContent, data []byte, err error) {
-	for range maxCopyAttempts {
+func readSource(files FileSystem, dir string) (content dirContent, data []byte, err error) {
+	for range maxReadAttempts {
 		if content, err = scanDir(files, dir); err != nil {
 			if !errors.Is(err, os.ErrNotExist) {
 				return content, nil, err
@@ -71,8 +71,8 @@
 	return content, nil, err
 }
 
-// writeCopy writes a log file of that path into a directory, durably.
-func writeCopy(files FileSystem, dir, path string, data []byte) error {
+// writeLogFile writes a log file of that path into a directory, durably.
+func writeLogFile(files FileSystem, dir, path string, data []byte) error {
 	if err := files.MakeDir(dir); err != nil {
 		return err
 	}
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -15,96 +15,122 @@
 	"stoneford/schema"
 )
 
-// crash runs a voter over a disk that loses power at any call, or refuses, and
-// holds that what was synced is there afterwards.
-func crash(seed uint64, mutation crashdisk.Mutation) (bad string, losses, refusals int) {
-	r := rand.New(rand.NewPCG(seed, 7))
-	d := crashdisk.New(r)
-	var v *paxos.Acceptor
-	var l *wal.Log
-	// What the world outside was told: the newest promise and accepted revision.
-	acknowledged := map[string]*schema.RegisterState{}
-	number := uint64(0)
-	open := func() string {
-		d.RefusalRate = 0
+// crashingVoter is a voter over a disk that loses power at any call, or refuses.
+type crashingVoter struct {
+	random   *rand.Rand
+	disk     *crashdisk.Disk
+	mutation crashdisk.Mutation
+	acceptor *paxos.Acceptor
+	log      *wal.Log
+	ballots  uint64
+	// acknowledged is what others rely on: the newest promise and accepted revision of
+	// each key.
+	acknowledged     map[string]*schema.RegisterState
+	losses, refusals int
+}
+
+// open starts the voter on what the disk has, and checks that everything acknowledged is
+// there. It returns what is wrong, empty for nothing.
+func (v *crashingVoter) open() string {
+	v.disk.RefusalRate = 0
+	for {
 		var err error
-		for {
-			v = paxos.NewAcceptor("a", r.Uint64()|1, paxos.Location{}, []string{"a"})
-			if l, err = wal.OpenWith(d, "/v", v.Restore); err == nil {
-				break
-			}
-			if !errors.Is(err, crashdisk.ErrPowerLost) {
-				return err.Error()
-			}
-			d.Mutation = crashdisk.NoMutation
-			d.PowerLoss() // while it starts
+		v.acceptor = paxos.NewAcceptor("a", v.random.Uint64()|1, paxos.Location{}, []string{"a"})
+		if v.log, err = wal.OpenWith(v.disk, "/v", v.acceptor.Restore); err == nil {
+			break
 		}
-		d.Mutation = mutation
-		if len(acknowledged) > 0 && !v.IsVoter() {
-			return "the voter that voted has an empty disk"
+		if !errors.Is(err, crashdisk.ErrPowerLost) {
+			return err.Error()
 		}
-		for k, c := range acknowledged {
-			h := v.RegisterState(k)
-			if h == nil || paxos.BallotLess(h.Accepted, c.Accepted) || paxos.BallotLess(h.Promised, c.Promised) {
-				return fmt.Sprintf("%s: %v was told, %v is there", k, c, h)
-			}
-		}
-		return ""
+		v.disk.Mutation = crashdisk.NoMutation
+		v.disk.PowerLoss() // while it starts
 	}
-	if bad := open(); bad != "" {
-		return bad, 0, 0
+	v.disk.Mutation = v.mutation
+	if len(v.acknowledged) > 0 && !v.acceptor.IsVoter() {
+		return "the voter that voted has an empty disk"
 	}
-	for range 60 {
-		if r.IntN(6) == 0 {
-			d.StepsLeft = r.IntN(12)
-		}
-		d.RefusalRate = 0
-		if r.IntN(8) == 0 {
-			d.RefusalRate = 0.3
-		}
-		fx := v.Tick(1)
-		number++
-		k := fmt.Sprint("k", r.IntN(3))
-		e := &schema.Envelope{From: "p", Body: &schema.Envelope_Accept{Accept: &schema.Accept{Key: k, Membership: 1, Ballot: &schema.Ballot{Membership: 1, Number: number, Proposer: "p"},
-			Value: &schema.Value{Revision: number, Data: bytes.Repeat([]byte{byte(number)}, r.IntN(3000))}}}}
-		fy := v.Step(1, e)
-		es := append(fx.Log, fy.Log...)
-		if r.IntN(10) == 0 {
-			es = []*schema.WALEntry{v.Snapshot()}
-		}
-		err := l.Write(es, v.Snapshot)
-		for err != nil && d.StepsLeft != 0 && r.IntN(3) > 0 {
-			refusals++
-			err = l.Write(es, v.Snapshot) // as the core does, with the whole state
+	for key, want := range v.acknowledged {
+		got := v.acceptor.RegisterState(key)
+		if got == nil || paxos.BallotLess(got.Accepted, want.Accepted) || paxos.BallotLess(got.Promised, want.Promised) {
+			return fmt.Sprintf("%s: %v was acknowledged, %v is there", key, want, got)
 		}
-		switch {
-		case err == nil:
-			if c := v.RegisterState(k); c != nil && len(fy.Send) > 0 {
-				acknowledged[k] = proto.Clone(c).(*schema.RegisterState)
-			}
-			if r.IntN(15) > 0 {
-				continue
-			}
-			fallthrough // the power goes right after the acknowledgement
-		default:
-			if d.StepsLeft != 0 && r.IntN(3) == 0 { // only the process ends
-				if bad := open(); bad != "" {
-					return bad, losses, refusals
-				}
-				continue
-			}
-			losses++
-			d.Mutation = crashdisk.NoMutation
-			d.PowerLoss()
-			if bad := open(); bad != "" {
-				return bad, losses, refusals
-			}
+	}
+	return ""
+}
+
+// setFaults draws when the power goes and whether the disk refuses calls.
+func (v *crashingVoter) setFaults() {
+	if v.random.IntN(6) == 0 {
+		v.disk.StepsLeft = v.random.IntN(12)
+	}
+	v.disk.RefusalRate = 0
+	if v.random.IntN(8) == 0 {
+		v.disk.RefusalRate = 0.3
+	}
+}
+
+// accept has the voter accept a value and writes its log. It acknowledges the value if
+// that succeeds.
+func (v *crashingVoter) accept() error {
+	ticked := v.acceptor.Tick(1)
+	v.ballots++
+	key := fmt.Sprint("k", v.random.IntN(3))
+	data := bytes.Repeat([]byte{byte(v.ballots)}, v.random.IntN(3000))
+	accepted := v.acceptor.Step(1, &schema.Envelope{From: "p", Body: &schema.Envelope_Accept{Accept: &schema.Accept{
+		Key: key, Membership: 1,
+		Ballot: &schema.Ballot{Membership: 1, Number: v.ballots, Proposer: "p"},
+		Value:  &schema.Value{Revision: v.ballots, Data: data}}}})
+	entries := append(ticked.Log, accepted.Log...)
+	if v.random.IntN(10) == 0 {
+		entries = []*schema.WALEntry{v.acceptor.Snapshot()}
+	}
+	err := v.log.Write(entries, v.acceptor.Snapshot)
+	for err != nil && v.disk.StepsLeft != 0 && v.random.IntN(3) > 0 {
+		v.refusals++
+		err = v.log.Write(entries, v.acceptor.Snapshot) // as a control process does
+	}
+	if err != nil {
+		return err
+	}
+	if state := v.acceptor.RegisterState(key); state != nil && len(accepted.Send) > 0 {
+		v.acknowledged[key] = proto.Clone(state).(*schema.RegisterState)
+	}
+	return nil
+}
+
+// restart ends the process, or loses the power too, and opens the log again.
+func (v *crashingVoter) restart() string {
+	if v.disk.StepsLeft != 0 && v.random.IntN(3) == 0 {
+		return v.open()
+	}
+	v.losses++
+	v.disk.Mutation = crashdisk.NoMutation
+	v.disk.PowerLoss()
+	return v.open()
+}
+
+// runCrashes has a voter accept values under faults, and checks after each restart that
+// what it acknowledged is still there. bad is what is wrong, empty for nothing.
+func runCrashes(seed uint64, mutation crashdisk.Mutation) (bad string, losses, refusals int) {
+	random := rand.New(rand.NewPCG(seed, 7))
+	v := &crashingVoter{
+		random:       random,
+		disk:         crashdisk.New(random),
+		mutation:     mutation,
+		acknowledged: map[string]*schema.RegisterState{},
+	}
+	bad = v.open()
+	for n := 0; n < 60 && bad == ""; n++ {
+		v.setFaults()
+		// After a failed write, and sometimes after an acknowledged one.
+		if v.accept() != nil || v.random.IntN(15) == 0 {
+			bad = v.restart()
 		}
 	}
-	return "", losses, refusals
+	return bad, v.losses, v.refusals
 }
 
-// TestCrashes: over thousands of seeds whatever a voter told is there after the
+// TestCrashes: over thousands of seeds whatever a voter acknowledged is there after the
 // power was lost at any call, the process ended, or the disk refused.
 func TestCrashes(t *testing.T) {
 	seeds, losses, refusals := uint64(3000/wal.Slower), 0, 0
@@ -112,11 +138,11 @@
 		seeds = 500 / wal.Slower
 	}
 	for seed := range seeds {
-		bad, n, m := crash(seed, crashdisk.NoMutation)
+		bad, lost, refused := runCrashes(seed, crashdisk.NoMutation)
 		if bad != "" {
 			t.Fatalf("seed %d: %s", seed, bad)
 		}
-		losses, refusals = losses+n, refusals+m
+		losses, refusals = losses+lost, refusals+refused
 	}
 	t.Logf("%d seeds: %d losses of power, %d refused writes", seeds, losses, refusals)
 	if losses < int(seeds)*3 || refusals < int(seeds)/2 {
@@ -124,25 +150,28 @@
 	}
 }
 
-// TestCrashMutationsAreDetected: a disk that does not keep what the log rests on is seen.
+// TestCrashMutationsAreDetected: a disk that does not keep what the log depends on fails
+// the same checks.
 func TestCrashMutationsAreDetected(t *testing.T) {
 	for _, x := range crashdisk.Mutations {
-		seen, first := 0, ""
-		for seed := range uint64(100) {
-			if bad, _, _ := crash(seed, x.Mutation); bad != "" {
-				if first == "" {
-					first = bad[:min(len(bad), 120)]
+		t.Run(x.Name, func(t *testing.T) {
+			detected, first := 0, ""
+			for seed := range uint64(100) {
+				if bad, _, _ := runCrashes(seed, x.Mutation); bad != "" {
+					if first == "" {
+						first = bad[:min(len(bad), 120)]
+					}
+					detected++
 				}
-				seen++
 			}
-		}
-		t.Logf("%s: %d of 100 seeds show it, first: %s", x.Name, seen, first)
-		least := 80
-		if x.Mutation == crashdisk.OldFilesRemovedEarly {
-			least = 15 // few of the writes are snapshots
-		}
-		if seen < least {
-			t.Errorf("%s: only %d of 100 seeds show it", x.Name, seen)
-		}
+			t.Logf("%d of 100 seeds show it, first: %s", detected, first)
+			least := 80
+			if x.Mutation == crashdisk.OldFilesRemovedEarly {
+				least = 15 // few of the writes are snapshots
+			}
+			if detected < least {
+				t.Errorf("only %d of 100 seeds show it", detected)
+			}
+		})
 	}
 }
--- a/internal/wal/history_test.go
+++ b/internal/wal/history_test.go
@@ -31,54 +31,56 @@
 	return &schema.WALEntry{Snapshot: true, Registers: []*schema.RegisterState{s.register()}}
 }
 
-func (s *state) restore(e *schema.WALEntry) {
-	if e.Snapshot {
+func (s *state) restore(entry *schema.WALEntry) {
+	if entry.Snapshot {
 		s.revision = 0
 	}
-	for _, c := range e.Registers {
-		if !bytes.Equal(c.Value.Data, bytes.Repeat([]byte{byte(c.Value.Revision)}, len(c.Value.Data))) {
-			panic("a register holds another revision's data")
+	for _, state := range entry.Registers {
+		value := state.Value
+		if !bytes.Equal(value.Data, bytes.Repeat([]byte{byte(value.Revision)}, len(value.Data))) {
+			panic("a register has another revision's data")
 		}
-		s.revision = c.Value.Revision
+		s.revision = value.Revision
 	}
 }
 
-// openLog plays a disk's log back.
+// openLog opens a disk's log and replays it.
 func openLog(d *crashdisk.Disk) (*wal.Log, *state, error) {
 	s := &state{}
 	l, err := wal.OpenWith(d, "/v", s.restore)
 	return l, s, err
 }
 
-// choices goes through all ways in which the choices of a run can be made.
+// choices enumerates all combinations of the choices of a run.
 type choices struct {
-	picks, of []int
-	at        int
+	picks   []int // what was chosen
+	of      []int // among how many
+	current int
 }
 
-func (w *choices) choose(n int) int {
-	if w.at == len(w.picks) {
-		w.picks, w.of = append(w.picks, 0), append(w.of, n)
+func (c *choices) choose(n int) int {
+	if c.current == len(c.picks) {
+		c.picks, c.of = append(c.picks, 0), append(c.of, n)
 	}
-	w.at++
-	return w.picks[w.at-1]
+	c.current++
+	return c.picks[c.current-1]
 }
 
-// next says whether there is another way, and takes it.
-func (w *choices) next() bool {
-	w.at = 0
-	for n := len(w.picks); n > 0; n-- {
-		if w.picks[n-1]+1 < w.of[n-1] {
-			w.picks, w.of = w.picks[:n], w.of[:n]
-			w.picks[n-1]++
+// next moves on to the next combination, and reports whether there is one.
+func (c *choices) next() bool {
+	c.current = 0
+	for n := len(c.picks); n > 0; n-- {
+		if c.picks[n-1]+1 < c.of[n-1] {
+			c.picks, c.of = c.picks[:n], c.of[:n]
+			c.picks[n-1]++
 			return true
 		}
 	}
 	return false
 }
 
-// script makes changes, and snapshots among them, until the power goes. It says
-// which revision was told last and which was written last.
+// script makes changes, and snapshots among them, until the power goes. It returns which
+// revision was acknowledged last, which was written last, and whether it completed.
 func script(d *crashdisk.Disk) (acknowledged, written uint64, complete bool) {
 	l, s, err := openLog(d)
 	if err != nil {
@@ -86,11 +88,11 @@
 	}
 	s.size = 40
 	for i := range 6 {
-		es := s.change()
+		entries := s.change()
 		if i == 2 || i == 4 {
-			es = []*schema.WALEntry{s.snapshot()}
+			entries = []*schema.WALEntry{s.snapshot()}
 		}
-		if l.Write(es, nil) != nil {
+		if l.Write(entries, nil) != nil {
 			return acknowledged, s.revision, false
 		}
 		acknowledged = s.revision
@@ -98,42 +100,19 @@
 	return acknowledged, s.revision, true
 }
 
-// powerLosses loses the power at each operation in turn, in each way, and once
-// more at each operation of the start that follows.
+// powerLosses loses the power at each operation of the script in turn, in each way, and
+// once more at each operation of the start that follows. bad is what is wrong, empty for
+// nothing.
 func powerLosses(mutation crashdisk.Mutation) (runs int, bad string) {
-	for at, complete := 0, false; !complete; at++ {
+	for step, complete := 0, false; !complete; step++ {
 		for restartStep := range 8 {
-			w := &choices{}
-			for more := true; more; more = w.next() {
+			c := &choices{}
+			for more := true; more; more = c.next() {
 				runs++
 				d := crashdisk.New(rand.New(rand.NewPCG(1, 1)))
-				d.Choose, d.CoarseTears, d.Mutation, d.StepsLeft = w.choose, true, mutation, at
-				var acknowledged, written uint64
-				acknowledged, written, complete = script(d)
-				d.PowerLoss()
-				d.StepsLeft = restartStep
-				l, s, err := openLog(d)
-				if errors.Is(err, crashdisk.ErrPowerLost) {
-					d.PowerLoss()
-					l, s, err = openLog(d)
-				}
-				switch {
-				case err != nil:
-					return runs, fmt.Sprintf("power lost at operation %d, at %d of the start: %v %v", at, restartStep, err, d)
-				case s.revision < acknowledged || s.revision > written:
-					return runs, fmt.Sprintf("power lost at operation %d: revision %d is there, %d was told, %d written", at, s.revision, acknowledged, written)
-				}
-				// And it goes on.
-				if err := l.Write(s.change(), nil); err != nil {
-					if errors.Is(err, crashdisk.ErrPowerLost) {
-						continue
-					}
-					return runs, fmt.Sprintf("power lost at operation %d: %v", at, err)
-				}
-				d.StepsLeft = -1
-				d.PowerLoss()
-				if _, back, err := openLog(d); err != nil || back.revision != s.revision {
-					return runs, fmt.Sprintf("power lost at operation %d, and after the next write: revision %d, not %d: %v", at, back.revision, s.revision, err)
+				d.Choose, d.CoarseTears, d.Mutation, d.StepsLeft = c.choose, true, mutation, step
+				if complete, bad = loseTwice(d, restartStep); bad != "" {
+					return runs, fmt.Sprintf("power lost at operation %d, at %d of the start: %s", step, restartStep, bad)
 				}
 			}
 		}
@@ -141,9 +120,40 @@
 	return runs, ""
 }
 
-// TestPowerLostAtEachOperation: whichever file operation the power is lost at,
-// and whichever names and writes that were not synced are kept, the revision told
-// last is there and the log goes on; also if it is lost again at each operation
+// loseTwice runs the script on a disk until its power goes, and loses it again at a step
+// of the start and after a further write.
+func loseTwice(d *crashdisk.Disk, restartStep int) (complete bool, bad string) {
+	acknowledged, written, complete := script(d)
+	d.PowerLoss()
+	d.StepsLeft = restartStep
+	l, s, err := openLog(d)
+	if errors.Is(err, crashdisk.ErrPowerLost) {
+		d.PowerLoss()
+		l, s, err = openLog(d)
+	}
+	switch {
+	case err != nil:
+		return complete, fmt.Sprintf("%v %v", err, d)
+	case s.revision < acknowledged || s.revision > written:
+		return complete, fmt.Sprintf("revision %d is there, %d was acknowledged, %d written", s.revision, acknowledged, written)
+	}
+	if err := l.Write(s.change(), nil); err != nil {
+		if errors.Is(err, crashdisk.ErrPowerLost) {
+			return complete, ""
+		}
+		return complete, err.Error()
+	}
+	d.StepsLeft = -1
+	d.PowerLoss()
+	if _, back, err := openLog(d); err != nil || back.revision != s.revision {
+		return complete, fmt.Sprintf("after the next write: revision %d, not %d: %v", back.revision, s.revision, err)
+	}
+	return complete, ""
+}
+
+// TestPowerLostAtEachOperation: whichever file operation the power is lost at, and
+// whichever names and writes that were not synced are kept, the revision acknowledged last
+// is there and the log can be written; also if the power is lost again at each operation
 // of the start.
 func TestPowerLostAtEachOperation(t *testing.T) {
 	runs, bad := powerLosses(crashdisk.NoMutation)
@@ -156,22 +166,22 @@
 	}
 	for _, x := range crashdisk.Mutations {
 		n, bad := powerLosses(x.Mutation)
-		t.Logf("planted, %s: after %d runs: %s", x.Name, n, bad)
+		t.Logf("%s: after %d runs: %s", x.Name, n, bad)
 		if bad == "" {
-			t.Errorf("planted, %s: not seen", x.Name)
+			t.Errorf("%s: not detected", x.Name)
 		}
 	}
 }
 
-// files are the paths of a disk's log and of the snapshot that follows it.
+// Paths of a disk's log and of the snapshot that follows it.
 const (
 	firstFile  = "/v/log-00000000000000000001"
 	secondFile = "/v/log-00000000000000000002"
 )
 
-// TestSnapshotTornAtEachByte: a snapshot that a loss of power tore at any byte
-// before it had its name is dropped for the log before it; under its name a torn
-// one is told as damage and never taken as whole, nor as an empty log.
+// TestSnapshotTornAtEachByte: a snapshot that a loss of power tore at any byte before it
+// had its name is dropped for the log before it; under its name a torn one is reported as
+// corrupt and never taken as complete, nor as an empty log.
 func TestSnapshotTornAtEachByte(t *testing.T) {
 	made := func(snapshot bool) (*crashdisk.Disk, *state) {
 		d := crashdisk.New(rand.New(rand.NewPCG(1, 1)))
@@ -211,10 +221,10 @@
 			d.PutFile(secondFile+".new", x)
 			l, back, err := openLog(d)
 			if err != nil || back.revision != s.revision {
-				t.Fatalf("cut at %d, zeros %t, not renamed: revision %d, not %d: %v", length, zeros, back.revision, s.revision, err)
+				t.Fatalf("torn at %d, zeros %t, not renamed: revision %d, not %d: %v", length, zeros, back.revision, s.revision, err)
 			}
 			if ns, _ := d.List(""); len(ns) != 1 {
-				t.Fatalf("cut at %d, zeros %t: %v are left", length, zeros, ns)
+				t.Fatalf("torn at %d, zeros %t: %v are left", length, zeros, ns)
 			}
 			if err := l.Write(append([]*schema.WALEntry{back.snapshot()}, back.change()...), nil); err != nil {
 				t.Fatal(err)
@@ -222,17 +232,17 @@
 			d, _ = made(true)
 			d.PutFile(secondFile, x)
 			if _, back, err := openLog(d); !errors.Is(err, wal.ErrCorrupt) && !errors.Is(err, wal.ErrFormat) {
-				t.Fatalf("cut at %d, zeros %t: the torn snapshot is taken for a log at revision %d: %v", length, zeros, back.revision, err)
+				t.Fatalf("torn at %d, zeros %t: the torn snapshot is taken for a log at revision %d: %v", length, zeros, back.revision, err)
 			}
 		}
 	}
-	t.Logf("%d bytes, each cut and with zeros", len(b))
+	t.Logf("%d bytes, each torn and with zeros", len(b))
 }
 
-// TestDiskFullInASnapshot: a disk that takes no more bytes from any byte of a
-// snapshot on costs nothing that was told, whether the process ends, the power is
-// lost or it goes on trying; its tries leave no files that take up the room, and
-// once there is room again the snapshot is written.
+// TestDiskFullInASnapshot: a disk that is full from any byte of a snapshot on loses
+// nothing that was acknowledged, whether the process ends, the power is lost or it keeps
+// trying; its attempts leave no files that take up capacity, and once there is capacity
+// again the snapshot is written.
 func TestDiskFullInASnapshot(t *testing.T) {
 	const size = 200
 	for capacity := range 3 * size {
@@ -257,7 +267,7 @@
 				}
 			}
 			if d.UsedBytes() > max(used, 2*size) {
-				t.Fatalf("room %d: tries leave %d bytes, %d before them", capacity, d.UsedBytes(), used)
+				t.Fatalf("capacity %d: attempts leave %d bytes, %d before them", capacity, d.UsedBytes(), used)
 			}
 			switch how {
 			case 1:
@@ -266,27 +276,27 @@
 			case 0:
 				var back *state
 				if l, back, err = openLog(d); err != nil || back.revision < acknowledged {
-					t.Fatalf("room %d: revision %d is there, %d was told: %v", capacity, back.revision, acknowledged, err)
+					t.Fatalf("capacity %d: revision %d is there, %d was acknowledged: %v", capacity, back.revision, acknowledged, err)
 				}
 				s.revision = back.revision
 			}
-			// The room that a snapshot needs comes back, and no more.
+			// The capacity that a snapshot needs comes back, and no more.
 			d.Capacity = max(d.Capacity, d.UsedBytes()+2*size)
 			s.revision++
 			if err := l.Write([]*schema.WALEntry{s.snapshot()}, nil); err != nil {
-				t.Fatalf("room %d, way %d: with room again: %v", capacity, how, err)
+				t.Fatalf("capacity %d, way %d: with capacity again: %v", capacity, how, err)
 			}
 			d.PowerLoss()
 			if _, back, err := openLog(d); err != nil || back.revision != s.revision {
-				t.Fatalf("room %d: revision %d, not %d: %v", capacity, back.revision, s.revision, err)
+				t.Fatalf("capacity %d: revision %d, not %d: %v", capacity, back.revision, s.revision, err)
 			}
 		}
 	}
 }
 
-// TestDiskUse: however many changes are made, the disk's use is bounded by the
-// size of the state and stays far below the disk's, also on small ones; and so
-// is what a start reads.
+// TestDiskUse: however many changes are made, the space used is bounded by the size of the
+// state and stays far below the disk's size, also on small ones; and so does what a start
+// reads.
 func TestDiskUse(t *testing.T) {
 	for _, x := range []struct{ disk, size, changes int }{
 		{64 << 20, 24 << 10, 10_000}, {64 << 20, 40 << 10, 2_000}, {64 << 20, 4 << 20, 60},
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -13,7 +13,7 @@
 	Bytes   int    // of the file
 	Frames  int    // sound ones
 	Entries int    // in them
-	// TornBytes lie behind the last sound frame: a write that a loss of power cut short.
+	// TornBytes lie behind the last sound frame: a write that a loss of power tore.
 	// Nothing depends on them; the next start drops them.
 	TornBytes int
 	// Leftovers are files that the next start removes.
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -201,6 +201,26 @@
 	return entry
 }
 
+// growLog makes a log on a disk of a size and writes it so many times.
+func growLog(t *testing.T, dir string, diskSize, writes, size int) *growingLog {
+	t.Helper()
+	l, err := Open(dir, ignoreEntry)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l.SetDiskSize(diskSize)
+	g := &growingLog{log: l, registers: map[string]*schema.RegisterState{}}
+	for i := range writes {
+		if err := g.write(i, size); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return g
+}
+
 // TestCompaction: past its entries, or past several times the last snapshot's bytes, a
 // log is one snapshot and what came after, in one file; neither many writes of a small
 // state nor large states make each write a snapshot.
@@ -220,20 +240,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "v")
-			l, err := Open(dir, ignoreEntry)
-			if err != nil {
-				t.Fatal(err)
-			}
-			l.SetDiskSize(c.diskSize)
-			g := &growingLog{log: l, registers: map[string]*schema.RegisterState{}}
-			for i := range c.writes {
-				if err := g.write(i, c.size); err != nil {
-					t.Fatal(err)
-				}
-			}
-			if err := l.Close(); err != nil {
-				t.Fatal(err)
-			}
+			g := growLog(t, dir, c.diskSize, c.writes, c.size)
 			t.Logf("%d writes of %d bytes, a disk of %d: %d snapshots, at most %d bytes", c.writes, c.size, c.diskSize, g.snapshots, g.longest)
 			if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
 				t.Fatalf("%d files: %v", len(files), err)
--- a/internal/wal/scan.go
+++ b/internal/wal/scan.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if c.fileNumber > 1 && c.snapshotSize == 0 {
-		return fmt.Errorf("%w: %s does not begin with a whole snapshot", ErrCorrupt, file)
+		return fmt.Errorf("%w: %s does not begin with a complete snapshot", ErrCorrupt, file)
 	}
 	if hasFrameAfter(data, c.validLength+1, c.frames) {
 		return fmt.Errorf("%w: %s cannot be read from byte %d, and goes on behind it", ErrCorrupt, file, c.validLength)
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -74,8 +74,8 @@
 	},
 }
 
-func ballot(membership, round uint64, proposer string) *schema.Ballot {
-	return &schema.Ballot{Membership: membership, Number: round, Proposer: proposer}
+func ballot(membership, number uint64, proposer string) *schema.Ballot {
+	return &schema.Ballot{Membership: membership, Number: number, Proposer: proposer}
 }
 
 func acceptMessage(key string, b *schema.Ballot, revision uint64, data string, changes ...string) *schema.Envelope {
@@ -292,8 +292,8 @@
 	defer func() { _ = l.Close() }()
 	for _, x := range []struct {
 		key      string
-		round    uint64
-		given    bool
+		number   uint64
+		granted  bool
 		accepted string
 		revision uint64
 	}{
@@ -305,13 +305,13 @@
 		{"leader/shop/orders", 7, true, "2/6/10.0.0.1:7001", 2},
 		{"unheard", 1, true, "-", 0},
 	} {
-		t.Run(fmt.Sprint(x.key, x.round), func(t *testing.T) {
-			effects := a.Step(1, prepareMessage(x.key, ballot(2, x.round, voterB)))
+		t.Run(fmt.Sprint(x.key, x.number), func(t *testing.T) {
+			effects := a.Step(1, prepareMessage(x.key, ballot(2, x.number, voterB)))
 			if len(effects.Send) != 1 {
 				t.Fatalf("%d replies", len(effects.Send))
 			}
 			p := effects.Send[0].Envelope.GetPromise()
-			if p.GetGranted() != x.given || showBallot(p.GetAccepted()) != x.accepted || p.GetValue().GetRevision() != x.revision || p.GetDiskId() != diskA {
+			if p.GetGranted() != x.granted || showBallot(p.GetAccepted()) != x.accepted || p.GetValue().GetRevision() != x.revision || p.GetDiskId() != diskA {
 				t.Errorf("replied %v", p)
 			}
 		})
--- a/leaderelection/candidate_test.go
+++ b/leaderelection/candidate_test.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// TestOneIsExclusive: three candidates under clocks that run up to 8 % apart die, are
-// paused, drain, come back as another run and do not hear one another; never do two of
-// them count as the only leader, and mostly one does.
+// TestOneIsExclusive: three candidates with clocks whose rates differ by up to 8 % die,
+// are paused, drain, come back as another run and do not hear one another; never do two
+// of them count as the only leader, and mostly one does.
 func TestOneIsExclusive(t *testing.T) {
 	var counts electionCounts
 	for seed := range uint64(200) {
--- a/paxos/acceptor.go
+++ b/paxos/acceptor.go
@@ -13,7 +13,7 @@
 const (
 	// requestInterval is how long an acceptor that does not vote waits before it
 	// repeats its requests. A shorter one makes a new voter take part sooner; each
-	// request for state may bring the whole state.
+	// request for state may bring all registers.
 	requestInterval = 200 * time.Millisecond
 	// maxQuickJoinRequests is how many requests to join are sent at requestInterval.
 	// An acceptor that is still not a voter then is a spare, and slows down.
@@ -69,9 +69,9 @@
 	draining       bool  // asks to join no more
 }
 
-// NewAcceptor returns an acceptor with an empty disk. diskID tells that disk from any
-// other and must be random and not 0. founders are the addresses that form the first
-// membership; it is nil unless the fleet starts for the first time.
+// NewAcceptor returns an acceptor with an empty disk. diskID distinguishes that disk
+// from any other and must be random and not 0. founders are the addresses that form the
+// first membership; it is nil unless the fleet starts for the first time.
 func NewAcceptor(self string, diskID uint64, location Location, founders []string) *Acceptor {
 	return &Acceptor{
 		self:       self,
@@ -210,8 +210,8 @@
 }
 
 // Stale reports whether this acceptor's value of a key was accepted under an earlier
-// membership than the one it votes under. Such a value may be chosen; nobody can tell
-// before it is accepted anew under this membership (design 3.4).
+// membership than the one it votes under. Such a value may be chosen; that cannot be
+// known before it is accepted anew under this membership (design 3.4).
 func (a *Acceptor) Stale(key string) bool {
 	r := a.registers[key]
 	return r != nil && r.value != nil && r.accepted.GetMembership() < a.activeMembership
--- a/paxos/runs_test.go
+++ b/paxos/earlier_run_test.go
@@ -6,13 +6,14 @@
 	"stoneford/schema"
 )
 
+// runsVoters is the membership of these tests.
 var runsVoters = Membership{Number: 1, Voters: map[string]uint64{"a": 1, "b": 2, "c": 3}}
 
-// run is a proposer of one run of a's process, and what it asks the voters.
+// run is a proposer of one run of a's process, and what it sends to the voters.
 type run struct {
 	proposer *Proposer
 	outcomes []Outcome
-	requests []*schema.Envelope // one for each time that all were asked
+	requests []*schema.Envelope // one for each time that all voters were sent one
 }
 
 func newRun(name string) *run {
@@ -35,35 +36,36 @@
 	r.applyEffects(r.proposer.Propose(1, c))
 }
 
-// replies hands a reply of a voter to the newest question of another run.
+// promises hands in a voter's promise for the newest prepare of another run.
 func (r *run) promises(of *run, from string) {
 	m := of.requests[len(of.requests)-1].GetPrepare()
 	r.applyEffects(r.proposer.Step(2, &schema.Envelope{From: from, Body: &schema.Envelope_Promise{Promise: &schema.Promise{Key: "k", Attempt: m.Attempt, Granted: true, Promised: m.Ballot, Membership: 1, DiskId: runsVoters.Voters[from]}}}))
 }
 
+// accepts hands in a voter's acceptance of the newest accept of another run.
 func (r *run) accepts(of *run, from string) {
 	m := of.requests[len(of.requests)-1].GetAccept()
 	r.applyEffects(r.proposer.Step(3, &schema.Envelope{From: from, Body: &schema.Envelope_Accepted{Accepted: &schema.Accepted{Key: "k", Attempt: m.Attempt, Granted: true, Promised: m.Ballot, Membership: 1, DiskId: runsVoters.Voters[from]}}}))
 }
 
-// TestRepliesToAnEarlierRunDoNotCount: a process that starts again begins with a
-// question of its own. A late reply to the same question of its earlier run says
-// what was so then: counted, it has a reading miss what was chosen since, and a
-// change be confirmed that no majority accepted.
+// TestRepliesToAnEarlierRunDoNotCount: a process that restarts begins with an attempt
+// number of its own. A late reply to the same request of its earlier run describes the
+// state at that time: if it counted, a read would miss what was chosen since, and a change
+// would be confirmed that no majority accepted.
 func TestRepliesToAnEarlierRunDoNotCount(t *testing.T) {
 	earlier, later := newRun("1"), newRun("2")
 	for _, r := range []*run{earlier, later} {
-		r.propose(Change{ID: "reading", ReadOnly: true})
+		r.propose(Change{ID: "read", ReadOnly: true})
 	}
 	later.promises(later, "a")
 	later.promises(earlier, "b")
 	later.promises(earlier, "c")
 	if len(later.outcomes) > 0 {
-		t.Fatalf("a reading ends with what was said to an earlier run: %+v", later.outcomes)
+		t.Fatalf("a read ends with replies to an earlier run: %+v", later.outcomes)
 	}
 	later.promises(later, "b")
 	if len(later.outcomes) != 1 || later.outcomes[0].Verdict != Committed {
-		t.Fatalf("the reading ends with %+v", later.outcomes)
+		t.Fatalf("the read ends with %+v", later.outcomes)
 	}
 
 	earlier, later = newRun("1"), newRun("2")
@@ -72,14 +74,14 @@
 		r.promises(r, "a")
 		r.promises(r, "b")
 		if r.requests[len(r.requests)-1].GetAccept() == nil {
-			t.Fatal("nothing was put to the vote")
+			t.Fatal("no accept was sent")
 		}
 	}
 	later.accepts(later, "a")
 	later.accepts(earlier, "b")
 	later.accepts(earlier, "c")
 	if len(later.outcomes) > 0 {
-		t.Fatalf("a change is agreed on what an earlier run was told: %+v", later.outcomes)
+		t.Fatalf("a change is committed by replies to an earlier run: %+v", later.outcomes)
 	}
 	later.accepts(later, "c")
 	if len(later.outcomes) != 1 || later.outcomes[0].Verdict != Committed {
--- a/paxos/example_test.go
+++ b/paxos/example_test.go
@@ -7,8 +7,8 @@
 	"stoneford/statemachine"
 )
 
-// Three voters and a proposer in one process; envelopes are handed over as they
-// come, and what a voter logs would be synced here.
+// Three voters and a proposer in one process; envelopes are delivered at once, and what a
+// voter logs would be synced here.
 func Example() {
 	names := []string{"a", "b", "c"}
 	acceptors := map[string]*paxos.Acceptor{}
--- /dev/null
+++ b/paxos/fleet_faults_test.go
@@ -0,0 +1,139 @@
+package paxos_test
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"stoneford/paxos"
+)
+
+// injectFault injects one random fault.
+func (f *fleet) injectFault() {
+	a := f.anyAddress()
+	switch k := f.random.IntN(100); {
+	case k < 25:
+		f.counts.restarts++
+		f.start(a, f.foundersFor(a))
+	case k < 35:
+		f.down[a] = true
+	case k < 50:
+		f.wipe(a)
+	case k < 68:
+		f.replace(a)
+	case k < 78:
+		f.drain(a)
+	case k < 94:
+		b := f.anyAddress()
+		f.partitions[[2]string{a, b}] = a != b
+		if f.random.IntN(2) == 0 {
+			f.partitions[[2]string{b, a}] = a != b
+		}
+	default:
+		f.counts.blackouts++
+		f.inTransit = nil
+		for _, o := range f.addresses() {
+			f.start(o, f.foundersFor(o))
+		}
+	}
+}
+
+// repair removes all partitions and starts what is down.
+func (f *fleet) repair() {
+	clear(f.partitions)
+	for _, a := range slices.Sorted(maps.Keys(f.down)) {
+		f.start(a, f.foundersFor(a))
+	}
+}
+
+// foundersFor returns the founders that a process is given as it restarts with its disk.
+func (f *fleet) foundersFor(address string) []string {
+	p := f.processes[address]
+	if slices.Contains(f.founders, address) && (p.acceptor.Membership().Known() || len(p.disk) > 0) && f.counts.machines == 0 {
+		return f.founders
+	}
+	if !f.founded && f.counts.machines == 0 {
+		return f.founders
+	}
+	return nil
+}
+
+// mayLoseDisk reports whether one disk more may be lost: nearly always only so many that
+// the run continues.
+func (f *fleet) mayLoseDisk(a string) bool {
+	if !newestMembership(f.processes).Known() {
+		return f.counts.disks < (f.size-1)/2 // of the founders
+	}
+	if f.toleratesLossOf(a) {
+		return true
+	}
+	if f.founded && f.random.IntN(100) < 2 {
+		f.counts.beyondBound++
+		return true
+	}
+	return false
+}
+
+func (f *fleet) wipe(a string) {
+	if !f.mayLoseDisk(a) {
+		return
+	}
+	var founders []string
+	if f.counts.disks < (f.size-1)/2 && f.counts.machines == 0 && f.random.IntN(2) == 0 {
+		founders = f.founders // it is started as a founder, and finds the others have formed
+	}
+	f.counts.disks++
+	f.diskLostAt[f.processes[a].acceptor.DiskID()] = f.now
+	f.addMachine(a)
+	f.start(a, founders)
+}
+
+func (f *fleet) replace(a string) {
+	if !f.founded || !f.mayLoseDisk(a) {
+		return
+	}
+	f.counts.machines++
+	f.counts.disks++
+	f.remove(a)
+	f.newcomer()
+}
+
+// drain has a process drain; the newcomer that replaces it comes first.
+func (f *fleet) drain(a string) {
+	p := f.processes[a]
+	if !f.founded || p.draining || f.down[a] || len(f.processes) > f.size+3 {
+		return
+	}
+	f.counts.machines++
+	f.newcomer()
+	p.draining = true
+	p.acceptor.Drain()
+}
+
+// proposeRivals has two voters propose different memberships at once.
+func (f *fleet) proposeRivals() {
+	var spares []*process
+	for _, a := range f.addresses() {
+		if p := f.processes[a]; !p.draining && !f.down[a] && !newestMembership(f.processes).HasVoter(a, p.acceptor.DiskID()) {
+			spares = append(spares, p)
+		}
+	}
+	if len(spares) == 0 || !f.allActive() {
+		return
+	}
+	for range 2 {
+		p := f.processes[f.anyAddress()]
+		m := p.acceptor.Membership()
+		in := spares[f.random.IntN(len(spares))]
+		if f.down[p.address] || !p.acceptor.IsVoter() || m.Voters[in.address] != 0 {
+			continue
+		}
+		voters := maps.Clone(m.Voters)
+		delete(voters, m.Addresses()[f.random.IntN(len(m.Voters))])
+		voters[in.address] = in.acceptor.DiskID()
+		f.changes++
+		f.counts.rivalProposals++
+		p.propose(f.now, paxos.Change{Key: paxos.MembershipKey, ID: fmt.Sprint("rush", f.changes), BaseRevision: m.Number, Data: m.Next(voters).Encode(), Deadline: f.now + 2_000_000})
+		f.flush(p)
+	}
+}
--- a/paxos/founding.go
+++ b/paxos/founding.go
@@ -79,7 +79,7 @@
 	return slices.Contains(a.founding.founders, a.self) && !a.membership.Known()
 }
 
-// sendFounderReports tells the other founders which disks this one knows. What is
+// sendFounderReports reports to the other founders which disks this one knows. What is
 // reported is in the log first.
 func (a *Acceptor) sendFounderReports(effects *Effects) {
 	if !a.identityLogged {
--- a/paxos/membership_test.go
+++ b/paxos/membership_test.go
@@ -13,11 +13,12 @@
 	"stoneford/schema"
 )
 
-// fewestSeeds are run under the race detector too: with fewer, the share of the runs
-// that end beyond the bound says little.
-const fewestSeeds = 100
+// minSeeds are run under the race detector too: with fewer, the fraction of the runs that
+// end beyond the bound says little.
+const minSeeds = 100
 
-// scheduleSeeds is how many seeds a test of schedules runs.
+// scheduleSeeds returns how many seeds a test of schedules runs; the environment variable
+// SEEDS overrides it.
 func scheduleSeeds(seeds int) uint64 {
 	if testing.Short() {
 		seeds /= 5
@@ -25,11 +26,11 @@
 	if s, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		return uint64(s)
 	}
-	return uint64(max(seeds/slower, fewestSeeds))
+	return uint64(max(seeds/slower, minSeeds))
 }
 
-// exploreSeeds drives many seeds, a few at a time, and hands back what each of
-// them ended with.
+// exploreSeeds drives many seeds, a few at a time, and returns the failure and counts of
+// each.
 func exploreSeeds(seeds uint64, size, steps int, mutation mutation) []*fleet {
 	done := make([]*fleet, seeds)
 	var next atomic.Uint64
@@ -46,10 +47,10 @@
 	return done
 }
 
-// TestMembershipChanges: whatever order things come in, a revision is one value
-// and a number one membership, nothing that was told agreed is lost and no reading
-// is older than what was agreed before it; afterwards all voters vote and readings
-// end, unless more disks were lost than a majority can do without.
+// TestMembershipChanges: in whatever order messages and faults come, a revision has one
+// value and a number one membership, nothing reported as committed is lost and no read is
+// older than what was committed before it; afterwards all voters vote and reads end,
+// unless more disks were lost than a majority can do without.
 func TestMembershipChanges(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		seeds := scheduleSeeds(500)
@@ -68,8 +69,8 @@
 	}
 }
 
-// exploreFounding interrupts the first start: kills, and a minority of founders
-// that lose their disks, told to found again or not.
+// exploreFounding interrupts the first start: kills, and a minority of founders that lose
+// their disks, and are started as founders again or not.
 func exploreFounding(seed uint64, size int) *fleet {
 	f := newFleet(seed, size, noMutation)
 	for range 100 + f.random.IntN(200) {
@@ -100,8 +101,8 @@
 	return f
 }
 
-// TestFoundingInterrupted: kills and lost disks during the first start leave one
-// first membership that acts, and all of its voters vote in the end.
+// TestFoundingInterrupted: kills and lost disks during the first start leave one first
+// membership, and all of its voters vote in the end.
 func TestFoundingInterrupted(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		seeds := scheduleSeeds(1500)
@@ -122,7 +123,7 @@
 	}
 }
 
-// separate cuts these processes off from all others.
+// separate partitions these processes from all others.
 func (f *fleet) separate(side ...string) {
 	for _, a := range side {
 		for _, b := range f.addresses() {
@@ -133,56 +134,58 @@
 	}
 }
 
-// flow delivers all in order for a time and leaves the cuts as they are.
-func (f *fleet) flow(us int64) { f.run(us, func() bool { return false }) }
+// runFor delivers all in order for a time and leaves the partitions as they are.
+func (f *fleet) runFor(us int64) { f.run(us, func() bool { return false }) }
 
-// TestReturningVoterFindsItselfRemoved: a voter that was cut off while it was
-// replaced gets nothing agreed, neither alone nor with a voter that does not know
-// the change yet, and is told that it is out once it hears anybody who does.
+// newOutcomes has a process propose a change and a read, and counts how they end.
+func (f *fleet) newOutcomes(address string) map[paxos.Verdict]int {
+	before := maps.Clone(f.counts.outcomes)
+	f.propose(address, false, 1_000_000)
+	f.propose(address, true, 1_000_000)
+	f.runFor(1_500_000)
+	outcomes := map[paxos.Verdict]int{}
+	for verdict, n := range f.counts.outcomes {
+		if n > before[verdict] {
+			outcomes[verdict] = n - before[verdict]
+		}
+	}
+	return outcomes
+}
+
+// TestReturningVoterFindsItselfRemoved: a voter that was partitioned while it was replaced
+// gets nothing committed, neither alone nor with a voter that does not know the change
+// yet, and learns that it was removed from the first process that knows.
 func TestReturningVoterFindsItselfRemoved(t *testing.T) {
 	f := newFleet(1, 3, noMutation)
-	f.runRepaired(2_000_000, f.allVote)
+	f.runRepaired(2_000_000, f.allActive)
 	a, b, c := f.founders[0], f.founders[1], f.founders[2]
 	f.newcomer()
 	f.separate(a)
-	f.flow(4_000_000)
+	f.runFor(4_000_000)
 	if m := newestMembership(f.processes); m.Number != 2 || m.Voters[a] != 0 || f.processes[a].acceptor.ActiveMembership() != 1 {
 		t.Fatalf("%s is not replaced, or knows it: %v", a, m)
 	}
-	outcomesOf := func(address string) map[paxos.Verdict]int {
-		before := maps.Clone(f.counts.outcomes)
-		f.propose(address, false, 1_000_000)
-		f.propose(address, true, 1_000_000)
-		f.flow(1_500_000)
-		ended := map[paxos.Verdict]int{}
-		for v, n := range f.counts.outcomes {
-			if n > before[v] {
-				ended[v] = n - before[v]
-			}
-		}
-		return ended
-	}
-	if ended := outcomesOf(a); ended[paxos.Committed]+ended[paxos.Conflict] > 0 {
-		t.Errorf("alone, the removed voter had something agreed: %v", ended)
+	if outcomes := f.newOutcomes(a); outcomes[paxos.Committed]+outcomes[paxos.Conflict] > 0 {
+		t.Errorf("alone, the removed voter had something committed: %v", outcomes)
 	}
 	// One that stopped voting under the first membership joins it.
 	clear(f.partitions)
 	f.separate(a, b)
 	f.processes[a].mutateReceived = func(_ *process, e *schema.Envelope) *schema.Envelope {
 		if e.GetMembershipNotice() != nil || e.GetStateRequest() != nil {
-			return nil // not told yet
+			return nil // it does not learn of the change yet
 		}
 		return e
 	}
-	if ended := outcomesOf(a); ended[paxos.Committed]+ended[paxos.Conflict] > 0 {
-		t.Errorf("with %s, the removed voter had something agreed: %v", b, ended)
+	if outcomes := f.newOutcomes(a); outcomes[paxos.Committed]+outcomes[paxos.Conflict] > 0 {
+		t.Errorf("with %s, the removed voter had something committed: %v", b, outcomes)
 	}
 	f.processes[a].mutateReceived = nil
 	clear(f.partitions)
 	f.separate(a, c)
-	f.flow(1_000_000)
+	f.runFor(1_000_000)
 	if p := f.processes[a].acceptor; p.IsVoter() || p.Membership().Number < 2 {
-		t.Errorf("the removed voter votes, or was not told: %d", p.Membership().Number)
+		t.Errorf("the removed voter votes, or did not learn of the change: %d", p.Membership().Number)
 	}
 	f.finish()
 	if f.failure != "" {
@@ -190,47 +193,47 @@
 	}
 }
 
-// TestEveryFounderReplaced: one voter after the other is gone for good and
-// replaced, until the last founder is out and addresses come round again, with a
-// change agreed in between each time that nobody loses.
+// TestEveryFounderReplaced: one voter after the other is removed for good and replaced,
+// until no founder is left and addresses are used again, with a change committed in
+// between each time that is never lost.
 func TestEveryFounderReplaced(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		f := newFleet(uint64(size), size, noMutation)
-		f.runRepaired(2_000_000, f.allVote)
-		retries := 0
+		f.runRepaired(2_000_000, f.allActive)
+		reusedAddresses := 0
 		for n := range 4 * size {
 			m := newestMembership(f.processes)
 			gone := m.Addresses()[n%size]
 			f.remove(gone)
 			if n%2 == 1 { // back at an address used before
-				retries++
+				reusedAddresses++
 				old := f.removedAddresses[0]
 				f.addMachine(old)
 				f.start(old, nil)
 			} else {
 				f.newcomer()
 			}
-			f.runRepaired(8_000_000, func() bool { return f.allVote() && newestMembership(f.processes).Voters[gone] == 0 })
-			if !f.allVote() {
+			f.runRepaired(8_000_000, func() bool { return f.allActive() && newestMembership(f.processes).Voters[gone] == 0 })
+			if !f.allActive() {
 				t.Fatalf("%d voters, replacement %d: not all vote", size, n)
 			}
-			agreed := f.committed
+			committed := f.committed
 			f.propose(f.anyAddress(), false, 10_000_000)
-			f.runRepaired(10_000_000, func() bool { return f.committed > agreed })
-			if f.committed == agreed {
-				t.Fatalf("%d voters, replacement %d: nothing agreed", size, n)
+			f.runRepaired(10_000_000, func() bool { return f.committed > committed })
+			if f.committed == committed {
+				t.Fatalf("%d voters, replacement %d: nothing committed", size, n)
 			}
 		}
 		f.finish()
 		if f.failure != "" || f.counts.turnovers == 0 {
 			t.Errorf("%d voters: %q; founders left: %d", size, f.failure, f.counts.turnovers)
 		}
-		t.Logf("%d voters: membership %d, %d agreed, %d machines at an address used before", size, f.counts.memberships, f.committed, retries)
+		t.Logf("%d voters: membership %d, %d committed, %d machines at an address used before", size, f.counts.memberships, f.committed, reusedAddresses)
 	}
 }
 
-// TestLateReplyToAnEarlierRun: a promise to an earlier run of the process does not
-// count for a reading of this one.
+// TestLateReplyToAnEarlierRun: a promise to an earlier run of the process does not count
+// for a read of this one.
 func TestLateReplyToAnEarlierRun(t *testing.T) {
 	m := paxos.Membership{Number: 1, Voters: map[string]uint64{"a": 1, "b": 2, "c": 3}}
 	first, second := paxos.NewProposer("a", "1", nil), paxos.NewProposer("a", "2", nil)
@@ -244,13 +247,13 @@
 		effects := second.Step(2, &schema.Envelope{From: from, Body: &schema.Envelope_Promise{Promise: &schema.Promise{
 			Key: "x", Attempt: late, Granted: true, Membership: 1, DiskId: diskID, Promised: &schema.Ballot{}, Accepted: &schema.Ballot{}}}})
 		if len(effects.Outcomes) > 0 {
-			t.Fatal("replies to an earlier run ended a reading")
+			t.Fatal("replies to an earlier run ended a read")
 		}
 	}
 }
 
-// TestNoPlanWithoutMembership: a process that knows no membership plans none,
-// whoever asks it for a vote.
+// TestNoPlanWithoutMembership: a process that knows no membership plans none, whoever
+// asks to join.
 func TestNoPlanWithoutMembership(t *testing.T) {
 	a := paxos.NewAcceptor("a", 1, paxos.Location{}, nil)
 	a.Step(1, &schema.Envelope{From: "b", Body: &schema.Envelope_JoinRequest{JoinRequest: &schema.JoinRequest{DiskId: 2, Eligible: true}}})
@@ -260,33 +263,33 @@
 	}
 }
 
-// TestDrainingVoterParticipates: a voter that leaves and is still named by the next
-// membership votes under it, or nobody could agree on letting it go.
+// TestDrainingVoterParticipates: a voter that drains and is still named by the next
+// membership votes under it, or its own removal could not be chosen.
 func TestDrainingVoterParticipates(t *testing.T) {
 	first := paxos.Membership{Number: 1, Voters: map[string]uint64{"a": 1, "b": 2, "c": 3}}
 	a := paxos.NewAcceptor("a", 1, paxos.Location{}, nil)
 	a.AdoptMembership(first)
 	a.Drain()
 	a.AdoptMembership(first.Next(map[string]uint64{"a": 1, "b": 2, "d": 4}))
-	asks := 0
+	requests := 0
 	for _, s := range a.Tick(1).Send {
 		if s.Envelope.GetStateRequest() != nil {
-			asks++
+			requests++
 		}
 	}
-	if asks == 0 {
-		t.Error("it does not ask for what it needs to vote")
+	if requests == 0 {
+		t.Error("it does not request the state that it needs to vote")
 	}
 }
 
-// TestOneVoterReplacedAtATime: with two voters lost and two candidates one is
-// replaced, and the other by the membership after that.
+// TestOneVoterReplacedAtATime: with two voters lost and two candidates one is replaced,
+// and the other by the membership after that.
 func TestOneVoterReplacedAtATime(t *testing.T) {
 	current := paxos.Membership{Number: 1, Voters: map[string]uint64{"a": 1, "b": 2, "c": 3, "d": 4, "e": 5}}
-	survey := paxos.PlanningInput{Unavailable: map[string]bool{"b": true, "e": true}, TargetVoters: 5,
+	input := paxos.PlanningInput{Unavailable: map[string]bool{"b": true, "e": true}, TargetVoters: 5,
 		Candidates: []paxos.Candidate{{Address: "a", DiskID: 9, Eligible: true}, {Address: "f", DiskID: 6, Eligible: true}, {Address: "g", DiskID: 7, Eligible: true}}}
 	for n := range 3 {
-		next, due := paxos.PlanMembership(current, survey)
+		next, due := paxos.PlanMembership(current, input)
 		if !due {
 			t.Fatalf("step %d: nothing due", n)
 		}
@@ -299,7 +302,7 @@
 		if changed != 1 || len(next.Voters) != 5 {
 			t.Errorf("step %d: %v after %v", n, next.Voters, current.Voters)
 		}
-		survey.Candidates = slices.DeleteFunc(survey.Candidates, func(c paxos.Candidate) bool { return next.HasVoter(c.Address, c.DiskID) })
+		input.Candidates = slices.DeleteFunc(input.Candidates, func(c paxos.Candidate) bool { return next.HasVoter(c.Address, c.DiskID) })
 		current = next
 	}
 	if !maps.Equal(current.Voters, map[string]uint64{"a": 9, "c": 3, "d": 4, "f": 6, "g": 7}) {
@@ -307,8 +310,8 @@
 	}
 }
 
-// TestFewFoundersGrow: where fewer founders are named than what may be lost needs,
-// processes that ask to vote are added, one membership after the other.
+// TestFewFoundersGrow: where there are fewer founders than the target, processes that ask
+// to join are added, one membership after the other.
 func TestFewFoundersGrow(t *testing.T) {
 	for founders := 1; founders < 5; founders++ {
 		f := newFleet(uint64(founders), founders, noMutation)
@@ -317,9 +320,9 @@
 			f.newcomer()
 		}
 		for _, p := range f.processes {
-			p.target = f.size
+			p.targetVoters = f.size
 		}
-		f.runRepaired(10_000_000, f.allVote)
+		f.runRepaired(10_000_000, f.allActive)
 		if f.finish(); f.failure != "" || len(newestMembership(f.processes).Voters) != 5 {
 			t.Errorf("%d founders: %q; %d vote", founders, f.failure, len(newestMembership(f.processes).Voters))
 		}
@@ -327,10 +330,10 @@
 }
 
 // TestSealedVoterResumesVoting: a voter that accepted a successor which nobody else
-// accepted, from a proposer that died, votes again by itself.
+// accepted, from a proposer that died, votes again by its own means.
 func TestSealedVoterResumesVoting(t *testing.T) {
 	f := newFleet(1, 3, noMutation)
-	f.runRepaired(2_000_000, f.allVote)
+	f.runRepaired(2_000_000, f.allActive)
 	p := f.processes[f.founders[2]] // the others' promises come before its own
 	m := p.acceptor.Membership()
 	next := m.Next(map[string]uint64{f.founders[2]: m.Voters[f.founders[2]], f.founders[1]: m.Voters[f.founders[1]], "gone": 1})
@@ -341,8 +344,8 @@
 	if !p.acceptor.Sealed() || p.acceptor.IsVoter() {
 		t.Fatal("it is not sealed")
 	}
-	f.runRepaired(5_000_000, f.allVote)
-	if !f.allVote() {
+	f.runRepaired(5_000_000, f.allActive)
+	if !f.allActive() {
 		t.Error("it stays sealed")
 	}
 }
--- a/paxos/persistence.go
+++ b/paxos/persistence.go
@@ -28,7 +28,7 @@
 	a.activeMembership = max(a.activeMembership, entry.ActiveMembership)
 }
 
-// Snapshot returns the whole state as one log entry; entries before it are obsolete.
+// Snapshot returns the complete state as one log entry; entries before it are obsolete.
 func (a *Acceptor) Snapshot() *schema.WALEntry {
 	entry := &schema.WALEntry{
 		Snapshot:         true,
--- /dev/null
+++ b/paxos/planner_test.go
@@ -0,0 +1,94 @@
+package paxos_test
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"stoneford/paxos"
+)
+
+// votersAndZones reads voters as TestPlan writes them.
+func votersAndZones(text string) (voters map[string]uint64, zones map[string]string) {
+	voters, zones = map[string]uint64{}, map[string]string{}
+	for _, field := range strings.Fields(text) {
+		name, zone, _ := strings.Cut(field, ".")
+		voters[name], zones[name] = 1, zone
+	}
+	return voters, zones
+}
+
+// candidatesOf reads candidates as TestPlan writes them.
+func candidatesOf(text string) []paxos.Candidate {
+	var candidates []paxos.Candidate
+	for _, field := range strings.Fields(text) {
+		name, zone, _ := strings.Cut(field, ".")
+		candidate := paxos.Candidate{Address: name[:1], DiskID: 1, Zone: zone, Eligible: true}
+		if strings.HasSuffix(name, "2") {
+			candidate.DiskID = 2
+		}
+		candidates = append(candidates, candidate)
+	}
+	return candidates
+}
+
+// describe writes a membership's voters as TestPlan does, without zones.
+func describe(m paxos.Membership) string {
+	description := ""
+	for _, name := range m.Addresses() {
+		description += name
+		if m.Voters[name] == 2 {
+			description += "2"
+		}
+	}
+	return description
+}
+
+// TestPlan checks which membership follows. Voters and candidates are letters, each with
+// its zone behind a dot; a voter's disk is 1, another disk 2.
+func TestPlan(t *testing.T) {
+	for _, x := range []struct {
+		name, voters, lost, candidates string
+		target, maxPerZone             int
+		want                           string
+	}{
+		{"nobody lost", "a.1 b.2 c.3", "", "d.1", 3, 0, ""},
+		{"lost and nobody new", "a.1 b.2 c.3", "c", "", 3, 0, ""},
+		{"lost and one new", "a.1 b.2 c.3", "c", "d.3", 3, 0, "abd"},
+		{"two lost, one new", "a.1 b.2 c.3 d.1 e.2", "de", "f.1", 5, 0, "abcef"},
+		{"two lost, two new: one at a time", "a.1 b.2 c.3 d.1 e.2", "de", "f.1 g.2", 5, 0, "abcef"},
+		{"a lost disk", "a.1 b.2 c.3", "", "b2.2", 3, 0, "ab2c"},
+		{"a lost disk at an unresponsive voter", "a.1 b.2 c.3", "b", "b2.2 d.3", 3, 0, "ab2c"},
+		{"more are needed and present", "a.1 b.2 c.3", "", "d.1 e.2 f.3", 5, 0, "abcde"},
+		{"more are needed and not all present", "a.1 b.2 c.3", "", "d.1", 5, 0, ""},
+		{"of the zone that lost one", "a.1 b.2 c.3", "c", "d.1 e.3 f.2", 3, 0, "abe"},
+		{"of the zone with the fewest", "a.1 b.1 c.2", "c", "d.1 e.3", 3, 0, "abe"},
+		{"a zone with a majority", "a.1 b.1 c.2", "", "d.3 e.1", 3, 1, "bcd"},
+		{"a zone with a majority, and nobody elsewhere", "a.1 b.1 c.2", "", "d.1", 3, 1, ""},
+		{"five in three zones", "a.1 b.1 c.1 d.2 e.3", "", "f.2 g.3", 5, 2, "bcdef"},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			voters, zones := votersAndZones(x.voters)
+			input := paxos.PlanningInput{
+				Unavailable:  map[string]bool{},
+				Candidates:   candidatesOf(x.candidates),
+				Zones:        zones,
+				Regions:      map[string]string{},
+				TargetVoters: x.target,
+				MaxPerZone:   x.maxPerZone,
+			}
+			for _, address := range x.lost {
+				input.Unavailable[string(address)] = true
+			}
+			current := paxos.Membership{Number: 7, Voters: voters}
+			next, due := paxos.PlanMembership(current, input)
+			if got := describe(next); got != x.want || due != (x.want != "") {
+				t.Errorf("%q follows, not %q", got, x.want)
+			}
+			if due && (next.Number != 8 || !maps.Equal(next.Previous, voters)) {
+				t.Errorf("membership %d after %v", next.Number, slices.Sorted(maps.Keys(next.Previous)))
+			}
+		})
+	}
+}
--- a/paxos/process_test.go
+++ b/paxos/process_test.go
@@ -11,7 +11,8 @@
 	"stoneford/statemachine"
 )
 
-// unresponsiveAfter is how long a process may be silent before it counts as gone.
+// unresponsiveAfter is how long a process may not be heard of before it counts as
+// unavailable, in microseconds.
 const unresponsiveAfter = 1_000_000
 
 // process is an acceptor with its disk, a proposer and a reconfigurer, as a
@@ -19,30 +20,33 @@
 type process struct {
 	address            string
 	zone               string
-	target             int
-	replacementTimeout int64 // how long a voter may be silent before others replace it, unresponsiveAfter if 0
-	disk               []*schema.WALEntry
-	acceptor           *paxos.Acceptor
-	proposer           *paxos.Proposer
-	reconfigurer       *paxos.Reconfigurer
-	draining           bool
-	startedAt          int64
-	heardAt            map[string]int64
-	outgoing           []statemachine.Send
-	outcomes           []paxos.Outcome
-	// Faults planted by tests; none where unset.
-	ownVoterOnly   bool // its own voter is taken for a majority
+	targetVoters       int
+	replacementTimeout int64 // after which an unresponsive voter is replaced, unresponsiveAfter if 0
+
+	disk         []*schema.WALEntry
+	acceptor     *paxos.Acceptor
+	proposer     *paxos.Proposer
+	reconfigurer *paxos.Reconfigurer
+	draining     bool
+
+	startedAt int64
+	heardAt   map[string]int64 // by address
+	outgoing  []statemachine.Send
+	outcomes  []paxos.Outcome
+
+	// Mutations; none where unset.
+	ownVoterOnly   bool // its own voter counts as a majority
 	mutateLog      func(p *process, log []*schema.WALEntry) []*schema.WALEntry
 	mutateReceived func(p *process, e *schema.Envelope) *schema.Envelope
 }
 
-// start has the process begin on what its disk holds.
-func (p *process) start(now int64, r *rand.Rand, founders []string) {
-	diskID := r.Uint64()>>1 | 1
-	run := fmt.Sprint(r.Uint64())
+// start begins another run of the process on what its disk holds.
+func (p *process) start(now int64, random *rand.Rand, founders []string) {
+	diskID := random.Uint64()>>1 | 1
+	run := fmt.Sprint(random.Uint64())
 	p.acceptor = paxos.NewAcceptor(p.address, diskID, paxos.Location{Zone: p.zone, Eligible: true}, founders)
-	for _, l := range p.disk {
-		p.acceptor.Restore(l)
+	for _, entry := range p.disk {
+		p.acceptor.Restore(entry)
 	}
 	p.proposer = paxos.NewProposer(p.address, run, founders)
 	p.proposer.LocalState = p.acceptor.RegisterState
@@ -51,7 +55,7 @@
 	p.updateProposer(now)
 }
 
-// updateProposer has the proposer know the newest membership.
+// updateProposer hands the newest membership to the proposer.
 func (p *process) updateProposer(now int64) {
 	m := p.acceptor.Membership()
 	if p.ownVoterOnly {
@@ -65,11 +69,11 @@
 	if p.mutateLog != nil {
 		log = p.mutateLog(p, log)
 	}
-	for _, l := range log {
-		if l.Snapshot {
+	for _, entry := range log {
+		if entry.Snapshot {
 			p.disk = nil
 		}
-		p.disk = append(p.disk, l)
+		p.disk = append(p.disk, entry)
 	}
 	p.outgoing = append(p.outgoing, effects.Send...)
 	p.updateProposer(now)
@@ -104,9 +108,9 @@
 	}
 }
 
-// planningInput is what this process knows of the voters.
+// planningInput is what this process knows of voters and candidates.
 func (p *process) planningInput(now int64) paxos.PlanningInput {
-	s := paxos.PlanningInput{Unavailable: map[string]bool{}, Candidates: p.acceptor.Candidates(now, unresponsiveAfter), TargetVoters: p.target, Zones: map[string]string{}}
+	s := paxos.PlanningInput{Unavailable: map[string]bool{}, Candidates: p.acceptor.Candidates(now, unresponsiveAfter), TargetVoters: p.targetVoters, Zones: map[string]string{}}
 	for _, address := range p.acceptor.Membership().Addresses() {
 		if address != p.address && now-max(p.heardAt[address], p.startedAt) > cmp.Or(p.replacementTimeout, unresponsiveAfter) {
 			s.Unavailable[address] = true
@@ -124,7 +128,7 @@
 	}
 }
 
-// ping has the others hear of this process.
+// ping sends the others a sign that this process runs.
 func (p *process) ping(others []string) {
 	for _, o := range others {
 		if o != p.address {
@@ -159,61 +163,3 @@
 	}
 	return m
 }
-
-// history holds what was told of changes and readings against each other: no
-// revision has two values, nothing told agreed is lost, no reading is older than
-// what was agreed before it began.
-type history struct {
-	chosen            map[string]map[uint64]string
-	committedRevision map[string]uint64 // newest revision known agreed, by key
-	revisionAtStart   map[string]uint64 // by change: newest revision agreed when it began
-	committed         int
-	reads             int
-	failure           string
-}
-
-func newHistory(keys ...string) history {
-	l := history{chosen: map[string]map[uint64]string{}, committedRevision: map[string]uint64{}, revisionAtStart: map[string]uint64{}}
-	for _, k := range keys {
-		l.chosen[k] = map[uint64]string{}
-	}
-	return l
-}
-
-func (l *history) failf(f string, a ...any) {
-	if l.failure == "" {
-		l.failure = fmt.Sprintf(f, a...)
-	}
-}
-
-func (l *history) recordOutcome(o paxos.Outcome) {
-	if o.Verdict != paxos.Committed && o.Verdict != paxos.Conflict {
-		return
-	}
-	k, r := o.Change.Key, o.Value.GetRevision()
-	if r > 0 {
-		d := string(o.Value.Data)
-		if previous, ok := l.chosen[k][r]; ok && previous != d {
-			l.failf("%s revision %d is both %s and %s", k, r, previous, d)
-		}
-		l.chosen[k][r] = d
-	}
-	if r < l.revisionAtStart[o.Change.ID] {
-		l.failf("%s: %s ended at revision %d, but %d was agreed before it began", k, o.Change.ID, r, l.revisionAtStart[o.Change.ID])
-	}
-	if !o.Change.ReadOnly && o.Verdict == paxos.Committed {
-		l.committed++
-		// Its own revision is base+1, whatever came later.
-		if previous, ok := l.chosen[k][o.Change.BaseRevision+1]; ok && previous != string(o.Change.Data) {
-			l.failf("%s: %s was told agreed, but revision %d is %s", k, o.Change.ID, o.Change.BaseRevision+1, previous)
-		}
-		l.chosen[k][o.Change.BaseRevision+1] = string(o.Change.Data)
-	}
-	if !o.Change.ReadOnly && o.Verdict == paxos.Conflict && l.chosen[k][o.Change.BaseRevision+1] == string(o.Change.Data) {
-		l.failf("%s: %s was told lost and is in force", k, o.Change.ID)
-	}
-	if o.Change.ReadOnly {
-		l.reads++
-	}
-	l.committedRevision[k] = max(l.committedRevision[k], r)
-}
--- a/paxos/voting.go
+++ b/paxos/voting.go
@@ -2,9 +2,9 @@
 
 import "stoneford/schema"
 
-// mayVote reports whether a message under a membership may be voted on. A sender
+// admits reports whether a message under a membership is to be answered by vote. A sender
 // that counts under another membership is sent the newest one instead.
-func (a *Acceptor) mayVote(effects *Effects, from string, membership uint64, key string) bool {
+func (a *Acceptor) admits(effects *Effects, from string, membership uint64, key string) bool {
 	if membership != a.membership.Number {
 		a.sendMembershipNotice(effects, from)
 		return false
@@ -16,7 +16,7 @@
 // the prepare, and returns the value accepted so far. A prepare without a ballot is a
 // quorum read, which binds nobody and writes nothing.
 func (a *Acceptor) handlePrepare(effects *Effects, from string, prepare *schema.Prepare) {
-	if !a.mayVote(effects, from, prepare.Membership, prepare.Key) {
+	if !a.admits(effects, from, prepare.Membership, prepare.Key) {
 		return
 	}
 	r := a.ensureRegister(prepare.Key)
@@ -47,7 +47,7 @@
 // handleAccept is phase 2 of Paxos: it accepts the value unless a higher ballot was
 // promised.
 func (a *Acceptor) handleAccept(effects *Effects, from string, accept *schema.Accept) {
-	if !a.mayVote(effects, from, accept.Membership, accept.Key) {
+	if !a.admits(effects, from, accept.Membership, accept.Key) {
 		return
 	}
 	r := a.ensureRegister(accept.Key)
