--- a/crdt/antientropy.go
+++ b/crdt/antientropy.go
@@ -17,7 +17,7 @@
 	rangeFanOut = 8
 )
 
-// Effects is what a step asks of its caller.
+// Effects is what the caller has to carry out after a step.
 type Effects struct {
 	Send    []statemachine.Send
 	Updated []*schema.Record // records that became newer here
--- a/failuredetector/detector.go
+++ b/failuredetector/detector.go
@@ -21,7 +21,7 @@
 	suspicionTimeout = time.Second
 )
 
-// Effects is what a step asks of its caller.
+// Effects is what the caller has to carry out after a step.
 type Effects struct {
 	Send    []statemachine.Send
 	Changed map[string]bool // peers whose suspicion changed: whether each is suspected now
--- a/leaderelection/candidate.go
+++ b/leaderelection/candidate.go
@@ -29,7 +29,7 @@
 	candidacyDelay = 300 * time.Millisecond
 )
 
-// Effects is what a step asks of its caller.
+// Effects is what the caller has to carry out after a step.
 type Effects struct {
 	Changes  []paxos.Change // to propose
 	Acquired []string       // roles whose leader this process became with this step
--- a/paxos/acceptor.go
+++ b/paxos/acceptor.go
@@ -23,8 +23,8 @@
 	spareRequestInterval = 700 * time.Millisecond
 )
 
-// Effects is what a step of an Acceptor asks of its caller, in this order: sync Log,
-// then send Send.
+// Effects is what the caller has to carry out after a step of an Acceptor, in this order:
+// sync Log, then send Send.
 type Effects struct {
 	Log          []*schema.WALEntry  // entries to sync, oldest first
 	Send         []statemachine.Send // messages that may leave once Log is synced
--- a/paxos/change.go
+++ b/paxos/change.go
@@ -52,7 +52,7 @@
 	Value   *schema.Value // newest committed value known, if Committed or Conflict
 }
 
-// ProposerEffects is what a step of a Proposer asks of its caller.
+// ProposerEffects is what the caller has to carry out after a step of a Proposer.
 type ProposerEffects struct {
 	Send     []statemachine.Send
 	Outcomes []Outcome
--- a/paxos/membership.go
+++ b/paxos/membership.go
@@ -1,6 +1,7 @@
 package paxos
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 
@@ -52,7 +53,7 @@
 func DecodeMembership(data []byte) (Membership, error) {
 	m := &schema.Membership{}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return Membership{}, err
+		return Membership{}, fmt.Errorf("decode a membership: %w", err)
 	}
 	return MembershipFromProto(m), nil
 }
--- a/relaytree/relay.go
+++ b/relaytree/relay.go
@@ -26,7 +26,7 @@
 	parentRetryDelay = 5 * time.Second
 )
 
-// Effects is what a step asks of its caller.
+// Effects is what the caller has to carry out after a step.
 type Effects struct {
 	Send    []statemachine.Send
 	Updated []*schema.Register // registers that became newer here
