--- /dev/null
+++ b/failover/fenced/cleanup.go
@@ -0,0 +1,82 @@
+package fenced
+
+import (
+	"time"
+
+	"stoneford/internal/ports"
+)
+
+const (
+	// stepDownRetryInterval is between two commands to a former primary to step
+	// down.
+	stepDownRetryInterval = 700 * time.Millisecond
+	// resumeRetryInterval is between two commands to a frozen replica to resume.
+	resumeRetryInterval = 250 * time.Millisecond
+	// cleanUpPeriod is how long after a change former primaries are made to step
+	// down and frozen replicas are resumed. Whatever returns later is found by
+	// resumeStrayFrozen or announces itself.
+	cleanUpPeriod = 8 * time.Second
+	// strayFreezeWatchPeriod is how long after a claim replicas are watched for a
+	// freeze that the owner before commanded and that took effect late.
+	strayFreezeWatchPeriod = 30 * time.Second
+	// strayFreezeWatchInterval is between two such polls of a replica.
+	strayFreezeWatchInterval = time.Second
+)
+
+// cleanUpAfterChange resumes the replicas that were frozen and makes former
+// primaries step down.
+func (g *Group) cleanUpAfterChange(now int64, input Input) {
+	for _, i := range input.Instances {
+		switch {
+		case i.ID == input.State.Primary:
+		case i.Primary || g.databases[i.ID].leads():
+			g.stepDownFormerPrimary(now, input, i)
+		default:
+			g.resumeAfterChange(now, input, i)
+		}
+	}
+}
+
+func (g *Group) stepDownFormerPrimary(now int64, input Input, i ports.Instance) {
+	database := g.databases[i.ID]
+	if database.known && !database.status.Primary && database.observedAt > g.change.since {
+		return // it stepped down and did not announce that yet
+	}
+	if elapsed(g.change.since, now) < cleanUpPeriod {
+		g.call(now, i, ports.StepDown, input.State.Term, stepDownRetryInterval)
+	}
+}
+
+func (g *Group) resumeAfterChange(now int64, input Input, i ports.Instance) {
+	database := g.databases[i.ID]
+	if input.State.PreviousPrimary == "" || input.frozenWhileDraining(i) || g.resumed[i.ID] || elapsed(g.change.since, now) > cleanUpPeriod {
+		return
+	}
+	if database.known && database.observedAt >= g.change.since && database.status.FrozenTerm == 0 {
+		g.resumed[i.ID] = true
+		return
+	}
+	g.call(now, i, ports.ResumeReplication, 0, resumeRetryInterval)
+}
+
+// resumeStrayFrozen resumes replicas that are frozen while the group serves: a
+// command of the owner before may take effect long after that owner was replaced.
+// It does so for a while after a claim, and where nodes cannot use the primary,
+// which acknowledges no commit while no replica receives.
+func (g *Group) resumeStrayFrozen(now int64, input Input) {
+	lease := &g.lease
+	watched := lease.uncontestedToken != lease.fencingToken && elapsed(lease.claimedAt, now) <= strayFreezeWatchPeriod
+	if input.HealthReports[input.State.Primary].UnreachableFrom == 0 && !watched {
+		return
+	}
+	for _, i := range input.Instances {
+		database := g.databases[i.ID]
+		switch {
+		case i.ID == input.State.Primary || i.Primary || input.frozenWhileDraining(i):
+		case database.healthy() && database.status.FrozenTerm > 0:
+			g.call(now, i, ports.ResumeReplication, 0, resumeRetryInterval)
+		default:
+			g.poll(now, i, strayFreezeWatchInterval)
+		}
+	}
+}
--- a/failover/fenced/duty_model_test.go
+++ b/failover/fenced/duty_model_test.go
@@ -486,7 +486,7 @@
 		input.State.RoleOwner, input.State.RoleOwnerRun = p.name, p.run
 	}
 	if m.mutation == leaseNotAwaited {
-		p.group.leaseState.uncontestedToken = input.State.FencingToken
+		p.group.lease.uncontestedToken = input.State.FencingToken
 	}
 	effects := p.group.Step(now, input)
 	if p.stalls > 0 && slices.ContainsFunc(effects, acting) {
@@ -500,7 +500,7 @@
 }
 
 // acting says that an effect commands a database or calls the platform.
-func acting(e any) bool {
+func acting(e Effect) bool {
 	a, ok := e.(DatabaseCall)
 	_, promote := e.(Promote)
 	return promote || ok && a.Kind != ports.Status
@@ -510,7 +510,7 @@
 func (m *model) alone() {
 	var names []string
 	for _, p := range m.processes {
-		if p.up && p.group.leaseState.mayCommand && p.now() < p.group.leaseState.expiresAt {
+		if p.up && p.group.lease.mayCommand && p.now() < p.group.lease.expiresAt {
 			names = append(names, p.name)
 		}
 	}
@@ -519,7 +519,7 @@
 	}
 }
 
-func (p *modelProcess) do(e any, input Input) {
+func (p *modelProcess) do(e Effect, input Input) {
 	m := p.model
 	unchecked := m.mutation == expiredEffectsSent
 	switch e := e.(type) {
--- /dev/null
+++ b/failover/fenced/emergency_reparent.go
@@ -0,0 +1,80 @@
+package fenced
+
+import (
+	"fmt"
+
+	"stoneford/internal/ports"
+	"stoneford/result"
+)
+
+// An emergency reparent replaces a primary that is lost. It starts in phase
+// Freezing, which a planned reparent enters once the primary is drained.
+
+// startEmergencyReparent starts the change without waiting for the primary.
+func (g *Group) startEmergencyReparent(now int64, input Input, a Analysis) {
+	g.startFreeze(now, input, a.Reason)
+}
+
+// startFreeze ends the use of the old primary: from the commit of this revision
+// on, no node sends anything to any primary of the group.
+func (g *Group) startFreeze(now int64, input Input, cause string) {
+	next := nextState(input, ports.PhaseFreezing, cause)
+	next.PreviousPrimary = input.State.Primary
+	next.FreezeRevision = input.Revision + 1
+	next.PromotionRequested = false
+	if input.phase() == ports.PhaseServing {
+		g.logf(result.FailoverStarted, "%s: term %d: %s", input.Group, input.State.Term, cause)
+	}
+	g.propose(now, input, next)
+}
+
+// resumeOldPrimary ends the change where the old primary is back, whether as it
+// was or under another identity, before the platform was called for another.
+func (g *Group) resumeOldPrimary(now int64, input Input, a Analysis) {
+	next := nextState(input, ports.PhaseServing, "the primary is back")
+	next.Primary, next.Address = a.Target.ID, a.Target.Address
+	g.logf(result.FailoverCompleted, "%s: %s stays the primary of term %d", input.Group, a.Target.ID, next.Term)
+	g.propose(now, input, next)
+}
+
+// acceptLatePromotion makes the database the target that an earlier promotion,
+// which was given up, made the primary after all.
+func (g *Group) acceptLatePromotion(now int64, input Input, a Analysis) {
+	next := nextState(input, ports.PhasePromoting, input.State.Cause)
+	next.Primary, next.Address, next.PromotionRequested = a.Target.ID, a.Target.Address, true
+	g.propose(now, input, next)
+}
+
+// continueFreeze freezes the replicas that are not frozen yet.
+func (g *Group) continueFreeze(now int64, input Input, a Analysis) {
+	g.freezeReplicas(now, input, a.Freeze)
+}
+
+// chooseTarget commits the most advanced replica as the next primary. The
+// platform may be called as soon as that is committed, so the state says already
+// that it was.
+func (g *Group) chooseTarget(now int64, input Input, a Analysis) {
+	g.freezeReplicas(now, input, a.Freeze)
+	next := nextState(input, ports.PhasePromoting, input.State.Cause)
+	next.Primary, next.Address, next.PromotionRequested = a.Target.ID, a.Target.Address, true
+	var positions []string
+	for _, i := range a.Freeze.frozen {
+		received := g.databases[i.ID].status.Received
+		positions = append(positions, fmt.Sprintf("%s at %d.%d", i.ID, received.Term, received.Number))
+	}
+	g.logf(result.FailoverTargetChosen, "%s: %s is the most advanced of %v, %d missing", input.Group, a.Target.ID, positions, a.Freeze.missing())
+	g.propose(now, input, next)
+}
+
+// chooseAnotherTarget goes back to phase Freezing. What was observed frozen
+// before does not count any more.
+func (g *Group) chooseAnotherTarget(now int64, input Input, a Analysis) {
+	g.freezeReplicas(now, input, a.Freeze)
+	for _, database := range g.databases {
+		if database.known {
+			database.frozenTerm = 0
+		}
+	}
+	g.logf(result.FailoverWaiting, "%s: %s", input.Group, a.Reason)
+	g.propose(now, input, nextState(input, ports.PhaseFreezing, a.Reason))
+}
--- /dev/null
+++ b/failover/fenced/site_move.go
@@ -0,0 +1,144 @@
+package fenced
+
+import (
+	"cmp"
+	"fmt"
+	"time"
+
+	"stoneford/internal/ports"
+	"stoneford/result"
+)
+
+// A site move is a planned reparent to a database at the site that the routing
+// table names (design 15). Unlike other changes it is abandoned, and the primary
+// serves on, where no database at that site has all that the primary has.
+
+const (
+	// siteMoveCatchUpTimeout is the longest time that a site move waits in phase
+	// Draining for a replica at the site to catch up. In phase Freezing it waits
+	// twice as long for that replica to be the most advanced one.
+	siteMoveCatchUpTimeout = time.Second
+	// siteMoveCooldown is the least time between another change and a site move:
+	// the platform may carry out a call of that change late.
+	siteMoveCooldown = 4 * time.Second
+)
+
+// moveCandidate is whether a site move would find a database to promote.
+type moveCandidate struct {
+	ready   bool
+	problem string // why it is not ready
+}
+
+// MoveCandidate says whether a replica at the wanted site has nearly caught up
+// with the primary, and if none has why not. It is of the newest step that was
+// asked for it (SiteMove.CheckCandidate).
+func (g *Group) MoveCandidate() (ready bool, problem string) {
+	return g.candidate.ready, g.candidate.problem
+}
+
+// checkMoveCandidate looks for a replica at the wanted site that a move could
+// promote.
+func (g *Group) checkMoveCandidate(now int64, input Input, primary ports.Instance) {
+	g.candidate = moveCandidate{ready: input.atWantedSite(primary)}
+	if g.candidate.ready {
+		return
+	}
+	if input.State.PreviousPrimary != "" && elapsed(g.change.since, now) < siteMoveCooldown {
+		g.candidate.problem = "the group changed its primary just now"
+		g.wakeAt(after(g.change.since, siteMoveCooldown))
+		return
+	}
+	g.candidate.problem = "no database is announced there"
+	for _, i := range input.replicasAtWantedSite(primary) {
+		g.candidate.problem = g.moveProblem(now, i, primary)
+		g.candidate.ready = g.candidate.problem == ""
+		g.poll(now, i, replicaPollInterval)
+		if g.candidate.ready {
+			break
+		}
+	}
+	g.poll(now, primary, replicaPollInterval)
+}
+
+// moveProblem is why a replica could not be promoted by a move, empty if it
+// could.
+func (g *Group) moveProblem(now int64, replica, primary ports.Instance) string {
+	r, p := g.databases[replica.ID], g.databases[primary.ID]
+	switch {
+	case !r.recent(now):
+		return replica.ID + " does not answer"
+	case !r.follows():
+		return replica.ID + " does not follow"
+	case !p.recent(now):
+		return primary.ID + ", which leads, does not answer"
+	case r.lacks(p) > maxReplicaLagCommits:
+		return fmt.Sprintf("%s lacks %d commits", replica.ID, r.lacks(p))
+	}
+	return ""
+}
+
+// startSiteMove starts the move to the site that the table names. From here on
+// only nodes that work by that table take anything on for the group.
+func (g *Group) startSiteMove(now int64, input Input, a Analysis) {
+	if input.atWantedSite(a.Primary) {
+		next := nextState(input, ports.PhaseServing, "serves at "+input.Move.Site+" already")
+		next.TableRevision = input.Move.TableRevision
+		g.propose(now, input, next)
+		return
+	}
+	next := nextState(input, ports.PhaseDraining, "moves to "+input.Move.Site)
+	next.PreviousPrimary, next.TableRevision = a.Primary.ID, input.Move.TableRevision
+	g.logf(result.FailoverStarted, "%s: term %d: %s", input.Group, input.State.Term, next.Cause)
+	g.propose(now, input, next)
+}
+
+// siteReplicaCaughtUp says whether a replica at the wanted site has received all
+// that the primary had, both polled after the drain started.
+func (g *Group) siteReplicaCaughtUp(input Input, primary ports.Instance) bool {
+	p := g.databases[primary.ID]
+	if !g.polledInRevision(p) {
+		return false
+	}
+	for _, i := range input.replicasAtWantedSite(primary) {
+		r := g.databases[i.ID]
+		if g.polledInRevision(r) && !r.status.Received.Before(p.status.Received) {
+			return true
+		}
+	}
+	return false
+}
+
+// polledInRevision says whether a database answered a poll that left under the
+// newest revision.
+func (g *Group) polledInRevision(database *observation) bool {
+	return database.healthy() && database.observedAt >= g.change.since
+}
+
+// abandonStalledSiteMove ends a move for which no replica caught up in time.
+func (g *Group) abandonStalledSiteMove(now int64, input Input, _ Analysis) {
+	g.abandonSiteMove(now, input, "stays: no database at "+input.Move.Site+" came level")
+}
+
+// abandonOvertakenSiteMove ends a move where a replica elsewhere turned out to be
+// more advanced, if the old primary can serve on.
+func (g *Group) abandonOvertakenSiteMove(now int64, input Input, a Analysis) {
+	g.freezeReplicas(now, input, a.Freeze)
+	old, _ := input.instance(input.State.PreviousPrimary)
+	if !g.leadsOn(input, old) {
+		g.poll(now, old, promotionPollInterval)
+		return
+	}
+	g.abandonSiteMove(now, input, "stays: another database is further than the one at "+input.Move.Site)
+}
+
+// abandonSiteMove has the group serve where it did. PreviousPrimary stays in the
+// state, so that the replicas that were frozen are resumed.
+func (g *Group) abandonSiteMove(now int64, input Input, cause string) {
+	next := nextState(input, ports.PhaseServing, cause)
+	next.Primary = cmp.Or(input.State.PreviousPrimary, input.State.Primary)
+	if i, announced := input.instance(next.Primary); announced {
+		next.Address = i.Address
+	}
+	g.logf(result.FailoverCompleted, "%s: %s stays the primary of term %d: %s", input.Group, next.Primary, next.Term, cause)
+	g.propose(now, input, next)
+}
