--- /dev/null
+++ b/failover/sealed/observation.go
@@ -0,0 +1,128 @@
+package sealed
+
+import (
+	"time"
+
+	"stoneford/schema"
+)
+
+// Roles that a database reports (Status.Role).
+const (
+	rolePrimary = "primary"
+	roleReplica = "replica"
+	roleSealed  = "sealed"
+)
+
+// Status is what a database reports of itself.
+type Status struct {
+	Identity  string // of its disk
+	Role      string // primary, replica or sealed
+	Epoch     uint64 // at or above every epoch that it took part in or was sealed at
+	LogEpoch  uint64 // of the newest commit that it received
+	Received  int64  // number of that commit
+	Applied   int64  // number of the newest commit that reads see
+	Following string // address of the primary that it replicates from
+	Draining  bool   // it announced that it is going to stop
+}
+
+// observation is what this process last observed of one database.
+type observation struct {
+	status Status
+	known  bool
+	// polledAt is when the call left whose reply status is. The status was true at
+	// some moment after it.
+	polledAt int64
+	// failingSince is when the first of the failed calls left, 0 if the last one
+	// succeeded.
+	failingSince int64
+	nextPollAt   int64
+	callInFlight uint64 // 0 for none
+	// newIdentity is an identity that is not committed yet, and newIdentityAt when
+	// it was first seen.
+	newIdentity   string
+	newIdentityAt int64
+}
+
+// healthy says whether the last call succeeded.
+func (o *observation) healthy() bool { return o.known && o.failingSince == 0 }
+
+// unresponsive says whether every call has failed for a time.
+func (o *observation) unresponsive(now int64, d time.Duration) bool {
+	return o.failingSince > 0 && elapsed(o.failingSince, now) >= d
+}
+
+// inEpoch says whether the database takes part in an epoch and has received a
+// commit of it.
+func (o *observation) inEpoch(epoch uint64) bool {
+	return o.status.Epoch == epoch && o.status.LogEpoch == epoch
+}
+
+// pendingCalls are the calls to databases whose results are outstanding.
+type pendingCalls struct {
+	byID   map[uint64]pendingCall
+	lastID uint64
+}
+
+type pendingCall struct {
+	member    string
+	sentAt    int64
+	sealEpoch uint64
+}
+
+func newPendingCalls(lastID uint64) pendingCalls {
+	return pendingCalls{byID: map[uint64]pendingCall{}, lastID: lastID}
+}
+
+// call sends a request to a database: for its status where sealEpoch is 0.
+func (g *Group) call(now int64, e Endpoint, sealEpoch uint64) (id uint64) {
+	g.calls.lastID++
+	id = g.calls.lastID
+	g.calls.byID[id] = pendingCall{member: e.Name, sentAt: now, sealEpoch: sealEpoch}
+	g.emit(DatabaseCall{ID: id, Address: e.Address, SealEpoch: sealEpoch})
+	return id
+}
+
+// HandleReply takes the result of a DatabaseCall: failed says that there is no
+// status.
+func (g *Group) HandleReply(id uint64, failed bool, status Status) {
+	call, pending := g.calls.byID[id]
+	delete(g.calls.byID, id)
+	database := g.databases[call.member]
+	if !pending || database == nil {
+		return
+	}
+	if database.callInFlight == id {
+		database.callInFlight = 0
+	}
+	if failed {
+		if database.failingSince == 0 {
+			database.failingSince = call.sentAt
+		}
+		return
+	}
+	if call.sentAt < database.polledAt {
+		return // a reply to an earlier call came late
+	}
+	database.status, database.known, database.polledAt, database.failingSince = status, true, call.sentAt, 0
+	if call.sealEpoch > 0 {
+		g.sealing.replied(call, status)
+	}
+}
+
+// Degraded says why the group could not bear the loss of a member now, "" if it
+// could: all members reply, under their committed identities, in the open epoch.
+func (g *Group) Degraded(state *schema.GroupState) string {
+	if state.Phase != schema.Phase_OPEN {
+		return "a takeover is under way"
+	}
+	for _, member := range state.Members {
+		database := g.databases[member.Database]
+		if database == nil || !database.healthy() {
+			return member.Database + " does not reply"
+		}
+		if database.status.Identity != member.Identity || !database.inEpoch(state.Epoch) {
+			return member.Database + " has not caught up"
+		}
+	}
+	return ""
+}
--- a/failover/sealed/sealed_test.go
+++ b/failover/sealed/sealed_test.go
@@ -38,13 +38,13 @@
 			case DatabaseCall:
 				d := g.databases[e.Address]
 				if g.down[e.Address] {
-					g.group.HandleReply(g.now, e.ID, true, Status{})
+					g.group.HandleReply(e.ID, true, Status{})
 					continue
 				}
 				if e.SealEpoch > d.Epoch {
 					d.Epoch, d.Role, d.Following = e.SealEpoch, "sealed", ""
 				}
-				g.group.HandleReply(g.now, e.ID, false, *d)
+				g.group.HandleReply(e.ID, false, *d)
 			case ProposeState:
 				if e.BaseRevision == g.input.Revision {
 					state := &schema.GroupState{}
--- a/internal/control/calendar.go
+++ b/internal/control/calendar.go
@@ -407,7 +407,7 @@
 	for _, m := range state.Members {
 		view.MemberRetired = view.MemberRetired || m.Database == view.Target && m.Identity == "" && m.Retiring == b.Identity
 	}
-	view.Obstacle = group.decider.Degraded(now, state)
+	view.Obstacle = group.decider.Degraded(state)
 	report := c.databaseReports(now, b.Group)[view.Target]
 	view.BusyConnections, view.OpenTransactions = report.BusyConnections, report.OpenTransactions
 	return view
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -215,7 +215,7 @@
 		c.getConfiguration(now, e)
 	case DatabaseReply:
 		if g := c.groups[e.Group]; g != nil {
-			g.decider.HandleReply(now, e.ID, e.Failed, e.Status)
+			g.decider.HandleReply(e.ID, e.Failed, e.Status)
 		}
 	case Command:
 		c.handleCommand(now, e)
