--- a/connectionlease/lessor.go
+++ b/connectionlease/lessor.go
@@ -14,9 +14,9 @@
 	// answers. It bounds how long the connections of a node that is gone stay unused,
 	// and how long a node works on without a lessor.
 	leaseDuration = 5 * time.Second
-	// expiryWithMargin is when a lessor takes a lease to have expired: a tenth later,
-	// for clocks that run at different rates.
-	expiryWithMargin = leaseDuration * 11 / 10
+	// leaseEndBound is how long after a request its lease has ended on every clock,
+	// also on one that is a tenth slower than the lessor's.
+	leaseEndBound = leaseDuration * 11 / 10
 	// activePeriod is how long after its last request a node counts in the division of
 	// the limits. It allows for two requests that are lost.
 	activePeriod = 3 * requestInterval
@@ -63,7 +63,7 @@
 			requestNumber: inherited.RequestNumber,
 			connections:   maps.Clone(inherited.Connections),
 			inherited:     inherited.Connections,
-			expiresAt:     now + expiryWithMargin.Microseconds(),
+			expiresAt:     now + leaseEndBound.Microseconds(),
 			lastRequestAt: now,
 		}
 	}
@@ -115,7 +115,7 @@
 		own.connections[database] = max(request.InUse[database], leased, own.inherited[database])
 		response.Connections[database] = leased
 	}
-	own.expiresAt, own.lastRequestAt = now+expiryWithMargin.Microseconds(), now
+	own.expiresAt, own.lastRequestAt = now+leaseEndBound.Microseconds(), now
 	return response
 }
 
@@ -149,7 +149,7 @@
 
 // alreadyLeased is how many connections a node has a lease for. Connections that
 // are open beyond it may long be leased to another; a node of an earlier version
-// does not tell the two apart.
+// names only the sum of both.
 func alreadyLeased(request *schema.ConnectionLeaseRequest, database string) int32 {
 	if request.Leased != nil {
 		return request.Leased.Connections[database]
@@ -161,7 +161,7 @@
 // that took over without a handover does so only after the leases of the one
 // before have expired; until then it leases nothing more than nodes have.
 func (l *Lessor) Complete(now int64) bool {
-	return l.inheritedAll || now >= l.startedAt+expiryWithMargin.Microseconds()
+	return l.inheritedAll || now >= l.startedAt+leaseEndBound.Microseconds()
 }
 
 // MaxInUse is the highest number of connections to a database that may be in use.
--- a/failover/fenced/analysis.go
+++ b/failover/fenced/analysis.go
@@ -35,74 +35,79 @@
 type AnalysisCode uint8
 
 const (
-	// NotInitialized: the group has no committed state.
+	// NotInitialized means that the group has no committed state.
 	NotInitialized AnalysisCode = iota
 
 	// Phase Serving:
 
-	// PrimaryReturned: another database is the primary, in a later term, or in this
-	// term while the recorded one is not announced. It came back under another
-	// identity, or a promotion took effect after its caller had died.
+	// PrimaryReturned means that another database is the primary, in a later term,
+	// or in this term while the recorded one is not announced. It came back under
+	// another identity, or a promotion took effect after its caller had died.
 	PrimaryReturned
-	// PrimaryDeparted: the primary is gone, and no database claims to be it.
+	// PrimaryDeparted means that the primary is gone, and no database claims to be
+	// it.
 	PrimaryDeparted
-	// PrimaryMayReturn: the primary is gone, but for too short a time, or another
-	// database that claims to be the primary has not answered yet.
+	// PrimaryMayReturn means that the primary is gone, but for too short a time, or
+	// another database that claims to be the primary has not answered yet.
 	PrimaryMayReturn
-	// PrimaryFailed: the primary does not answer, and the nodes' reports or its
-	// announcements confirm that.
+	// PrimaryFailed means that the primary does not answer, and the nodes' reports
+	// or its announcements confirm that.
 	PrimaryFailed
-	// SiteMoveCommitted: every node works by a routing table that names another
-	// site than the one that the group was last moved by.
+	// SiteMoveCommitted means that every node works by a routing table that names
+	// another site than the one that the group was last moved by.
 	SiteMoveCommitted
-	// PrimaryDraining: the primary serves and announced that it is going to stop.
+	// PrimaryDraining means that the primary serves and announced that it is going
+	// to stop.
 	PrimaryDraining
-	// Serving: the primary serves.
+	// Serving means that the primary serves.
 	Serving
 
 	// Phase Draining:
 
-	// DrainPending: statements are still in flight at the primary, or no replica at
-	// the wanted site has caught up with it.
+	// DrainPending means that statements are still in flight at the primary, or no
+	// replica at the wanted site has caught up with it.
 	DrainPending
-	// PrimaryDrained: nothing is in flight at the primary, or not any longer than
-	// is waited for.
+	// PrimaryDrained means that nothing is in flight at the primary, or not any
+	// longer than is waited for.
 	PrimaryDrained
-	// PrimaryLostDuringMove: the primary is gone or does not answer while the group
-	// is moved to another site.
+	// PrimaryLostDuringMove means that the primary is gone or does not answer while
+	// the group is moved to another site.
 	PrimaryLostDuringMove
-	// SiteMoveStalled: no replica at the wanted site caught up in time.
+	// SiteMoveStalled means that no replica at the wanted site caught up in time.
 	SiteMoveStalled
 
 	// Phase Freezing:
 
-	// OldPrimaryReturned: the primary answers again before the platform was called.
+	// OldPrimaryReturned means that the primary answers again before the platform
+	// was called.
 	OldPrimaryReturned
-	// PromotionTookEffect: a promotion that was given up took effect late.
+	// PromotionTookEffect means that a promotion that was given up took effect
+	// late.
 	PromotionTookEffect
-	// FreezeIncomplete: replicas that may have the most advanced position are not
-	// frozen, or nodes may still use the old primary.
+	// FreezeIncomplete means that replicas that may have the most advanced position
+	// are not frozen, or nodes may still use the old primary.
 	FreezeIncomplete
-	// SiteReplicaBehind: a replica elsewhere is more advanced than those at the
-	// wanted site.
+	// SiteReplicaBehind means that a replica elsewhere is more advanced than those
+	// at the wanted site.
 	SiteReplicaBehind
-	// TargetFound: the most advanced replica is known.
+	// TargetFound means that the most advanced replica is known.
 	TargetFound
 
 	// Phase Promoting:
 
-	// TargetUnusable: the target is gone, cannot be frozen, or is not the most
-	// advanced any more.
+	// TargetUnusable means that the target is gone, cannot be frozen, or is not the
+	// most advanced any more.
 	TargetUnusable
-	// PromotionDue: the platform is to be called, for the first time or again.
+	// PromotionDue means that the platform is to be called, for the first time or
+	// again.
 	PromotionDue
-	// PromotionPending: the platform was called, and the target is not the primary
-	// yet.
+	// PromotionPending means that the platform was called, and the target is not
+	// the primary yet.
 	PromotionPending
-	// TargetPromoted: the target is the primary.
+	// TargetPromoted means that the target is the primary.
 	TargetPromoted
-	// OlderRevisionInUse: the target is the primary, but nodes may still use the
-	// old one.
+	// OlderRevisionInUse means that the target is the primary, but nodes may still
+	// use the old one.
 	OlderRevisionInUse
 
 	analysisCodes
@@ -133,8 +138,9 @@
 	interval time.Duration
 }
 
-// analyze names the one thing that the group needs now. Apart from when the
-// analysis would change by itself (wakeAt), it changes nothing.
+// analyze names the one thing that the group needs now. It changes nothing but
+// when the next step is due (wakeAt), and starts to observe a primary that was
+// never announced here.
 func (g *Group) analyze(now int64, input Input) Analysis {
 	if input.Revision == 0 {
 		return Analysis{Code: NotInitialized}
@@ -258,12 +264,12 @@
 		return primaryAnswers, ""
 	}
 	connectionsRefused := database.absentSince > 0 && (database.failures >= 2 || report.DisconnectedFrom >= 2)
-	reportedByMost := report.UnreachableFrom*2 > input.ReportingNodes
+	reportedByMajority := report.UnreachableFrom*2 > input.ReportingNodes
 	reportedLong := report.LongestFailingUs >= primaryTimeout.Microseconds() && report.UnreachableFrom > 1
 	switch {
 	case connectionsRefused:
 		return primaryFailed, fmt.Sprintf("nobody listens at the primary's address; %d nodes cannot use it", report.UnreachableFrom)
-	case database.unresponsive(now, primaryTimeout) && (reportedByMost || overdue || reportedLong):
+	case database.unresponsive(now, primaryTimeout) && (reportedByMajority || overdue || reportedLong):
 		return primaryFailed, fmt.Sprintf("the primary is silent; %d of %d nodes cannot use it", report.UnreachableFrom, input.ReportingNodes)
 	}
 	if database.failingSince > 0 {
@@ -335,7 +341,7 @@
 	if len(a.Freeze.frozen) == 0 {
 		return a
 	}
-	a.Target = g.mostAdvanced(input, a.Freeze.frozen)
+	a.Target = g.newestReplica(input, a.Freeze.frozen)
 	if !g.missingReplicasDispensable(now, input, a.Target, a.Freeze) {
 		return a
 	}
@@ -428,8 +434,8 @@
 		}
 		return a
 	}
-	mostAdvanced := g.databases[g.mostAdvanced(input, a.Freeze.frozen).ID]
-	if mostAdvanced.status.Received.Compare(g.databases[target.ID].status.Received) > 0 {
+	newest := g.databases[g.newestReplica(input, a.Freeze.frozen).ID]
+	if newest.status.Received.Compare(g.databases[target.ID].status.Received) > 0 {
 		a.Code, a.Reason = TargetUnusable, "another is further by now"
 		return a
 	}
--- a/failover/fenced/freeze.go
+++ b/failover/fenced/freeze.go
@@ -89,10 +89,10 @@
 	return term + 1
 }
 
-// mostAdvanced is the replica with the newest received position; of equals one
+// newestReplica is the replica with the newest received position; of equals one
 // that does not drain, then one at the site that the table names, then the one
 // with the shortest time to warm up.
-func (g *Group) mostAdvanced(input Input, replicas []ports.Instance) ports.Instance {
+func (g *Group) newestReplica(input Input, replicas []ports.Instance) ports.Instance {
 	return slices.MaxFunc(replicas, func(a, b ports.Instance) int {
 		return cmp.Or(
 			g.databases[a.ID].status.Received.Compare(g.databases[b.ID].status.Received),
--- a/failover/fenced/lease.go
+++ b/failover/fenced/lease.go
@@ -41,7 +41,7 @@
 	OwnerPresent bool
 }
 
-// Lease is the time, by the clock of its holder, in which it may act.
+// Lease is the time, by the clock of the process that has it, in which it may act.
 type Lease struct{ ConfirmedAt, Until int64 }
 
 // leaseState is what this run of the process knows of its ownership of the role.
--- a/failover/fenced/observation.go
+++ b/failover/fenced/observation.go
@@ -12,8 +12,8 @@
 	// a primary is lost.
 	databaseCallTimeout = 400 * time.Millisecond
 	// replicaPollInterval is between two polls of a database on which nothing
-	// urgent depends. Two polls that lie further apart than three such intervals
-	// are not compared.
+	// urgent depends. Two polls are compared only if less than three such
+	// intervals lie between them.
 	replicaPollInterval = 400 * time.Millisecond
 	// observationValidity is how long a polled position counts as recent.
 	observationValidity = 3 * replicaPollInterval
--- a/failover/sealed/analysis.go
+++ b/failover/sealed/analysis.go
@@ -20,36 +20,40 @@
 type AnalysisCode uint8
 
 const (
-	// NotInitialized: the group has no committed state.
+	// NotInitialized means that the group has no committed state.
 	NotInitialized AnalysisCode = iota
 
 	// Phases OPEN and PROMOTING:
 
-	// PrimaryNotConfigured: the primary is not a configured member any more.
+	// PrimaryNotConfigured means that the primary is not a configured member any
+	// more.
 	PrimaryNotConfigured
-	// PrimaryFailed: the primary does not answer, or lost its disk.
+	// PrimaryFailed means that the primary does not answer, or lost its disk.
 	PrimaryFailed
-	// PrimaryUnknown: the primary has not answered this process yet.
+	// PrimaryUnknown means that the primary has not answered this process yet.
 	PrimaryUnknown
-	// EpochEstablished: the primary of a new epoch and a replica are seen in it.
+	// EpochEstablished means that the primary of a new epoch and a replica are seen
+	// in it.
 	EpochEstablished
-	// SwitchDue: the primary drains, or is to be replaced by a planned switch.
+	// SwitchDue means that the primary drains, or is to be replaced by a planned
+	// switch.
 	SwitchDue
-	// PrimaryNotReady: the primary or a replica of the epoch is not seen in it yet.
+	// PrimaryNotReady means that the primary or a replica of the epoch is not seen
+	// in it yet.
 	PrimaryNotReady
-	// Serving: the primary serves in an open epoch.
+	// Serving means that the primary serves in an open epoch.
 	Serving
 
 	// Phase SEALING:
 
-	// LaterEpochSeen: a member is in a later epoch already.
+	// LaterEpochSeen means that a member is in a later epoch already.
 	LaterEpochSeen
-	// SealsMissing: too few members are sealed.
+	// SealsMissing means that too few members are sealed.
 	SealsMissing
-	// SealAwaited: enough members are sealed, and another that answers may be the
-	// most advanced one.
+	// SealAwaited means that enough members are sealed, and another that answers
+	// may be the most advanced one.
 	SealAwaited
-	// TargetFound: the most advanced sealed member is known.
+	// TargetFound means that the most advanced sealed member is known.
 	TargetFound
 
 	analysisCodes
--- a/failover/sealed/recovery.go
+++ b/failover/sealed/recovery.go
@@ -17,8 +17,7 @@
 	plannedSwitchRetryInterval = 3 * time.Second
 )
 
-// Causes of an epoch that other code tells apart. They are part of the stored
-// state.
+// Causes of an epoch that decide how it goes on. They are part of the stored state.
 const (
 	causeFirst         = "first"
 	causePlannedSwitch = "a planned switch"
--- a/failover/sealed/sealed_test.go
+++ b/failover/sealed/sealed_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestMostAdvancedReplicaIsChosen(t *testing.T) {
+func TestNewestMemberIsChosen(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
 	g.requireState(t, schema.Phase_OPEN, "a", 1)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -529,7 +529,7 @@
 	for _, ch := range effects.Changes {
 		c.propose(now, ch, func(now int64, o paxos.Outcome) {
 			for _, k := range c.roles.HandleOutcome(now, o).Acquired {
-				c.logf(result.RoleTaken, "%s", k)
+				c.logf(result.RoleOwnerChanged, "%s", k)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/routingtable/orders.go
@@ -0,0 +1,77 @@
+package routingtable
+
+import (
+	"crypto/sha256"
+	"slices"
+
+	"stoneford/internal/ports"
+)
+
+// Operators may send an order again when its response was lost. A table names the
+// newest orders that made it, so that a repeated order is known by its exact
+// content, and another order under the same revision is not taken for it (design
+// 18).
+
+const (
+	// recentOrderLimit is how many of the newest orders a table names. Each adds
+	// about 20 bytes to every table; an operator's retry comes within a few orders.
+	recentOrderLimit = 32
+	// digestSize is how many bytes of an order's hash a table keeps.
+	digestSize = 12
+)
+
+// OrderState says whether an order was applied on the way to a table.
+type OrderState uint8
+
+const (
+	// NotApplied: the order was never applied.
+	NotApplied OrderState = iota
+	// Applied: the order, with this very content, was applied.
+	Applied
+	// Forgotten: the order is older than those that the table names, so that it may
+	// or may not have been applied.
+	Forgotten
+)
+
+// OrderStatus says whether an order was applied on the way to a table. Revisions
+// only rise, so an order whose revision is not above its base, or is above the
+// table's, was never applied.
+func OrderStatus(table ports.RoutingTable, order ports.TableChange) OrderState {
+	switch {
+	case order.Revision <= order.BaseRevision || order.Revision > table.Revision:
+		return NotApplied
+	case slices.Contains(table.RecentOrders, appliedOrder(order)):
+		return Applied
+	case order.Revision <= lastForgotten(table):
+		return Forgotten
+	default:
+		return NotApplied
+	}
+}
+
+// appliedOrder is how a table names an order. Digest is the hash of the order's
+// exact content already; hashing it again bounds its length.
+func appliedOrder(order ports.TableChange) ports.AppliedOrder {
+	sum := sha256.Sum256([]byte(order.Digest))
+	return ports.AppliedOrder{Revision: order.Revision, Digest: string(sum[:digestSize])}
+}
+
+// recordOrder adds an order to the recent ones of the table that it changes, and
+// returns the revision of the last one that had to be left out.
+func recordOrder(old ports.RoutingTable, order ports.TableChange) (recent []ports.AppliedOrder, forgottenRevision uint64) {
+	recent = append(slices.Clone(old.RecentOrders), appliedOrder(order))
+	forgottenRevision = lastForgotten(old)
+	for len(recent) > recentOrderLimit {
+		recent, forgottenRevision = recent[1:], recent[0].Revision
+	}
+	return recent, forgottenRevision
+}
+
+// lastForgotten is the newest revision whose order a table does not name. A table
+// that names none was written by a version of the program that did not keep them.
+func lastForgotten(table ports.RoutingTable) uint64 {
+	if len(table.RecentOrders) == 0 {
+		return table.Revision
+	}
+	return table.ForgottenRevision
+}
--- a/internal/routingtable/taken_test.go
+++ b/internal/routingtable/orders_test.go
@@ -11,40 +11,59 @@
 	return ports.TableChange{BaseRevision: base, Revision: revision, Digest: fmt.Sprint(base, " ", revision, " ", content)}
 }
 
+// orderHistory is every order that was sent, in the order of the tables: two that
+// lost a race for each that won.
+type orderHistory struct {
+	table     ports.RoutingTable
+	won, lost []ports.TableChange
+}
+
+// apply applies the next order. Another one lost the race under the same revision,
+// and one under a revision that was left out.
+func (h *orderHistory) apply(t *testing.T, revision uint64) {
+	t.Helper()
+	order := amendment(h.table.Revision, revision, "won")
+	table, problems := Apply(h.table, order)
+	if len(problems) > 0 {
+		t.Fatal(problems)
+	}
+	h.table, h.won = table, append(h.won, order)
+	h.lost = append(h.lost, amendment(order.BaseRevision, revision, "lost"), amendment(order.BaseRevision, revision-1, "lost"))
+}
+
+// check asks a table for the state of every order.
+func (h *orderHistory) check(t *testing.T, table ports.RoutingTable) {
+	t.Helper()
+	for n, order := range h.won {
+		want := Applied
+		if n < len(h.won)-recentOrderLimit {
+			want = Forgotten
+		}
+		if got := OrderStatus(table, order); got != want {
+			t.Fatalf("%d orders later %s is %d, not %d", len(h.won)-n, order.Digest, got, want)
+		}
+	}
+	for n, order := range h.lost {
+		if got := OrderStatus(table, order); got == Applied || got == Forgotten && n/2 >= len(h.won)-recentOrderLimit {
+			t.Fatalf("%d orders later %s, which lost, is %d", len(h.won)-n/2, order.Digest, got)
+		}
+	}
+}
+
 // TestOrderStatus: of every order that was ever sent a table says whether it was
-// taken, or that it is too old to say; never that one that was taken was not.
+// applied, or that it is too old to say; never that one that was applied was not.
 func TestOrderStatus(t *testing.T) {
-	table := ports.RoutingTable{}
-	var taken, lost []ports.TableChange
+	var history orderHistory
 	for i := range uint64(300) {
-		o := amendment(table.Revision, 3*i+3, "won")
-		var problems []string
-		if table, problems = Apply(table, o); len(problems) > 0 {
-			t.Fatal(problems)
-		}
-		taken = append(taken, o)
-		// A race lost under the same number, and under one that was left out.
-		lost = append(lost, amendment(o.BaseRevision, o.Revision, "lost"), amendment(o.BaseRevision, o.Revision-1, "lost"))
-		decoded, err := Decode(Encode(table))
+		history.apply(t, 3*i+3)
+		decoded, err := Decode(Encode(history.table))
 		if err != nil || len(decoded.RecentOrders) > recentOrderLimit {
 			t.Fatal(err, len(decoded.RecentOrders))
 		}
-		for n, o := range taken {
-			want := Applied
-			if n < len(taken)-recentOrderLimit {
-				want = Forgotten
-			}
-			if got := OrderStatus(decoded, o); got != want {
-				t.Fatalf("%d orders later %s is %d, not %d", len(taken)-n, o.Digest, got, want)
-			}
-		}
-		for n, o := range lost {
-			if got := OrderStatus(decoded, o); got == Applied || got == Forgotten && n/2 >= len(taken)-recentOrderLimit {
-				t.Fatalf("%d orders later %s, which lost, is %d", len(taken)-n/2, o.Digest, got)
-			}
-		}
+		history.check(t, decoded)
 	}
-	// A fresh number on any old base was never taken.
+	table := history.table
+	// A fresh revision on any old base was never applied.
 	for _, base := range []uint64{0, 3, 600} {
 		if got := OrderStatus(table, amendment(base, table.Revision+1, "stale")); got != NotApplied {
 			t.Errorf("on %d: %d", base, got)
--- a/internal/routingtable/routingtable_test.go
+++ b/internal/routingtable/routingtable_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestDamaged: no bytes make Decode panic, and cut ones are told.
+// TestDamaged: no bytes make Decode panic, and truncated ones are an error.
 func TestDamaged(t *testing.T) {
 	b := Encode(table(7, 130))
 	r := rand.New(rand.NewPCG(1, 1))
@@ -53,7 +53,7 @@
 	}
 	for n := 1; n < len(b); n += 97 {
 		if _, err := Decode(b[:n]); err == nil {
-			t.Fatalf("cut at %d of %d it was read", n, len(b))
+			t.Fatalf("truncated at %d of %d it was read", n, len(b))
 		}
 	}
 }
--- a/internal/routingtable/stored_test.go
+++ b/internal/routingtable/stored_test.go
@@ -33,8 +33,8 @@
 	return t
 }
 
-// TestStoredTables: tables that earlier code stored are read whole, small ones as
-// they are and larger ones packed; and small ones are written to the same bytes.
+// TestStoredTables: tables that earlier code stored are read completely, small ones as
+// they are and larger ones compressed; and small ones are written to the same bytes.
 func TestStoredTables(t *testing.T) {
 	for _, x := range []struct {
 		fixture string
--- a/result/result.go
+++ b/result/result.go
@@ -66,7 +66,7 @@
 	FailoverCompleted     Code = 503
 	FailoverWaiting       Code = 504
 	MemberAdmitted        Code = 505
-	RoleTaken             Code = 506
+	RoleOwnerChanged             Code = 506
 	PeerSuspected         Code = 507
 	RevisionApplied       Code = 508
 	VoterStarted          Code = 509
@@ -144,7 +144,7 @@
 	{FailoverCompleted, 0, "the new primary was seen in its epoch", "nothing"},
 	{FailoverWaiting, 0, "the takeover waits: fewer than a majority of copies could be sealed", "bring a copy of the group back"},
 	{MemberAdmitted, 0, "a copy with a new disk has caught up and counts as a member", "nothing"},
-	{RoleTaken, 0, "a duty changed hands", "nothing"},
+	{RoleOwnerChanged, 0, "a duty changed hands", "nothing"},
 	{PeerSuspected, 0, "a neighbour is silent", "look at the machine if it stays so"},
 	{RevisionApplied, 0, "a revision is in force on this process", "nothing"},
 	{VoterStarted, 0, "this voter votes from now on", "nothing"},
