--- a/internal/ports/control.go
+++ b/internal/ports/control.go
@@ -3,41 +3,47 @@
 import "context"
 
 // Control is what databases and operators ask of a control process. Calls come
-// from many goroutines and are bounded by their context.
+// from many goroutines and are bounded by their contexts.
 type Control interface {
-	// Announce takes a database's word on itself. ok says that it may rely on it
-	// being known; next, where not empty, is the control address it is to call
-	// from now on.
+	// Announce takes a database's announcement. ok says that the database may rely
+	// on being known; next, where not empty, is the control address that it is to
+	// call from now on.
 	Announce(ctx context.Context, i Instance) (ok bool, next string)
+	// Change applies an operator's change of the routing table.
 	Change(ctx context.Context, c TableChange) ChangeResult
-	// Fetch gives the newest table, and whether it surely is.
-	Fetch(ctx context.Context) (RoutingTable, bool)
+	// Fetch returns the newest routing table that the process knows, and whether it
+	// certainly is the newest.
+	Fetch(ctx context.Context) (table RoutingTable, certain bool)
 }
 
 // TableChange is an operator's change of the routing table.
 type TableChange struct {
-	BaseRevision uint64 // the revision it builds on
-	Revision     uint64 // the revision it makes
-	Complete     bool   // the lists are the whole table, rather than items to put and remove
-	Digest       string // the same for the same change sent again
-	Routes       []Route
-	Groups       []Group
-	Limits       *Limits // nil: none named
+	BaseRevision uint64 // the revision that it builds on
+	Revision     uint64 // the revision that it makes
+	// Complete says that the lists are the complete table, rather than items to put
+	// and to remove.
+	Complete bool
+	Digest   string // of the content: the same if the same change is sent again
+	Routes   []Route
+	Groups   []Group
+	Limits   *Limits // nil: unchanged
 
 	RemoveRoutes []string
 	RemoveGroups []string
 
-	// Problems name what could not be read; a change that has any is invalid.
+	// Problems are the items that could not be read; a change that has any is
+	// invalid.
 	Problems []string
 }
 
 // Outcome is what became of a change.
 type Outcome uint8
 
+// The outcomes.
 const (
-	Unavailable Outcome = iota // unclear, or nobody can agree to it now
+	Unavailable Outcome = iota // it is unknown whether the change was committed, or nothing can be committed now
 	Committed
-	Stale   // another revision than its base is in force
+	Stale   // a revision other than its base is in force
 	Invalid // Problems say why
 )
 
@@ -48,26 +54,14 @@
 	Revision uint64 // the one in force
 }
 
-// Databases is how a control process speaks with single databases: Status,
-// Hold, Resume and StepDown. The code is the database's own word; err is set
-// where it said nothing that can be used, and is a time-out where it was silent.
-type Databases interface {
-	Do(ctx context.Context, address, group, id string, op Op) (DatabaseStatus, Code, error)
-}
-
-// Provider carries out what only the platform can. Promote asks it to make a
-// database its group's primary; status is an HTTP status.
-type Provider interface {
-	Promote(ctx context.Context, group, id, owner string, fence uint64) (status int, err error)
-}
-
-// ControlProcess is one control process, behind its edges.
+// ControlProcess is one control process, without the adapters at its edges.
 type ControlProcess interface {
 	Control
+	// UpdateConfig takes a changed configuration.
 	UpdateConfig(ProcessConfig)
-	// Run serves until the context ends, then leaves in order.
+	// Run serves until the context ends, then shuts down gracefully.
 	Run(ctx context.Context) error
 }
 
 // NewControl makes a control process.
-type NewControl func(b ProcessConfig, dbs Databases, p Provider) (ControlProcess, error)
+type NewControl func(config ProcessConfig, databases Databases, provider Provider) (ControlProcess, error)
