--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,10 @@
 // Package invariant counts violations of what has to hold at every moment. The
 // checks run in the daemons as they do in tests: a violation is logged and counted,
 // and shows in the process's state; tests fail on the first one.
+//
+// A core tests a condition itself and calls Checks.Violated where it does not hold;
+// its process logs what TakeNew returns and reports Counts. Checks has no lock: it
+// belongs to its core.
 package invariant
 
 import (
@@ -12,25 +16,27 @@
 // Rule names what has to hold.
 type Rule string
 
-// Rules.
+// The rules. Their texts are in the processes' states and never change.
 const (
 	// RoutedUnconfirmed: a node routes a statement, or refuses a name, only by a
-	// routing table that a majority of the voters vouched for no longer ago than a
+	// routing table that a majority of the voters confirmed no longer ago than a
 	// change may take to be in force everywhere.
 	RoutedUnconfirmed Rule = "routed-unvouched"
-	// TableRevertedToOlder: within a run, a process's routing table never becomes older.
+	// TableRevertedToOlder: within a run, a process's routing table never becomes
+	// older.
 	TableRevertedToOlder Rule = "table-went-back"
-	// CommittedValueChanged: a revision that is known to be agreed keeps its content.
+	// CommittedValueChanged: a revision that is known to be committed keeps its
+	// content.
 	CommittedValueChanged Rule = "agreed-changed"
 	// StaleTableReturned: a control process answers no call by a table older than one
-	// that it knew to be agreed when the call came.
+	// that it knew to be committed when the call came.
 	StaleTableReturned Rule = "older-handed-out"
-	// LearnedTooLate: a process whose looks a majority of the voters returns learns what
-	// they agreed within a bounded time.
+	// LearnedTooLate: a process whose polls a majority of the voters answers learns
+	// what they committed within a bounded time.
 	LearnedTooLate Rule = "learned-late"
 )
 
-// Violation is a broken rule and how it was broken.
+// Violation is a rule that was violated, and how.
 type Violation struct {
 	Rule   Rule
 	Detail string
@@ -42,7 +48,7 @@
 	unreported []Violation
 }
 
-// Violated notes a violation. Callers test the condition themselves, so that a check that
+// Violated counts a violation. Callers test the condition themselves, so that a check that
 // holds costs nothing more.
 func (c *Checks) Violated(rule Rule, format string, a ...any) {
 	if c.counts == nil {
@@ -54,14 +60,14 @@
 	}
 }
 
-// TakeNew hands out the first violation of each rule, once, for the log.
+// TakeNew returns the first violation of each rule, once, for the log.
 func (c *Checks) TakeNew() []Violation {
 	fresh := c.unreported
 	c.unreported = nil
 	return fresh
 }
 
-// Counts is how often each rule was broken; rules that hold are left out.
+// Counts is how often each rule was violated; rules that hold are left out.
 func (c *Checks) Counts() map[string]int64 {
 	out := make(map[string]int64, len(c.counts))
 	for rule, n := range c.counts {
@@ -70,7 +76,7 @@
 	return out
 }
 
-// Merge adds several processes' or parts' counts.
+// Merge adds up the counts of several processes or cores.
 func Merge(all ...map[string]int64) map[string]int64 {
 	out := map[string]int64{}
 	for _, counts := range all {
@@ -81,5 +87,5 @@
 	return out
 }
 
-// Names are the rules that were broken, in order.
+// Names are the rules that were violated, sorted.
 func Names(counts map[string]int64) []string { return slices.Sorted(maps.Keys(counts)) }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// TestChecks: each violation is counted, the first of each rule is said once.
+// TestChecks: each violation is counted, the first of each rule is returned once.
 func TestChecks(t *testing.T) {
 	var c Checks
 	if len(c.TakeNew()) > 0 || len(c.Counts()) > 0 {
-		t.Fatal("nothing was broken")
+		t.Fatal("nothing was violated")
 	}
 	c.Violated(TableRevertedToOlder, "from %d to %d", 3, 2)
 	c.Violated(TableRevertedToOlder, "from %d to %d", 5, 1)
 	c.Violated(LearnedTooLate, "late")
 	if fresh := c.TakeNew(); len(fresh) != 2 || fresh[0] != (Violation{TableRevertedToOlder, "from 3 to 2"}) {
-		t.Errorf("said %v", fresh)
+		t.Errorf("returned %v", fresh)
 	}
 	if len(c.TakeNew()) > 0 {
-		t.Error("said twice")
+		t.Error("returned twice")
 	}
 	sum := Merge(c.Counts(), map[string]int64{string(LearnedTooLate): 2}, nil)
 	if !maps.Equal(sum, map[string]int64{string(TableRevertedToOlder): 2, string(LearnedTooLate): 3}) || len(Names(sum)) != 2 {
--- a/result/result.go
+++ b/result/result.go
@@ -1,5 +1,9 @@
-// Package result is the one table of numbered result codes; docs/result-codes.md
-// is generated from it.
+// Package result has the numbered result codes, which are the same in HTTP replies
+// and in logs. Table is the one list of them; docs/result-codes.md is generated from
+// it (tools/generate-docs).
+//
+// Numbers never change and are never used again: callers, operators and their alarms
+// know the codes by them. The hundreds tell whose matter a code is.
 package result
 
 // Code is a numbered result.
@@ -8,15 +12,18 @@
 // Outcome says what became of a query's writes.
 type Outcome string
 
+// The outcomes, as replies carry them.
 const (
-	Done      Outcome = "done"
-	NoEffect  Outcome = "nothing kept"
-	Uncertain Outcome = "uncertain"
+	Done      Outcome = "done"         // they took effect
+	NoEffect  Outcome = "nothing kept" // none took effect
+	Uncertain Outcome = "uncertain"    // it is not known whether they did
 )
 
-const (
-	OK Code = 0
+// OK is the code of a request that succeeded.
+const OK Code = 0
 
+// Errors of the caller. Table says what each means.
+const (
 	BadJSON            Code = 101
 	TooLarge           Code = 102
 	UnknownSession     Code = 103
@@ -31,7 +38,10 @@
 	InTransaction      Code = 112
 	BadQuery           Code = 113
 	SessionExists      Code = 114
+)
 
+// Rejections: nothing took effect, and the caller may come back (Code.Retryable).
+const (
 	QueueFull           Code = 201
 	DeadlineTooNear     Code = 202
 	Stopping            Code = 203
@@ -41,32 +51,42 @@
 	NotConfigured       Code = 207
 	DatabaseUnreachable Code = 208
 	DatabaseDraining    Code = 209
+)
 
+// Ends that the caller has to look into, since it may be unknown what took effect.
+const (
 	ResponseLost    Code = 301
 	NoMajority      Code = 302
 	TransactionLost Code = 303
+)
 
-	BadOperatorToken      Code = 401
-	NotOwner              Code = 402
-	InvalidConfiguration  Code = 403
-	LosingRevision        Code = 404
-	ChangeUncertain       Code = 405
-	NoVoterMajority       Code = 406
-	UnknownPath           Code = 407
-	OperatorBadJSON       Code = 408
-	NotFound              Code = 409
-	NotUnderstood         Code = 410
-	Ambiguous             Code = 411
-	MaintenanceOverlaps   Code = 412
-	TooMuchAtOnce         Code = 413
-	PastTime              Code = 414
-	WrongState            Code = 415
+// Replies to operators.
+const (
+	BadOperatorToken     Code = 401
+	NotOwner             Code = 402
+	InvalidConfiguration Code = 403
+	LosingRevision       Code = 404
+	ChangeUncertain      Code = 405
+	NoVoterMajority      Code = 406
+	UnknownPath          Code = 407
+	OperatorBadJSON      Code = 408
+	NotFound             Code = 409
+	NotUnderstood        Code = 410
+	Ambiguous            Code = 411
+	MaintenanceOverlaps  Code = 412
+	TooMuchAtOnce        Code = 413
+	PastTime             Code = 414
+	WrongState           Code = 415
+)
+
+// Entries of the log.
+const (
 	FailoverStarted       Code = 501
 	FailoverTargetChosen  Code = 502
 	FailoverCompleted     Code = 503
 	FailoverWaiting       Code = 504
 	MemberAdmitted        Code = 505
-	RoleOwnerChanged             Code = 506
+	RoleOwnerChanged      Code = 506
 	PeerSuspected         Code = 507
 	RevisionApplied       Code = 508
 	VoterStarted          Code = 509
@@ -87,10 +107,10 @@
 	InvariantBroken       Code = 524
 )
 
-// Row is one code's line in the table.
+// Row is what the table says of one code.
 type Row struct {
 	Code    Code
-	HTTP    int // status of the HTTP return that carries it, 0 for codes of logs
+	HTTP    int // status of the HTTP reply that carries it, 0 for codes of the log
 	Meaning string
 	Action  string // what the reader should do
 }
@@ -173,11 +193,18 @@
 	return m
 }()
 
-// Row is the code's line.
+// Row is what the table says of the code; the zero Row for a number that is none.
 func (c Code) Row() Row { return rows[c] }
 
+// String is the meaning of the code.
 func (c Code) String() string { return rows[c].Meaning }
 
-// Retryable says whether the code means that nothing was kept and the caller may
-// come back.
-func (c Code) Retryable() bool { return c >= 200 && c < 300 }
+// Retryable says whether the code promises that nothing took effect and that the
+// caller may come back.
+func (c Code) Retryable() bool { return c >= firstRejection && c <= lastRejection }
+
+// The range of the rejections.
+const (
+	firstRejection Code = 200
+	lastRejection  Code = 299
+)
