--- a/emulator/fleetsimulation/nodes.go
+++ b/emulator/fleetsimulation/nodes.go
@@ -99,17 +99,30 @@
 	f.After(25_000, poll)
 }
 
-func (n *Node) step(events ...any) {
-	f := n.fleet
+func (n *Node) step(events ...sessiontable.Event) {
 	for _, e := range events {
-		effects := n.core.Step(n.now(), e)
-		for _, d := range effects.Table {
-			n.perform(d)
-		}
-		for _, s := range effects.Send {
-			f.sendEnvelope(n.ip, s)
-		}
+		n.performAll(n.core.Step(n.now(), e))
+	}
+	n.stepped()
+}
+
+func (n *Node) receive(e *schema.Envelope) {
+	n.performAll(n.core.Receive(n.now(), e))
+	n.stepped()
+}
+
+func (n *Node) performAll(effects sessionpool.Effects) {
+	for _, d := range effects.Table {
+		n.perform(d)
+	}
+	for _, s := range effects.Send {
+		n.fleet.sendEnvelope(n.ip, s)
 	}
+}
+
+// stepped checks the revision in force after a step, and sets the timer.
+func (n *Node) stepped() {
+	f := n.fleet
 	if r := n.core.Revision(); r != n.newestRevision {
 		if r < n.newestRevision {
 			f.oracle.violation("%s went back from revision %d to %d", n.name, n.newestRevision, r)
@@ -231,7 +244,7 @@
 		gen := n.generation
 		n.enter(e.From, func() {
 			if n.generation == gen {
-				n.step(e)
+				n.receive(e)
 			}
 		})
 	}
--- a/internal/sessionpool/core.go
+++ b/internal/sessionpool/core.go
@@ -69,39 +69,48 @@
 // Due is when Step has something to do next even if nothing happens.
 func (c *Core) Due() int64 { return min(c.Table.Due(), c.view.Due()) }
 
-// Step takes events of the table's, and voters' envelopes, then does what is
-// due.
-func (c *Core) Step(now int64, events ...any) Effects {
+// Step hands events to the session table, and then does what is due.
+func (c *Core) Step(now int64, events ...sessiontable.Event) Effects {
 	var effects Effects
 	for _, event := range events {
-		switch event := event.(type) {
-		case *schema.Envelope:
-			if b, ok := event.Body.(*schema.Envelope_PollResponse); ok {
-				c.view.Step(now, event.From, b.PollResponse)
-				c.applyLearned(now, &effects)
-			}
-			continue
-		case sessiontable.Drain:
+		if _, ok := event.(sessiontable.Drain); ok {
 			c.draining = true
 			c.view.RequestPoll()
 		}
 		c.stepTable(now, &effects, event)
 	}
+	c.doDue(now, &effects)
+	return effects
+}
+
+// Receive takes an envelope from another process, and then does what is due. Only
+// voters' poll responses concern a pool node; any other envelope is dropped.
+func (c *Core) Receive(now int64, envelope *schema.Envelope) Effects {
+	var effects Effects
+	if body, ok := envelope.Body.(*schema.Envelope_PollResponse); ok {
+		c.view.Step(now, envelope.From, body.PollResponse)
+		c.applyLearned(now, &effects)
+	}
+	c.doDue(now, &effects)
+	return effects
+}
+
+// doDue ticks the session table and polls the voters if it is time.
+func (c *Core) doDue(now int64, effects *Effects) {
 	if now >= c.Table.Due() {
-		c.stepTable(now, &effects, sessiontable.Tick{})
+		c.stepTable(now, effects, sessiontable.Tick{})
 	}
 	if c.Table.Changed() {
 		c.view.RequestPoll()
 	}
 	if now >= c.view.Due() {
 		effects.Send = c.view.Tick(now, func() learner.Report { return c.report(now) })
-		c.logContact(now, &effects)
-		c.logViolations(&effects)
+		c.logContact(now, effects)
+		c.logViolations(effects)
 	}
-	return effects
 }
 
-func (c *Core) stepTable(now int64, effects *Effects, event any) {
+func (c *Core) stepTable(now int64, effects *Effects, event sessiontable.Event) {
 	for _, effect := range c.Table.Step(now, event) {
 		if _, ok := effect.(sessiontable.RenewLease); ok {
 			c.view.RequestPoll()
--- a/internal/sessionpool/floor_test.go
+++ b/internal/sessionpool/floor_test.go
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, o := range voterNames[:2] {
-		done = append(done, v.core.Step(v.now, &schema.Envelope{From: o, Body: &schema.Envelope_PollResponse{PollResponse: &schema.PollResponse{
+		done = append(done, v.core.Receive(v.now, &schema.Envelope{From: o, Body: &schema.Envelope_PollResponse{PollResponse: &schema.PollResponse{
 			Number: number, VoterRun: 1, ChangeNumber: v.seq, ActiveMembership: 1, DiskId: 1, Membership: voterMembership(), Registers: cells, IncludesData: true,
 			Databases: []*schema.Record{learner.EncodeInstance(ports.Instance{ID: "d1", Group: "g", Address: "d1:1", Zone: "a", Primary: true, AnnouncementNumber: 1})}}}}).Table...)
 	}
@@ -144,7 +144,7 @@
 		v := newVoters(t)
 		v.send(true, table(1))
 		told := func(from string, number uint64, c *schema.RegisterState) {
-			v.core.Step(v.now, &schema.Envelope{From: from, Body: &schema.Envelope_PollResponse{PollResponse: &schema.PollResponse{
+			v.core.Receive(v.now, &schema.Envelope{From: from, Body: &schema.Envelope_PollResponse{PollResponse: &schema.PollResponse{
 				Number: number, VoterRun: 1, ChangeNumber: 9, ActiveMembership: 1, DiskId: 1, Membership: voterMembership(), Registers: []*schema.RegisterState{c}}}})
 		}
 		bare := cell(learner.TableKey, 2, nil)
--- /dev/null
+++ b/internal/sessionpool/perform.go
@@ -0,0 +1,104 @@
+package sessionpool
+
+import (
+	"context"
+
+	"github.com/apex/log"
+
+	"stoneford/internal/sessiontable"
+	"stoneford/result"
+)
+
+// flusher is an edge that writes what was queued at it.
+type flusher interface{ Flush() }
+
+// deferredWork is the part of a step's effects that is done without the lock, since
+// it writes, dials or closes.
+type deferredWork struct {
+	buffer  [4]flusher // backs flush where few edges are concerned
+	flush   []flusher
+	dial    []func()
+	closing []*connection
+	entries []sessiontable.LogEntry
+}
+
+// performLocked carries out the effects of a step. The caller holds the lock. While it
+// is held, all that edges have to write is queued in the order of the effects; the
+// lock is released before anything is written.
+func (p *Process) performLocked(now int64, effects Effects) {
+	var work deferredWork
+	work.flush = work.buffer[:0]
+	if core, ok := p.core.(*Core); ok {
+		p.tableRevision.Store(core.tableRevision)
+	}
+	for _, effect := range effects.Table {
+		p.queueEffect(&work, effect)
+	}
+	p.setTimer(now)
+	p.mu.Unlock()
+	work.run()
+	for _, message := range effects.Send {
+		p.links.Send(message.To, message.Envelope)
+	}
+}
+
+// queueEffect queues one effect at its edge, and notes in work what is left to do.
+func (p *Process) queueEffect(work *deferredWork, effect sessiontable.Effect) {
+	switch effect := effect.(type) {
+	case sessiontable.Reply:
+		if client := p.sessions[effect.Session]; client != nil {
+			client.Reply(effect.Reply)
+			if effect.Close {
+				p.closeSession(effect.Session, client)
+			}
+			work.flush = append(work.flush, client)
+		}
+	case sessiontable.CloseSession:
+		if client := p.sessions[effect.Session]; client != nil {
+			p.closeSession(effect.Session, client)
+			work.flush = append(work.flush, client)
+		}
+	case sessiontable.Send:
+		if conn := p.connections[effect.Conn]; conn != nil && conn.db != nil {
+			conn.db.Queue(effect.Ops)
+			work.flush = append(work.flush, conn.db)
+		}
+	case sessiontable.Connect:
+		conn := &connection{}
+		conn.ctx, conn.cancel = context.WithCancel(p.context)
+		p.connections[effect.Conn] = conn
+		work.dial = append(work.dial, func() { p.serveConnection(effect, conn) })
+	case sessiontable.CloseConnection:
+		if conn := p.connections[effect.Conn]; conn != nil {
+			delete(p.connections, effect.Conn)
+			work.closing = append(work.closing, conn)
+		}
+	case sessiontable.LogEntry:
+		work.entries = append(work.entries, effect)
+	}
+}
+
+// closeSession queues the end of a session at its edge.
+func (p *Process) closeSession(session uint64, client Client) {
+	client.Close()
+	delete(p.sessions, session)
+}
+
+func (w *deferredWork) run() {
+	for _, edge := range w.flush {
+		edge.Flush()
+	}
+	for _, dial := range w.dial {
+		go dial()
+	}
+	for _, conn := range w.closing {
+		conn.close()
+	}
+	for _, entry := range w.entries {
+		writeLog(entry.Code, entry.Text)
+	}
+}
+
+func writeLog(code result.Code, text string) {
+	log.WithFields(log.Fields{"code": int(code), "what": text}).Info(code.String())
+}
--- a/internal/sessionpool/process.go
+++ b/internal/sessionpool/process.go
@@ -18,7 +18,6 @@
 	"stoneford/internal/ports"
 	"stoneford/internal/sessiontable"
 	"stoneford/internal/transport"
-	"stoneford/result"
 	"stoneford/schema"
 )
 
@@ -33,7 +32,8 @@
 
 // node is what the process runs: *Core.
 type node interface {
-	Step(now int64, evs ...any) Effects
+	Step(now int64, events ...sessiontable.Event) Effects
+	Receive(now int64, envelope *schema.Envelope) Effects
 	Due() int64
 	Ready(now int64) bool
 	Busy() int
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	p.links = transport.New(work, self, transport.LocalAddress(self), func(e *schema.Envelope) { p.step(e) })
+	p.links = transport.New(work, self, transport.LocalAddress(self), p.receive)
 	serve(func() error { return p.links.Serve(listener) })
 	p.step(sessiontable.Tick{})
 	serve(func() error { return p.edges.Frontend.Serve(work, p) })
@@ -223,86 +223,24 @@
 	p.stepLocked(sessiontable.SessionClosed{Session: session})
 }
 
-// step puts events into the core and does what follows.
-func (p *Process) step(events ...any) {
+// step hands events to the core and carries out the effects.
+func (p *Process) step(events ...sessiontable.Event) {
 	p.mu.Lock()
 	p.stepLocked(events...)
 }
 
-type flusher interface{ Flush() }
-
-// stepLocked is step for who holds the lock, which it gives back before
-// anything is written.
-func (p *Process) stepLocked(events ...any) {
+// receive hands an envelope to the core and carries out the effects.
+func (p *Process) receive(envelope *schema.Envelope) {
+	p.mu.Lock()
 	now := p.now()
-	var flushBuffer [4]flusher
-	flushers := flushBuffer[:0]
-	var dials []func()
-	var closing []*connection
-	var entries []sessiontable.LogEntry
-	effects := p.core.Step(now, events...)
-	if conn, ok := p.core.(*Core); ok {
-		p.tableRevision.Store(conn.tableRevision)
-	}
-	for _, flusher := range effects.Table {
-		switch flusher := flusher.(type) {
-		case sessiontable.Reply:
-			conn := p.sessions[flusher.Session]
-			if conn == nil {
-				continue
-			}
-			conn.Reply(flusher.Reply)
-			if flusher.Close {
-				conn.Close()
-				delete(p.sessions, flusher.Session)
-			}
-			flushers = append(flushers, conn)
-		case sessiontable.CloseSession:
-			if conn := p.sessions[flusher.Session]; conn != nil {
-				conn.Close()
-				delete(p.sessions, flusher.Session)
-				flushers = append(flushers, conn)
-			}
-		case sessiontable.Send:
-			if conn := p.connections[flusher.Conn]; conn != nil && conn.db != nil {
-				conn.db.Queue(flusher.Ops)
-				flushers = append(flushers, conn.db)
-			}
-		case sessiontable.Connect:
-			conn := &connection{}
-			conn.ctx, conn.cancel = context.WithCancel(p.context)
-			p.connections[flusher.Conn] = conn
-			dials = append(dials, func() { p.serveConnection(flusher, conn) })
-		case sessiontable.CloseConnection:
-			if conn := p.connections[flusher.Conn]; conn != nil {
-				delete(p.connections, flusher.Conn)
-				closing = append(closing, conn)
-			}
-		case sessiontable.LogEntry:
-			entries = append(entries, flusher)
-		}
-	}
-	p.setTimer(now)
-	p.mu.Unlock()
-	for _, flusher := range flushers {
-		flusher.Flush()
-	}
-	for _, flusher := range dials {
-		go flusher()
-	}
-	for _, conn := range closing {
-		conn.close()
-	}
-	for _, entry := range entries {
-		writeLog(entry.Code, entry.Text)
-	}
-	for _, entry := range effects.Send {
-		p.links.Send(entry.To, entry.Envelope)
-	}
+	p.performLocked(now, p.core.Receive(now, envelope))
 }
 
-func writeLog(c result.Code, text string) {
-	log.WithFields(log.Fields{"code": int(c), "what": text}).Info(c.String())
+// stepLocked is step for a caller that holds the lock. It releases the lock before
+// anything is written.
+func (p *Process) stepLocked(events ...sessiontable.Event) {
+	now := p.now()
+	p.performLocked(now, p.core.Step(now, events...))
 }
 
 func (c *connection) close() {
@@ -326,7 +264,7 @@
 		return
 	}
 	var answers []ports.Response
-	var events []any
+	var events []sessiontable.Event
 	for err == nil {
 		answers, err = database.Read(answers[:0])
 		events = events[:0]
--- a/internal/sessionpool/process_test.go
+++ b/internal/sessionpool/process_test.go
@@ -20,19 +20,20 @@
 
 	"stoneford/internal/ports"
 	"stoneford/internal/sessiontable"
+	"stoneford/schema"
 )
 
 // scriptedCore is a core that does what a test says.
 type scriptedCore struct {
-	step            func(now int64, e any) []sessiontable.Effect
+	step            func(now int64, e sessiontable.Event) []sessiontable.Effect
 	due             int64
 	busy            int
 	ready           bool
 	stepsInProgress int // steps under way
-	events          []any
+	events          []sessiontable.Event
 }
 
-func (s *scriptedCore) Step(now int64, events ...any) (effects Effects) {
+func (s *scriptedCore) Step(now int64, events ...sessiontable.Event) (effects Effects) {
 	if s.stepsInProgress++; s.stepsInProgress > 1 {
 		panic("two steps at once")
 	}
@@ -46,6 +47,9 @@
 	return effects
 }
 
+// Receive is not scripted: no test sends envelopes to the process.
+func (s *scriptedCore) Receive(int64, *schema.Envelope) Effects { panic("an envelope came") }
+
 func (s *scriptedCore) Due() int64       { return s.due }
 func (s *scriptedCore) Busy() int        { return s.busy }
 func (s *scriptedCore) Ready(int64) bool { return s.ready }
@@ -148,7 +152,7 @@
 
 func TestStatementRoundTrip(t *testing.T) {
 	db := newDatabase()
-	core := &scriptedCore{step: func(_ int64, event any) []sessiontable.Effect {
+	core := &scriptedCore{step: func(_ int64, event sessiontable.Event) []sessiontable.Effect {
 		switch event := event.(type) {
 		case sessiontable.SessionOpened:
 			return []sessiontable.Effect{reply(event.Session, event.Host, false)}
@@ -197,7 +201,7 @@
 	db := newDatabase()
 	n := 0
 	core := &scriptedCore{}
-	core.step = func(_ int64, event any) []sessiontable.Effect {
+	core.step = func(_ int64, event sessiontable.Event) []sessiontable.Effect {
 		switch event.(type) {
 		case sessiontable.SessionOpened:
 			return []sessiontable.Effect{sessiontable.Connect{Conn: 1, WaitUs: 1000}}
@@ -234,7 +238,7 @@
 }
 
 func TestClosedSessionIsRemoved(t *testing.T) {
-	core := &scriptedCore{step: func(_ int64, event any) []sessiontable.Effect {
+	core := &scriptedCore{step: func(_ int64, event sessiontable.Event) []sessiontable.Effect {
 		switch event := event.(type) {
 		case sessiontable.SessionOpened:
 			return []sessiontable.Effect{reply(event.Session, "", false)}
@@ -275,7 +279,7 @@
 		{ports.Done, io.EOF, sessiontable.ConnectEnded{Conn: 1, Err: io.EOF.Error(), Disconnected: true}},
 		{ports.Done, nil, sessiontable.ConnectEnded{Conn: 1, Err: context.DeadlineExceeded.Error()}},
 	} {
-		core := &scriptedCore{step: func(_ int64, event any) []sessiontable.Effect {
+		core := &scriptedCore{step: func(_ int64, event sessiontable.Event) []sessiontable.Effect {
 			if _, ok := event.(sessiontable.Tick); ok {
 				return []sessiontable.Effect{sessiontable.Connect{Conn: 1, WaitUs: 400_000}}
 			}
@@ -301,7 +305,7 @@
 func TestAbandonedConnect(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		db := newDatabase()
-		core := &scriptedCore{step: func(_ int64, event any) []sessiontable.Effect {
+		core := &scriptedCore{step: func(_ int64, event sessiontable.Event) []sessiontable.Effect {
 			if _, ok := event.(sessiontable.Drain); ok {
 				return []sessiontable.Effect{sessiontable.CloseConnection{Conn: 1}}
 			}
@@ -334,7 +338,7 @@
 		&net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)}: false, os.ErrDeadlineExceeded: false, syscall.EHOSTUNREACH: false,
 	} {
 		db := newDatabase()
-		core := &scriptedCore{step: func(_ int64, event any) []sessiontable.Effect {
+		core := &scriptedCore{step: func(_ int64, event sessiontable.Event) []sessiontable.Effect {
 			if _, ok := event.(sessiontable.Tick); ok {
 				return []sessiontable.Effect{sessiontable.Connect{Conn: 1, WaitUs: 400_000}}
 			}
@@ -360,7 +364,7 @@
 
 func TestClosedConnectionSendsNoEvents(t *testing.T) {
 	db := newDatabase()
-	core := &scriptedCore{step: func(_ int64, event any) []sessiontable.Effect {
+	core := &scriptedCore{step: func(_ int64, event sessiontable.Event) []sessiontable.Effect {
 		switch event.(type) {
 		case sessiontable.Tick:
 			return []sessiontable.Effect{sessiontable.Connect{Conn: 1, WaitUs: 400_000}}
@@ -387,7 +391,7 @@
 func TestTimer(t *testing.T) {
 	var rang []int64
 	core := &scriptedCore{due: 2_000_000}
-	core.step = func(now int64, event any) []sessiontable.Effect {
+	core.step = func(now int64, event sessiontable.Event) []sessiontable.Effect {
 		if _, ok := event.(sessiontable.Tick); ok && now >= core.due {
 			rang = append(rang, now)
 			core.due = math.MaxInt64
@@ -435,8 +439,8 @@
 		{time.Hour, 5700 * time.Millisecond},
 	} {
 		core := &scriptedCore{ready: true, busy: 1}
-		core.step = func(_ int64, event any) []sessiontable.Effect {
-			if event == any(sessiontable.Drain{GraceUs: 6_000_000}) {
+		core.step = func(_ int64, event sessiontable.Event) []sessiontable.Effect {
+			if event == sessiontable.Event(sessiontable.Drain{GraceUs: 6_000_000}) {
 				core.ready = false
 			}
 			return nil
@@ -503,7 +507,7 @@
 	if err := p.Run(ctx); err != nil {
 		t.Error(err)
 	}
-	if event := core.events[len(core.events)-1]; event != any(sessiontable.Drain{}) {
+	if event := core.events[len(core.events)-1]; event != sessiontable.Event(sessiontable.Drain{}) {
 		t.Error(event)
 	}
 }
--- a/internal/sessiontable/events.go
+++ b/internal/sessiontable/events.go
@@ -1,132 +1,87 @@
 package sessiontable
 
-import (
-	"stoneford/internal/ports"
-	"stoneford/result"
-)
+import "stoneford/internal/ports"
 
-// Events. IDs of sessions and connections are the edge's and are never used
-// twice in one run.
-type (
-	// SessionOpened begins a caller's session on a database's name; From tells where the
-	// caller sits.
-	SessionOpened struct {
-		Session uint64
-		Host    string
-	}
-	// StatementReceived brings a session's next statement. The edge brings one at a time: the
-	// next one only after the Reply to the one before.
-	StatementReceived struct {
-		Session   uint64
-		Statement ports.Statement
-	}
-	// SessionClosed ends a session: the caller closed it or its connection broke.
-	SessionClosed struct{ Session uint64 }
-	// ConnectEnded ends a Connect; Err tells why there is none, ConnectionRefused that nobody
-	// listens there, Cut that somebody did and ended it.
-	ConnectEnded struct {
-		Conn              uint64
-		Position          ports.Position
-		Code              ports.Code // of a refused connect, with Err set
-		Err               string
-		ConnectionRefused bool
-		Disconnected      bool
-	}
-	// AnswerReceived is the answer to the oldest op of a connection that has none.
-	AnswerReceived struct {
-		Conn   uint64
-		Answer ports.Response
-	}
-	// ConnectionLost tells that a connection broke.
-	ConnectionLost struct {
-		Conn         uint64
-		Err          string
-		Disconnected bool // ended by the other side, rather than fallen silent
-	}
-	// Update is what the voters agreed, and how long this node may rely on it.
-	Update struct {
-		Table      *ports.RoutingTable   // nil: unchanged
-		Groups     map[string]GroupState // whole, nil: unchanged
-		Instances  []ports.Instance      // whole, nil: unchanged
-		LeaseUntil int64                 // until when Groups is surely the newest, by this node's clock
-		Nodes      int                   // pool nodes that share the databases' connections
-	}
-	// Drain drains the node; open transactions get until GraceUs from now.
-	Drain struct{ GraceUs int64 }
-	// Tick lets time pass.
-	Tick struct{}
-)
+// Event is an input of Table.Step: one of the structs of this file. The IDs of
+// sessions and connections that events carry are never used twice in one run of the
+// process.
+type Event interface{ isEvent() }
 
-// GroupState is one group's leadership as this node knows it.
-type GroupState struct {
-	ports.Leadership
-	// Unconfirmed: a voter holds something newer that is not known to be agreed, so
-	// nothing may rest on this being the newest.
-	Unconfirmed bool
-	// Withheld: the leadership needs a newer routing table than this node works
-	// by, so nothing is taken on for the group (design 15.4).
-	Withheld bool
+// SessionOpened begins a caller's session. The table answers it with a Reply.
+type SessionOpened struct {
+	Session uint64 // chosen by the process
+	Host    string // the name that the caller connects to; routes are found by it
 }
 
-// Effects.
-type (
-	// Reply ends a session's statement, or the opening of a session (whose Reply
-	// has State Idle and no Code if it is open). Close asks the edge to close the
-	// session behind it.
-	Reply struct {
-		Session uint64
-		ports.Reply
-		Close bool
-	}
-	// CloseSession closes a session that has asked nothing, without a message.
-	CloseSession struct{ Session uint64 }
-	// Connect asks for a connection to an instance.
-	Connect struct {
-		Conn    uint64
-		Address string
-		Group   string
-		ID      string
-		WaitUs  int64 // give up after this
-	}
-	// Send sends ops over a connection, in order and at once.
-	Send struct {
-		Conn uint64
-		Ops  []ports.Op
-	}
-	// CloseConnection gives a connection up, whatever runs on it.
-	CloseConnection struct{ Conn uint64 }
-	// RenewLease asks that the lease be renewed now: somebody waits for it.
-	RenewLease struct{}
-	// LogEntry is for the log.
-	LogEntry struct {
-		Code result.Code
-		Text string
-	}
-)
+// StatementReceived brings a session's next statement. The process delivers one at a
+// time: the next one only after the Reply to the one before.
+type StatementReceived struct {
+	Session   uint64
+	Statement ports.Statement
+}
 
-// Effect is one of the above.
-type Effect any
+// SessionClosed ends a session: its caller closed it, or its connection broke.
+type SessionClosed struct{ Session uint64 }
 
-// HealthReport is an instance that this node cannot use.
-type HealthReport struct {
-	ID           string
-	FailingUs    int64
+// ConnectEnded is the result of a Connect. Without an Err the connection is open.
+type ConnectEnded struct {
+	Conn     uint64
+	Position ports.Position // the database's, of an open connection
+	Code     ports.Code     // the database's reason for a rejected connect, with Err set
+	Err      string
+	// ConnectionRefused: nothing listens at the address.
+	ConnectionRefused bool
+	// Disconnected: the other side ended the connect, rather than a time-out.
 	Disconnected bool
 }
 
-// GroupStatus is what the node tells the voters of one group.
-type GroupStatus struct {
-	Group        string
-	Revision     uint64
-	Acknowledged ports.Position // newest commit it acknowledged to a caller
-	Quiescent    bool           // nothing is under way at the primary
+// AnswerReceived is the answer to the oldest operation of a connection that has none
+// yet. Databases answer in the order in which operations were sent.
+type AnswerReceived struct {
+	Conn   uint64
+	Answer ports.Response
+}
+
+// ConnectionLost reports that an open connection broke.
+type ConnectionLost struct {
+	Conn         uint64
+	Err          string
+	Disconnected bool // by the other side, rather than by a time-out
+}
+
+// Update is what the voters committed, and for how long this node may rely on it.
+type Update struct {
+	Table      *ports.RoutingTable   // nil: unchanged
+	Groups     map[string]GroupState // every group by name; nil: unchanged
+	Instances  []ports.Instance      // every database announced; nil: unchanged
+	LeaseUntil int64                 // Groups is confirmed to be the newest until then, µs of this node's clock
+	Nodes      int                   // pool nodes among which the databases' connections are divided
 }
 
-// Report is what Table.Report returns, for the node's next look. Changed says
-// that it should be told at once: a sighting is new, a group fell quiet while
-// its change of primary waits for that.
-type Report struct {
-	HealthReports []HealthReport
-	GroupStatuses []GroupStatus
-	Changed       bool
+// Drain shuts the node down gracefully: it accepts no new session, and open
+// transactions get until GraceUs from now to end.
+type Drain struct{ GraceUs int64 }
+
+// Tick lets time pass. It is due at Table.Due.
+type Tick struct{}
+
+func (SessionOpened) isEvent()     {}
+func (StatementReceived) isEvent() {}
+func (SessionClosed) isEvent()     {}
+func (ConnectEnded) isEvent()      {}
+func (AnswerReceived) isEvent()    {}
+func (ConnectionLost) isEvent()    {}
+func (Update) isEvent()            {}
+func (Drain) isEvent()             {}
+func (Tick) isEvent()              {}
+
+// GroupState is one group's leadership as this node knows it.
+type GroupState struct {
+	ports.Leadership
+	// Unconfirmed: a voter holds something newer that is not known to be committed, so
+	// nothing may depend on this being the newest.
+	Unconfirmed bool
+	// Withheld: the leadership needs a newer routing table than this node has, so no
+	// new request is started for the group (design 15.4).
+	Withheld bool
 }
--- /dev/null
+++ b/internal/sessiontable/events_test.go
@@ -0,0 +1,81 @@
+package sessiontable
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"slices"
+	"testing"
+)
+
+// TestEventsAndEffectsAreHandled: Step handles every event of events.go, and package
+// sessionpool every effect of effects.go, so that a new
+// one cannot be forgotten in a switch.
+func TestEventsAndEffectsAreHandled(t *testing.T) {
+	for _, c := range []struct{ file, marker, in, function string }{
+		{"events.go", "isEvent", "table.go", "handle"},
+		{"effects.go", "isEffect", "../sessionpool/perform.go", "queueEffect"},
+	} {
+		types, cases := markedTypes(t, c.file, c.marker), caseTypes(t, c.in, c.function)
+		if c.marker == "isEffect" {
+			cases = append(cases, "RenewLease") // sessionpool's Core consumes it
+		}
+		slices.Sort(types)
+		slices.Sort(cases)
+		if len(types) == 0 || !slices.Equal(types, cases) {
+			t.Errorf("%s has %v, and %s handles %v", c.file, types, c.function, cases)
+		}
+	}
+}
+
+// markedTypes are the types of a file that have the marker method.
+func markedTypes(t *testing.T, path, marker string) (names []string) {
+	t.Helper()
+	for _, d := range parse(t, path).Decls {
+		if f, ok := d.(*ast.FuncDecl); ok && f.Recv != nil && f.Name.Name == marker {
+			names = append(names, typeName(f.Recv.List[0].Type))
+		}
+	}
+	return names
+}
+
+// caseTypes are the types of the cases of a function's type switch.
+func caseTypes(t *testing.T, path, function string) (names []string) {
+	t.Helper()
+	for _, d := range parse(t, path).Decls {
+		f, ok := d.(*ast.FuncDecl)
+		if !ok || f.Name.Name != function {
+			continue
+		}
+		ast.Inspect(f, func(n ast.Node) bool {
+			if s, ok := n.(*ast.TypeSwitchStmt); ok {
+				for _, clause := range s.Body.List {
+					for _, e := range clause.(*ast.CaseClause).List {
+						names = append(names, typeName(e))
+					}
+				}
+			}
+			return true
+		})
+	}
+	return names
+}
+
+func typeName(e ast.Expr) string {
+	switch e := e.(type) {
+	case *ast.Ident:
+		return e.Name
+	case *ast.SelectorExpr:
+		return e.Sel.Name
+	}
+	return ""
+}
+
+func parse(t *testing.T, path string) *ast.File {
+	t.Helper()
+	f, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return f
+}
--- /dev/null
+++ b/internal/sessiontable/report.go
@@ -0,0 +1,60 @@
+package sessiontable
+
+import "stoneford/internal/ports"
+
+// HealthReport is a database that this node cannot use.
+type HealthReport struct {
+	ID           string
+	FailingUs    int64 // for how long
+	Disconnected bool  // the database ended a connection or a connect, rather than a time-out
+}
+
+// GroupStatus is what the node reports to the voters about one group.
+type GroupStatus struct {
+	Group        string
+	Revision     uint64         // of the leadership that the node works by
+	Acknowledged ports.Position // newest commit that the node acknowledged to a caller
+	Quiescent    bool           // nothing is in flight at the primary
+}
+
+// Report is what the node sends to the voters with its next poll.
+type Report struct {
+	HealthReports []HealthReport
+	GroupStatuses []GroupStatus
+	// Changed: the report should be sent at once, since a health report is new or a
+	// group became quiescent while its change of primary waits for that.
+	Changed bool
+}
+
+// Changed says whether the next Report would say so.
+func (t *Table) Changed() bool { return t.reportChanged }
+
+// Report is what the voters are to be told; it clears Changed.
+func (t *Table) Report(now int64) Report {
+	r := Report{Changed: t.reportChanged}
+	t.reportChanged = false
+	for _, group := range t.groupsByName {
+		for _, db := range group.databases {
+			if db.failingSince > 0 {
+				r.HealthReports = append(r.HealthReports, HealthReport{ID: db.ID, FailingUs: max(now-db.failingSince, 0), Disconnected: db.disconnected})
+			}
+		}
+		if group.known {
+			r.GroupStatuses = append(r.GroupStatuses, GroupStatus{Group: group.name, Revision: group.state.Revision, Acknowledged: group.acknowledged, Quiescent: t.quiescent(group)})
+		}
+	}
+	return r
+}
+
+func (t *Table) quiescent(group *databaseGroup) bool {
+	primary := t.databases[group.state.Primary]
+	return primary == nil || primary.running == 0 && primary.openTransactions == 0
+}
+
+// reportIfQuiescent notes that a group may have fallen quiet while its change waits for it.
+func (t *Table) reportIfQuiescent(db *database) {
+	group := db.group
+	if group.known && group.state.Phase == ports.PhaseDraining && group.state.Primary == db.ID && db.running == 0 && db.openTransactions == 0 {
+		t.reportChanged = true
+	}
+}
--- a/internal/sessiontable/rules_test.go
+++ b/internal/sessiontable/rules_test.go
@@ -42,7 +42,7 @@
 	return bench
 }
 
-func (b *bench) step(events ...any) []Effect {
+func (b *bench) step(events ...Event) []Effect {
 	b.effects = b.table.Step(b.now, events...)
 	checkAll(b.t, b.table)
 	return b.effects
--- a/internal/sessiontable/table.go
+++ b/internal/sessiontable/table.go
@@ -169,32 +169,13 @@
 	return t
 }
 
-// Step takes events in at a moment and hands back what is to be done.
-func (t *Table) Step(now int64, events ...any) []Effect {
+// Step takes events at a moment (µs of the node's clock, which never goes back) and
+// returns what the process has to do, in order.
+func (t *Table) Step(now int64, events ...Event) []Effect {
 	t.now = max(now, t.now)
 	t.effects = nil
 	for _, e := range events {
-		switch e := e.(type) {
-		case SessionOpened:
-			t.openSession(e)
-		case StatementReceived:
-			t.receiveStatement(e)
-		case SessionClosed:
-			t.endSession(e)
-		case ConnectEnded:
-			t.connectEnded(e)
-		case AnswerReceived:
-			t.receiveAnswer(e)
-		case ConnectionLost:
-			t.connectionLost(e)
-		case Update:
-			t.update(e)
-		case Drain:
-			t.drain(e)
-		case Tick:
-		default:
-			panic(fmt.Sprintf("sessiontable: event %T", e))
-		}
+		t.handle(e)
 	}
 	for t.timers.len() > 0 && t.timers.top().at <= t.now {
 		timer := t.timers.top()
@@ -206,6 +187,30 @@
 	return t.effects
 }
 
+func (t *Table) handle(e Event) {
+	switch e := e.(type) {
+	case SessionOpened:
+		t.openSession(e)
+	case StatementReceived:
+		t.receiveStatement(e)
+	case SessionClosed:
+		t.endSession(e)
+	case ConnectEnded:
+		t.connectEnded(e)
+	case AnswerReceived:
+		t.receiveAnswer(e)
+	case ConnectionLost:
+		t.connectionLost(e)
+	case Update:
+		t.update(e)
+	case Drain:
+		t.drain(e)
+	case Tick:
+	default:
+		panic(fmt.Sprintf("sessiontable: event %T", e))
+	}
+}
+
 // Due is when the next Tick is needed.
 func (t *Table) Due() int64 {
 	if t.timers.len() == 0 {
@@ -268,39 +273,6 @@
 // Counts are since the start.
 func (t *Table) Counts() Counts { return t.counts }
 
-// Changed says whether the next Report would say so.
-func (t *Table) Changed() bool { return t.reportChanged }
-
-// Report is what the voters are to be told; it clears Changed.
-func (t *Table) Report(now int64) Report {
-	r := Report{Changed: t.reportChanged}
-	t.reportChanged = false
-	for _, group := range t.groupsByName {
-		for _, db := range group.databases {
-			if db.failingSince > 0 {
-				r.HealthReports = append(r.HealthReports, HealthReport{ID: db.ID, FailingUs: max(now-db.failingSince, 0), Disconnected: db.disconnected})
-			}
-		}
-		if group.known {
-			r.GroupStatuses = append(r.GroupStatuses, GroupStatus{Group: group.name, Revision: group.state.Revision, Acknowledged: group.acknowledged, Quiescent: t.quiescent(group)})
-		}
-	}
-	return r
-}
-
-func (t *Table) quiescent(group *databaseGroup) bool {
-	primary := t.databases[group.state.Primary]
-	return primary == nil || primary.running == 0 && primary.openTransactions == 0
-}
-
-// reportIfQuiescent notes that a group may have fallen quiet while its change waits for it.
-func (t *Table) reportIfQuiescent(db *database) {
-	group := db.group
-	if group.known && group.state.Phase == ports.PhaseDraining && group.state.Primary == db.ID && db.running == 0 && db.openTransactions == 0 {
-		t.reportChanged = true
-	}
-}
-
 // Stop and grace (design 7.7): resting sessions are shut at once, open
 // transactions get six tenths of the grace to end.
 func (t *Table) drain(e Drain) {
--- a/internal/sessiontable/world_test.go
+++ b/internal/sessiontable/world_test.go
@@ -228,7 +228,7 @@
 }
 
 // step gives the table events and does what it says.
-func (env *environment) step(events ...any) {
+func (env *environment) step(events ...Event) {
 	for _, e := range env.table.Step(env.now, events...) {
 		env.effect(e)
 	}
