--- a/internal/sessionpool/core.go
+++ b/internal/sessionpool/core.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 	"strings"
+	"time"
 
 	"stoneford/internal/invariant"
 	"stoneford/internal/learner"
@@ -29,25 +30,35 @@
 	checks        invariant.Checks
 }
 
-// readyGraceUs is how long after its lease a node still calls itself ready: cut off
-// from the voters it can serve no current read, while others can.
-const readyGraceUs = 400_000
-
-// drainMarginUs is how much sooner than it has to a node leaves a database alone
-// that leaves: it may have heard of it later than whoever acknowledged it.
-const drainMarginUs = 800_000
-
-// routingMarginUs is taken off the time that a change has to be in force everywhere.
-const routingMarginUs = 100_000
+const (
+	// readyGrace is how long after its lease a node still reports itself ready.
+	// Partitioned from the voters it can run no current read, while other nodes can; a
+	// longer one keeps callers on it, a shorter one turns short outages into load on
+	// the others.
+	readyGrace = 400 * time.Millisecond
+	// drainMarginUs is how much sooner than required a node stops using a database that
+	// drains, since the node may have learned of it later than whoever acknowledged it.
+	drainMarginUs = 800_000
+	// routingMarginUs is subtracted from the time within which a change has to be in
+	// force everywhere.
+	routingMarginUs = 100_000
+)
 
-// routingGraceUs is how long after its lease a node may route by its table: what the
-// lease vouches for is as old as the look that brought it, and a change that was
-// acknowledged after that look binds a while later. This clock may run slow by a
-// tenth.
+// routingGraceUs is how long after its lease a node may route by its table, in µs. What
+// a lease confirms is as old as the poll that brought it, and a change that was
+// acknowledged after that poll has to be in force a while later. This node's clock may
+// run slow by a tenth.
 func routingGraceUs(applyUs int64) int64 {
 	return max(applyUs*10/11-learner.LeaseDurationUs-routingMarginUs, 0)
 }
 
+// drainTimeoutUs is how long a database that drains still gets new statements, in µs.
+func drainTimeoutUs(gracefulDrainUs int64) int64 {
+	return gracefulDrainUs - min(gracefulDrainUs/4, drainMarginUs)
+}
+
+func fromMicroseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+
 // Effects of one step.
 type Effects struct {
 	Send  []statemachine.Send
@@ -58,11 +69,11 @@
 func NewCore(boot ports.ProcessConfig, run, seed uint64, options sessiontable.Options) *Core {
 	// A copy that refuses a beginning may run the statement behind it on its own.
 	options.SeparateBegin = true
-	if d := boot.Bounds.GracefulDrainUs; d > 0 {
-		options.DrainTimeoutUs = cmp.Or(options.DrainTimeoutUs, d-min(d/4, drainMarginUs))
+	if us := boot.Bounds.GracefulDrainUs; us > 0 {
+		options.DrainTimeout = cmp.Or(options.DrainTimeout, fromMicroseconds(drainTimeoutUs(us)))
 	}
-	options.ReadyGraceUs = cmp.Or(options.ReadyGraceUs, readyGraceUs)
-	options.RoutingGraceUs = cmp.Or(options.RoutingGraceUs, routingGraceUs(boot.Bounds.ApplyUs))
+	options.ReadyGrace = cmp.Or(options.ReadyGrace, readyGrace)
+	options.RoutingGrace = cmp.Or(options.RoutingGrace, fromMicroseconds(routingGraceUs(boot.Bounds.ApplyUs)))
 	return &Core{Table: sessiontable.New(seed, boot.Zone, options), view: learner.New(boot.PoolNodeAddress(), boot.SeedVoterAddresses(), boot.Zone, boot.Name, "pool", run)}
 }
 
--- a/internal/sessiontable/answers.go
+++ b/internal/sessiontable/answers.go
@@ -1,10 +1,9 @@
 package sessiontable
 
-import (
-	"stoneford/internal/ports"
-)
+import "stoneford/internal/ports"
 
-// receiveAnswer takes the end of the oldest op of a connection.
+// receiveAnswer takes the answer to the oldest pending operation of a connection. An
+// answer without one is not to be trusted, and neither is the connection.
 func (t *Table) receiveAnswer(e AnswerReceived) {
 	conn := t.connections[e.Conn]
 	if conn == nil {
@@ -16,170 +15,151 @@
 		t.closeConnection(conn)
 		return
 	}
-	db, answer := conn.database, e.Answer
-	p := conn.pending[0]
+	answer := e.Answer
+	op := conn.pending[0]
 	conn.pending = conn.pending[:copy(conn.pending, conn.pending[1:])]
 	conn.state = answer.State
-	t.markWorking(db)
-	switch p.kind {
-	case nodeOp:
-		if answer.Code != ports.Done {
-			conn.closeWhenIdle = true
-		}
-		return
-	case nodeRollback:
-		t.disarm(&conn.timer)
-		if answer.Code != ports.Done {
-			conn.closeWhenIdle = true
-		}
+	t.setWorking(conn.db)
+	failed := answer.Code != ports.Done
+	switch op.kind {
+	case internalOp:
+		conn.closeWhenIdle = conn.closeWhenIdle || failed
+	case internalRollback:
+		t.timers.disarm(&conn.timer)
+		conn.closeWhenIdle = conn.closeWhenIdle || failed
 		t.recycle(conn)
-		return
 	case beginOp:
-		if answer.Code != ports.Done {
+		if failed {
 			conn.beginFailure = &answer
 		}
-		if len(conn.pending) > 0 {
-			return
+		if len(conn.pending) == 0 {
+			t.beginAnswered(conn, op.request, answer)
 		}
-		// It went alone (Options.SeparateBegin).
-		if answer.Code == ports.Done && answer.State == ports.InTransaction && conn.request != nil {
-			t.sendStatement(conn, conn.request)
-			return
-		}
-		answer.Stamped = false
-		t.statementEnded(conn, p.request, answer, false)
-		return
+	case statementOp:
+		t.statementAnswered(conn, op.request, answer)
 	}
-	t.statementEnded(conn, p.request, answer, true)
 }
 
-// statementEnded takes the end of a statement on a connection: what is known of it decides
-// what its caller is told (design 14.9).
-func (t *Table) statementEnded(conn *connection, req *request, answer ports.Response, main bool) {
-	db := conn.database
-	sent := conn.sentUs
-	t.releaseSlot(conn)
-	t.recordRunTime(db, req, answer, sent)
-	// Inside a transaction the position may be that of its beginning.
-	if conn.primaryTerm != 0 && (req == nil || req.tx == nil || !req.tx.ran || req.commit && answer.Code == ports.Done) {
-		t.recordEvidence(conn, sent, answer.Position, answer.Code == ports.Done && req != nil && req.mayCommit())
-	}
-	t.recordPosition(db, answer.Position)
-	if conn.request == nil {
-		// Nobody waits: its reader was given up or went elsewhere.
-		t.recycle(conn)
+// beginAnswered takes the answer to a begin that was sent alone (Options.SeparateBegin):
+// its statement follows if the transaction is open.
+func (t *Table) beginAnswered(conn *connection, req *request, answer ports.Response) {
+	if answer.Code == ports.Done && answer.State == ports.InTransaction && conn.request != nil {
+		t.sendStatement(conn, conn.request)
 		return
 	}
-	conn.request, req.connection, req.database = nil, nil, nil
-	t.disarm(&req.timer)
-	defer func() {
-		t.reportIfQuiescent(db)
-		db.markChanged(t)
-	}()
-	beginAnswer := conn.beginFailure
-	if beginAnswer != nil && main {
-		t.beginFailed(conn, req, *beginAnswer, answer)
+	if !t.detach(conn, req, answer) {
 		return
 	}
-	if answer.Code == ports.Done && (!answer.Stamped || !main) {
-		// Not what was asked for: nothing can rest on it.
-		conn.closeWhenIdle = true
-		t.closeDetached(conn)
-		t.requestInterrupted(conn, req)
+	defer t.afterAnswer(conn.db)
+	if answer.Code == ports.Done {
+		t.distrust(conn, req)
 		return
 	}
-	if answer.Code == ports.UnknownPreparedStatement {
-		conn.stale = true // it does not hold what it was given
-	}
-	tx := req.tx
-	if answer.Code == ports.Done {
-		t.statementDone(conn, req, answer)
+	t.statementFailed(conn, req, answer)
+}
+
+// statementAnswered takes the answer to a statement. What is known of it decides the
+// caller's reply (design 14.9).
+func (t *Table) statementAnswered(conn *connection, req *request, answer ports.Response) {
+	if !t.detach(conn, req, answer) {
 		return
 	}
+	defer t.afterAnswer(conn.db)
 	switch {
-	case tx == nil:
-		t.recycle(conn)
-		t.failedSingle(db, req, answer)
-	case req.commit:
-		t.failedCommit(conn, req, answer)
+	case conn.beginFailure != nil:
+		t.beginFailed(conn, req, *conn.beginFailure, answer)
+	case answer.Code == ports.Done && !answer.Stamped:
+		t.distrust(conn, req)
+	case answer.Code == ports.Done:
+		t.statementDone(conn, req, answer)
 	default:
-		t.failedInTx(conn, req, answer)
+		t.statementFailed(conn, req, answer)
+	}
+}
+
+// detach learns from an answer and detaches the request from its connection. It is false
+// if nobody waits for the answer, since a read was abandoned or runs elsewhere.
+func (t *Table) detach(conn *connection, req *request, answer ports.Response) bool {
+	t.releaseSlot(conn)
+	t.recordAnswer(conn.db, req, answer.Code, conn.sentUs)
+	done := answer.Code == ports.Done
+	// Inside a transaction the position may be that of its begin.
+	namesItsOwn := req == nil || req.tx == nil || !req.tx.hasRun || req.commit && done
+	if conn.primaryTerm != 0 && namesItsOwn {
+		t.recordEvidence(conn, conn.sentUs, answer.Position, done && req != nil && req.mayCommit())
+	}
+	t.recordPosition(conn.db, answer.Position)
+	if conn.request == nil {
+		t.recycle(conn)
+		return false
 	}
+	conn.request, req.conn, req.db = nil, nil, nil
+	t.timers.disarm(&req.timer)
+	return true
+}
+
+// afterAnswer takes up what a database that answered may do next.
+func (t *Table) afterAnswer(db *database) {
+	t.reportIfQuiescent(db)
+	t.scheduleDispatch(db)
+}
+
+// distrust closes a connection whose answer is not that of the statement: nothing can be
+// concluded from it.
+func (t *Table) distrust(conn *connection, req *request) {
+	conn.closeWhenIdle = true
+	t.closeDetached(conn)
+	t.requestInterrupted(conn, req)
 }
 
+// statementDone ends a statement that succeeded. One that committed something is
+// acknowledged once its primary is confirmed.
 func (t *Table) statementDone(conn *connection, req *request, answer ports.Response) {
 	tx := req.tx
 	reply := ports.Reply{Body: answer.Body}
-	kept := req.mayCommit()
 	switch {
-	case tx == nil, req.commit:
-		if tx != nil {
-			tx.connection, conn.tx = nil, nil
-			conn.database.openTransactions--
-			conn.stale = false // what was set inside it stays
-		}
+	case tx == nil:
+		t.recycle(conn)
+	case req.commit:
+		tx.conn, conn.tx = nil, nil
+		conn.db.openTransactions--
+		conn.stale = false // what was set inside the transaction stays
 		t.recycle(conn)
 	case answer.State != ports.InTransaction:
-		// It ran outside its transaction: whether it is kept is not known.
+		// It ran outside its transaction: whether it committed is not known.
 		conn.closeWhenIdle = true
 		t.closeDetached(conn)
+		reply = ports.Reply{Code: ports.RolledBack, Text: "the transaction was lost"}
 		if req.writes {
-			reply = ports.Reply{Code: ports.InDoubt, Text: "the database ran it outside the transaction"}
-		} else {
-			reply = ports.Reply{Code: ports.RolledBack, Text: "the transaction was lost"}
+			reply = ports.Reply{Code: ports.InDoubt, Text: textRanOutside}
 		}
 	case conn.closeAfterStatement:
-		// The primary was replaced: the next statement is told.
+		// The primary was replaced: the transaction's next statement fails.
 		tx.ended = true
 		t.finish(req, reply)
 		t.release(tx)
 		return
 	}
-	if kept {
-		t.confirmCommit(req, &unconfirmedCommit{primaryTerm: conn.primaryTerm, primary: conn.database.ID, position: answer.Position, reply: reply, untilUs: min(req.deadline, t.now+t.options.CommitConfirmationUs)})
+	if !req.mayCommit() {
+		t.finish(req, reply)
 		return
 	}
-	t.finish(req, reply)
+	t.confirmCommit(req, &unconfirmedCommit{primaryTerm: conn.primaryTerm, primary: conn.db.ID, position: answer.Position, reply: reply,
+		deadline: min(req.deadline, t.now+t.options.ConfirmationTimeout.Microseconds())})
 }
 
-// recordRunTime takes run times and how many statements the database bears.
-func (t *Table) recordRunTime(db *database, req *request, answer ports.Response, sent int64) {
-	if answer.Code == ports.Busy {
-		db.slots = max(1, db.slots/2)
-		run := t.runTime(db, 0)
-		if req != nil {
-			run = t.runTime(db, req.runIndex())
-		}
-		db.busyUntil = t.now + run/2 + t.rand.Int64N(run+1)
-		return
-	}
-	if answer.Code != ports.Done {
-		return
-	}
-	if req != nil {
-		i := req.runIndex()
-		durationUs := max(t.now-sent, 1)
-		db.runUpdatedUs[i] = t.now
-		if db.runUs[i] == 0 {
-			db.runUs[i] = durationUs
-		} else {
-			db.runUs[i] += (durationUs - db.runUs[i]) / 8
-			db.runUs[i] = max(db.runUs[i], 1)
-		}
-	}
-	n := db.Capacity
-	if n <= 0 {
-		n = t.options.DefaultCapacity
-	}
-	if db.running+1 >= int(db.slots) {
-		db.slots = min(db.slots+0.25/max(db.slots, 1), float64(max(2, n)))
+// statementFailed ends or retries a statement that a database answered with an error.
+func (t *Table) statementFailed(conn *connection, req *request, answer ports.Response) {
+	if answer.Code == ports.UnknownPreparedStatement {
+		conn.stale = true // it lacks what was prepared on it
 	}
-}
-
-// closeDetached drops a connection whose request was taken off it already.
-func (t *Table) closeDetached(conn *connection) {
-	if t.connections[conn.id] == conn {
-		t.emit(CloseConnection{Conn: conn.id})
-		t.remove(conn)
+	switch {
+	case req.tx == nil:
+		t.recycle(conn)
+		t.failedSingle(conn.db, req, answer)
+	case req.commit:
+		t.failedCommit(conn, req, answer)
+	default:
+		t.failedInTx(conn, req, answer)
 	}
 }
--- a/internal/sessiontable/check_test.go
+++ b/internal/sessiontable/check_test.go
@@ -25,7 +25,7 @@
 		if conn.usesSlot {
 			running++
 		}
-		if !slices.Contains(conn.database.connections, conn) {
+		if !slices.Contains(conn.db.connections, conn) {
 			t.Fatalf("connection %d is not among its instance's", id)
 		}
 	}
@@ -34,7 +34,7 @@
 			open++
 		}
 		// It waits, it runs, or it ran and waits to be confirmed: one of these.
-		if req := session.request; req != nil && count(req.connection != nil, req.queueIndex != 0, req.unconfirmed != nil) != 1 {
+		if req := session.request; req != nil && count(req.conn != nil, req.queueIndex != 0, req.unconfirmed != nil) != 1 {
 			t.Fatalf("session %d: its statement neither waits nor runs, or both", session.id)
 		}
 		if req := session.request; req != nil && req.timer.index == 0 {
@@ -52,26 +52,26 @@
 				if conn.usesSlot {
 					run++
 				}
-				if conn.stuck {
+				if conn.overdue {
 					stuck++
 				}
 				if conn.tx != nil {
 					txs++
 				}
-				if !conn.up {
+				if !conn.open {
 					opening++
 				}
 			}
-			if run != db.running || txs != db.openTransactions || opening != db.opening || stuck != db.stuck {
-				t.Fatalf("instance %s counts %d %d %d %d for %d %d %d %d", db.ID, db.running, db.openTransactions, db.opening, db.stuck, run, txs, opening, stuck)
+			if run != db.running || txs != db.openTransactions || opening != db.openingConnections || stuck != db.overdue {
+				t.Fatalf("instance %s counts %d %d %d %d for %d %d %d %d", db.ID, db.running, db.openTransactions, db.openingConnections, db.overdue, run, txs, opening, stuck)
 			}
 			for _, conn := range db.idle {
-				if !conn.up || conn.usesSlot || conn.tx != nil || len(conn.pending) > 0 {
+				if !conn.open || conn.usesSlot || conn.tx != nil || len(conn.pending) > 0 {
 					t.Fatalf("instance %s: connection %d is idle and in use", db.ID, conn.id)
 				}
 			}
 			for i, req := range db.queue.items {
-				if req.queueIndex != i+1 || req.database != db {
+				if req.queueIndex != i+1 || req.db != db {
 					t.Fatalf("instance %s: its line is torn", db.ID)
 				}
 				if i > 0 && queuedBefore(req, db.queue.items[(i-1)/2]) {
@@ -86,7 +86,7 @@
 	if open > b.openTransactions {
 		t.Fatalf("%d open transactions of %d", open, b.openTransactions)
 	}
-	for i, timer := range b.timers.items {
+	for i, timer := range b.timers.heap.items {
 		if timer.index != i+1 {
 			t.Fatalf("timers are torn")
 		}
--- a/internal/sessiontable/commits.go
+++ b/internal/sessiontable/commits.go
@@ -1,74 +1,81 @@
 package sessiontable
 
-import (
-	"stoneford/internal/ports"
-)
+import "stoneford/internal/ports"
+
+// certainty is what is known of the primary that answered a commit.
+type certainty int
 
-// certainty of a commit that a database answered.
 const (
-	primaryConfirmed   = iota // its primary is surely the only one now
-	primaryUnconfirmed        // that is not known now, and may be in a moment
-	primaryReplaced           // it is being replaced, or was
+	primaryConfirmed   certainty = iota // it is the only primary now
+	primaryUnconfirmed                  // that is not known now, and may be known soon
+	primaryReplaced                     // it is being replaced, or was
 )
 
-// confirmCommit ends a commit that its database answered. It is acknowledged only
-// while the database surely leads: nobody else is promoted before every node's
-// lease has run out or the node has confirmed the change, so nothing is
-// acknowledged after another was (design 14.7).
+// unconfirmedCommit is a commit that its database answered, while its primary is not
+// confirmed.
+type unconfirmedCommit struct {
+	primaryTerm uint64
+	primary     string
+	position    ports.Position
+	reply       ports.Reply
+	deadline    int64 // after it, the commit is in doubt
+}
+
+// confirmCommit ends a commit that its database answered. It is acknowledged only while
+// the database is confirmed to be the primary: no other is promoted before every node's
+// lease ran out or the node confirmed the change, so nothing is acknowledged after
+// another was promoted (design 14.7).
 func (t *Table) confirmCommit(req *request, commit *unconfirmedCommit) {
-	group, p := req.group, commit.position
-	switch t.commitCertainty(group, commit.primaryTerm, commit.primary) {
+	group := req.group
+	switch t.certaintyOf(group, commit) {
 	case primaryUnconfirmed:
 		req.unconfirmed = commit
 		group.unconfirmed = append(group.unconfirmed, req)
-		t.arm(&req.timer, commit.untilUs)
+		t.timers.arm(&req.timer, commit.deadline)
 		t.requestLease()
 		return
 	case primaryReplaced:
 		t.finish(req, ports.Reply{Code: ports.InDoubt, Text: "the primary was being replaced"})
 		return
 	}
-	if req.session.lastCommitGroup != group {
-		req.session.lastCommit, req.session.lastCommitGroup = ports.Position{}, group
+	session := req.session
+	if session.lastCommitGroup != group {
+		session.lastCommit, session.lastCommitGroup = ports.Position{}, group
 	}
-	if req.session.lastCommit.Before(p) {
-		req.session.lastCommit = p
+	if session.lastCommit.Before(commit.position) {
+		session.lastCommit = commit.position
 	}
-	if group.acknowledged.Before(p) {
-		group.acknowledged = p
+	if group.acknowledged.Before(commit.position) {
+		group.acknowledged = commit.position
 	}
 	t.finish(req, commit.reply)
 }
 
-func (t *Table) commitCertainty(group *databaseGroup, led uint64, by string) int {
+func (t *Table) certaintyOf(group *databaseGroup, commit *unconfirmedCommit) certainty {
+	state := group.state
+	isPrimary := commit.primaryTerm != 0 && group.known && state.Term == commit.primaryTerm && state.Primary == commit.primary
 	switch {
-	case led == 0 || !group.known || group.state.Term != led || group.state.Primary != by,
-		group.state.Phase != ports.PhaseServing && group.state.Phase != ports.PhaseDraining:
+	case !isPrimary:
 		return primaryReplaced
-	case group.state.Unconfirmed, t.now >= group.confirmedUntil:
+	case state.Phase != ports.PhaseServing && state.Phase != ports.PhaseDraining:
+		return primaryReplaced
+	case state.Unconfirmed, t.now >= group.confirmedUntil:
 		return primaryUnconfirmed
 	}
 	return primaryConfirmed
 }
 
-// unconfirmedCommit is a commit whose database answered, and that waits for the lease.
-type unconfirmedCommit struct {
-	primaryTerm uint64
-	primary     string
-	position    ports.Position
-	reply       ports.Reply
-	untilUs     int64
-}
-
-// retryConfirmations goes through the commits of a group that wait for certainty.
+// retryConfirmations goes through the commits of a group that wait to be confirmed.
 func (t *Table) retryConfirmations(group *databaseGroup) {
 	requests := group.unconfirmed
 	group.unconfirmed = nil
 	for _, req := range requests {
-		if commit := req.unconfirmed; commit != nil {
-			req.unconfirmed = nil
-			t.disarm(&req.timer)
-			t.confirmCommit(req, commit)
+		commit := req.unconfirmed
+		if commit == nil {
+			continue // it ended meanwhile
 		}
+		req.unconfirmed = nil
+		t.timers.disarm(&req.timer)
+		t.confirmCommit(req, commit)
 	}
 }
--- a/internal/sessiontable/connections.go
+++ b/internal/sessiontable/connections.go
@@ -7,43 +7,64 @@
 	"stoneford/internal/ports"
 )
 
-// What an op in a connection's list of those without an end is.
+// opKind is which of a connection's operations an answer ends.
+type opKind int
+
 const (
-	nodeOp       = iota
-	nodeRollback // the node's own rollback
-	beginOp
+	internalOp       opKind = iota // a reset, a value, or a prepare
+	internalRollback               // the rollback of a transaction that nobody waits for
+	beginOp                        // a transaction's begin, sent with its first statement
 	statementOp
 )
 
-// pendingOp is one op that was sent and has no end yet.
+// pendingOp is an operation that was sent and has no answer yet.
 type pendingOp struct {
-	kind    int
+	kind    opKind
 	request *request // of beginOp and statementOp
 }
 
-// connection is one connection to a database.
+// connection is one connection to a database, or the opening of one. It runs one
+// request, belongs to one transaction, or is idle.
 type connection struct {
-	id                  uint64
-	database            *database
-	up                  bool
-	values              *values
-	prepared            map[*preparedShape]bool
-	stale               bool         // what stands on it is not known for sure: reset it first
-	closeWhenIdle       bool         // to be closed as soon as nothing runs on it
-	closeAfterStatement bool         // its instance leads no more: closed after what runs
-	request             *request     // that runs on it
-	usesSlot            bool         // a statement on it has no end yet
-	stuck               bool         // and has taken too long
-	tx                  *transaction // it belongs to
-	pending             []pendingOp
-	state               ports.TransactionState
-	sentUs              int64
-	primaryTerm         uint64 // the view's term it was sent under, 0 at a follower
-	beginFailure        *ports.Response
-	timer               timer
-	touched             bool // in Table.touched
+	id      uint64
+	db      *database
+	open    bool
+	request *request     // that runs on it
+	tx      *transaction // that it belongs to
+	pending []pendingOp  // oldest first
+	state   ports.TransactionState
+	timer   timer // closes it: when it was idle for long, or an answer does not come
+	touched bool  // in Table.touchedConnections
+
+	values   *values
+	prepared map[*preparedShape]bool
+	stale    bool // what is set on it is not known for certain: reset it first
+
+	closeWhenIdle       bool // nothing may be concluded from its answers any more
+	closeAfterStatement bool // its database is no longer the primary
+
+	usesSlot     bool   // a statement on it has no answer yet
+	overdue      bool   // and has taken too long
+	sentUs       int64  // of the last statement
+	primaryTerm  uint64 // the term that its database led when it was sent, 0 at a replica
+	beginFailure *ports.Response
 }
 
+// Constants of a node whose quota is below one connection to a database, so that nodes
+// have to take turns.
+const (
+	crowdedQuota      = 0.6    // part of the limit that all nodes together use
+	useRateWindow     = 10e6   // over which the rate of use is averaged, in µs
+	initialUseRate    = 0.4    // uses a second before any is known
+	minUseRate        = 0.05   // uses a second
+	minIdleTimeout    = 20_000 // µs
+	crowdedRetryDelay = 25_000 // until the next connect, and up to as much again at random; µs
+)
+
+// maxConnectsAtOnce bounds the connections that are opened for a queue in one step.
+const maxConnectsAtOnce = 4
+
+// touch has the connection checked at the end of the step.
 func (t *Table) touch(conn *connection) {
 	if !conn.touched {
 		conn.touched = true
@@ -51,8 +72,13 @@
 	}
 }
 
-// connectionLimit is the number of connections to an instance that this node may hold
-// (design 14.11).
+// connectionQuota is this node's share of a database's connection limit (design 14.11).
+// It is below 1 where there are more nodes than connections.
+func (t *Table) connectionQuota(db *database) float64 {
+	return float64(db.group.config.ConnectionLimit-t.options.ReservedConnections) / float64(max(t.nodes, 1))
+}
+
+// connectionLimit is the number of connections to a database that this node may have.
 func (t *Table) connectionLimit(db *database) int {
 	if db.group.config.ConnectionLimit == 0 {
 		return 1
@@ -60,139 +86,98 @@
 	return max(1, int(t.connectionQuota(db)))
 }
 
-// connectionQuota is this node's part of an instance's limit of connections, which is
-// below 1 where there are more nodes than connections.
-func (t *Table) connectionQuota(db *database) float64 {
-	return float64(db.group.config.ConnectionLimit-t.options.ReservedConnections) / float64(max(t.nodes, 1))
-}
-
-// idleTimeout is how long an idle connection is kept. Where there is less than one
-// for each node, so short that all nodes together, each at its usual rate of
-// use, hold no more than most of the limit (design 14.11).
+// idleTimeout is how long an idle connection is kept, in µs. Where there is less than one
+// for each node, it is so short that all nodes together, each at its usual rate of use,
+// have no more than crowdedQuota of the limit (design 14.11).
 func (t *Table) idleTimeout(db *database) int64 {
-	s := t.connectionQuota(db)
-	if s >= 1 || db.group.config.ConnectionLimit == 0 {
-		return t.options.IdleConnectionUs
+	longest := t.options.IdleConnectionTimeout.Microseconds()
+	quota := t.connectionQuota(db)
+	if quota >= 1 || db.group.config.ConnectionLimit == 0 {
+		return longest
 	}
-	us := s * crowdedQuota / max(db.useRate, minUseRate) * 1e6
-	return int64(min(max(us, 20_000), float64(t.options.IdleConnectionUs)))
+	timeout := quota * crowdedQuota / max(db.useRate, minUseRate) * 1e6
+	return int64(min(max(timeout, minIdleTimeout), float64(longest)))
 }
 
-// recordUse feeds an instance's rate of use.
+// recordUse takes a use into the average rate of use of a database's connections.
 func (t *Table) recordUse(db *database) {
-	dt := float64(t.now-db.lastUseUs) / useRateWindowUs
+	elapsed := float64(t.now-db.lastUseUs) / useRateWindow
 	if db.lastUseUs == 0 {
 		db.useRate = initialUseRate
 	} else {
-		db.useRate = db.useRate*math.Exp(-dt) + 1e6/useRateWindowUs
+		db.useRate = db.useRate*math.Exp(-elapsed) + 1e6/useRateWindow
 	}
 	db.lastUseUs = t.now
 }
 
-// What a node whose share is below one connection reckons with.
-const (
-	crowdedQuota    = 0.6
-	useRateWindowUs = 10e6 // the rate of use is an average over this
-	initialUseRate  = 0.4  // uses a second before any is known
-	minUseRate      = 0.05
-	crowdedRetryUs  = 25_000 // and it tries again after about this
-)
-
-// openConnections opens connections for a line, unless one in use will surely do.
+// openConnections opens connections for a database's queue, whose first request is req,
+// unless one in use is expected to be free soon. More connections than statements that
+// may run at once are of no use.
 func (t *Table) openConnections(db *database, req *request) {
-	// More than the statements that may run at once are of no use.
-	n := len(db.connections) - db.openTransactions
-	want := min(db.queue.len()-db.opening, max(1, int(db.slots))-n, t.connectionLimit(db)-len(db.connections))
-	if want <= 0 || db.wrongIdentity {
+	shared := len(db.connections) - db.openTransactions
+	wanted := min(db.queue.len()-db.openingConnections, max(1, int(db.slots))-shared, t.connectionLimit(db)-len(db.connections))
+	if wanted <= 0 || db.wrongIdentity {
 		return
 	}
 	if t.now < db.backoffUntil {
 		t.wakeAt(db, db.backoffUntil)
 		return
 	}
-	if n > 0 && db.opening == 0 && t.now < req.arrivedUs+t.options.OpenDelayUs {
-		t.wakeAt(db, req.arrivedUs+t.options.OpenDelayUs)
+	openAt := req.arrivedUs + t.options.OpenDelay.Microseconds()
+	if shared > 0 && db.openingConnections == 0 && t.now < openAt {
+		t.wakeAt(db, openAt)
 		return
 	}
-	for range min(want, 4) {
+	for range min(wanted, maxConnectsAtOnce) {
 		t.connect(db)
 	}
 }
 
 func (t *Table) connect(db *database) {
 	t.lastConnection++
-	conn := &connection{id: t.lastConnection, database: db, values: noValues}
+	conn := &connection{id: t.lastConnection, db: db, values: noValues}
 	conn.timer.owner = conn
 	t.connections[conn.id] = conn
 	db.connections = append(db.connections, conn)
-	db.opening++
+	db.openingConnections++
 	t.counts.Connects++
-	t.emit(Connect{Conn: conn.id, Address: db.Address, Group: db.Group, ID: db.ID, WaitUs: t.options.ConnectTimeoutUs})
+	t.emit(Connect{Conn: conn.id, Address: db.Address, Group: db.Group, ID: db.ID, WaitUs: t.options.ConnectTimeout.Microseconds()})
 }
 
-func (t *Table) connectEnded(e ConnectEnded) {
-	conn := t.connections[e.Conn]
-	if conn == nil || conn.up {
-		return
-	}
-	db := conn.database
-	if e.Err == "" && e.Code == ports.Done {
-		db.opening--
-		conn.up = true
-		db.backUs, db.backoffUntil = 0, 0
-		t.markWorking(db)
-		t.recordPosition(db, e.Position)
-		t.recycle(conn)
-		return
-	}
-	t.remove(conn)
-	if crowded := t.connectionQuota(db) < 1; crowded && (e.Code == ports.TooManyConnections || e.Disconnected && !e.ConnectionRefused) {
-		// Its turn comes once another node has closed one.
-		db.backoffUntil = t.now + crowdedRetryUs + t.rand.Int64N(crowdedRetryUs)
-		t.wakeAt(db, db.backoffUntil)
-		return
-	} else if e.Code == ports.TooManyConnections {
-		db.backoffUntil = t.now + 300_000
-	} else {
-		db.backUs = min(max(db.backUs*2, 50_000), 1_000_000)
-		db.backoffUntil = t.now + db.backUs
-	}
-	switch {
-	case e.Code == ports.WrongInstance:
-		db.wrongIdentity = true
-		t.markFailing(db, t.now, true)
-	case e.Code == ports.Done || e.ConnectionRefused:
-		t.markFailing(db, t.now, e.ConnectionRefused)
-	}
-	if db.failingSince > 0 || db.queue.len() > 0 {
-		t.wakeAt(db, db.backoffUntil)
+// How well an idle connection fits a request, by what has to be sent before it.
+const (
+	fitReset            = iota // a reset, and whatever the request needs
+	fitValuesAndPrepare        // values and a prepare, or values where there is none
+	fitValues                  // values, and not the prepare
+	fitPrepare                 // a prepare
+	fitPerfect                 // nothing
+)
+
+// fitness is how well an idle connection fits a request.
+func (c *connection) fitness(req *request) int {
+	isPrepared := req.shape != nil && c.prepared[req.shape]
+	switch wanted := req.session.values; {
+	case c.stale:
+		return fitReset
+	case c.values.equal(wanted) && (req.shape == nil || isPrepared):
+		return fitPerfect
+	case c.values.equal(wanted):
+		return fitPrepare
+	case c.values.reachable(wanted) && isPrepared:
+		return fitValues
+	case c.values.reachable(wanted):
+		return fitValuesAndPrepare
 	}
+	return fitReset
 }
 
-// takeIdle takes the idle connection that needs the least to be set: the one used
-// last among equals, so that the others can grow old and be closed.
+// takeIdle takes the idle connection that fits a request best, nil if there is none.
+// Among equals it is the one used last, so that the others get old and are closed.
 func (t *Table) takeIdle(db *database, req *request) *connection {
-	best, score := -1, -1
-	for i := len(db.idle) - 1; i >= 0; i-- {
-		conn, n := db.idle[i], 0
-		switch {
-		case conn.stale:
-		case conn.values == req.session.values || conn.values.key == req.session.values.key:
-			n = 4
-			if req.shape == nil || conn.prepared[req.shape] {
-				n = 6
-			}
-		case conn.values.reachable(req.session.values):
-			n = 2
-			if req.shape != nil && conn.prepared[req.shape] {
-				n = 3
-			}
-		}
-		if n > score {
-			best, score = i, n
-		}
-		if n == 6 {
-			break
+	best, fitness := -1, -1
+	for i := len(db.idle) - 1; i >= 0 && fitness < fitPerfect; i-- {
+		if f := db.idle[i].fitness(req); f > fitness {
+			best, fitness = i, f
 		}
 	}
 	if best < 0 {
@@ -200,54 +185,62 @@
 	}
 	conn := db.idle[best]
 	db.idle = slices.Delete(db.idle, best, best+1)
-	t.disarm(&conn.timer)
+	t.timers.disarm(&conn.timer)
 	return conn
 }
 
-// release parts a transaction from its connection; the database is told to roll
-// back unless it is known to have ended it.
+// release detaches a transaction from its connection, if it has one. The database is
+// sent a rollback unless it is known to have ended the transaction.
 func (t *Table) release(tx *transaction) {
-	conn := tx.connection
+	conn := tx.conn
 	if conn == nil {
 		return
 	}
-	tx.connection, conn.tx = nil, nil
-	conn.database.openTransactions--
-	t.reportIfQuiescent(conn.database)
+	tx.conn, conn.tx = nil, nil
+	conn.db.openTransactions--
+	t.reportIfQuiescent(conn.db)
 	switch {
 	case len(conn.pending) > 0, conn.closeWhenIdle, conn.closeAfterStatement:
 		t.closeConnection(conn)
 	case conn.state == ports.Idle:
 		t.recycle(conn)
 	default:
-		conn.pending = append(conn.pending, pendingOp{kind: nodeRollback})
+		conn.pending = append(conn.pending, pendingOp{kind: internalRollback})
 		t.emit(Send{Conn: conn.id, Ops: []ports.Op{{Internal: true, Statement: ports.Statement{Kind: ports.Rollback}}}})
-		t.arm(&conn.timer, t.now+t.options.AbandonedTimeoutUs)
+		t.timers.arm(&conn.timer, t.now+t.options.AbandonedTimeout.Microseconds())
 		t.touch(conn)
 	}
 }
 
-// recycle makes a connection ready for the next, or closes it.
+// recycle makes a connection idle, or closes it if it is of no more use.
 func (t *Table) recycle(conn *connection) {
-	db := conn.database
 	t.touch(conn)
-	if conn.closeWhenIdle || conn.closeAfterStatement || conn.state != ports.Idle || len(conn.pending) > 0 || db.removed || len(db.connections) > t.connectionLimit(db) ||
-		db.Draining && t.primary(db.group) != db && db.queue.len() == 0 {
+	if !t.reusable(conn) {
 		t.closeConnection(conn)
 		return
 	}
+	db := conn.db
 	db.idle = append(db.idle, conn)
-	t.arm(&conn.timer, t.now+t.idleTimeout(db))
-	db.markChanged(t)
+	t.timers.arm(&conn.timer, t.now+t.idleTimeout(db))
+	t.scheduleDispatch(db)
 }
 
-// remove forgets a connection and hands back the request that ran on it; its
-// transaction can never commit.
+// reusable reports whether a connection without a request may run another.
+func (t *Table) reusable(conn *connection) bool {
+	db := conn.db
+	clean := conn.state == ports.Idle && len(conn.pending) == 0
+	if conn.closeWhenIdle || conn.closeAfterStatement || !clean || db.removed || len(db.connections) > t.connectionLimit(db) {
+		return false
+	}
+	return !db.Draining || t.primary(db.group) == db || db.queue.len() > 0
+}
+
+// remove forgets a connection and returns the request that ran on it. Its transaction
+// can never commit: a statement of it that still waits ends.
 func (t *Table) remove(conn *connection) *request {
-	db := conn.database
-	var waiting *request // of its transaction, still waiting for its turn
-	if tx := conn.tx; tx != nil && tx.session.request != nil && tx.session.request.queueIndex != 0 {
-		waiting = tx.session.request
+	db := conn.db
+	waiting := conn.waitingStatement()
+	if waiting != nil {
 		t.dequeue(waiting)
 	}
 	delete(t.connections, conn.id)
@@ -257,41 +250,60 @@
 	if i := slices.Index(db.idle, conn); i >= 0 {
 		db.idle = slices.Delete(db.idle, i, i+1)
 	}
-	if !conn.up {
-		db.opening--
+	if !conn.open {
+		db.openingConnections--
 	}
-	t.disarm(&conn.timer)
+	t.timers.disarm(&conn.timer)
 	t.releaseSlot(conn)
 	if tx := conn.tx; tx != nil {
-		tx.connection, conn.tx = nil, nil
+		tx.conn, conn.tx = nil, nil
 		tx.ended = true
 		db.openTransactions--
 	}
 	req := conn.request
 	if req != nil {
-		conn.request, req.connection, req.database = nil, nil, nil
+		conn.request, req.conn, req.db = nil, nil, nil
 	}
 	t.reportIfQuiescent(db)
-	db.markChanged(t)
+	t.scheduleDispatch(db)
 	if waiting != nil {
 		t.finish(waiting, ports.Reply{Code: ports.RolledBack, Text: "the transaction was ended"})
 	}
 	return req
 }
 
+// waitingStatement is the statement of the connection's transaction that waits in a
+// queue, nil if there is none.
+func (c *connection) waitingStatement() *request {
+	if c.tx == nil || c.tx.session.request == nil || c.tx.session.request.queueIndex == 0 {
+		return nil
+	}
+	return c.tx.session.request
+}
+
+// releaseSlot counts the connection's statement as answered.
 func (t *Table) releaseSlot(conn *connection) {
-	if conn.usesSlot {
-		conn.usesSlot = false
-		conn.database.running--
-		if conn.stuck {
-			conn.stuck = false
-			conn.database.stuck--
-		}
-		t.running--
+	if !conn.usesSlot {
+		return
+	}
+	conn.usesSlot = false
+	conn.db.running--
+	t.running--
+	if conn.overdue {
+		conn.overdue = false
+		conn.db.overdue--
 	}
 }
 
-// closeConnection closes a connection; what ran on it ends as broken off.
+// setOverdue frees the slot of a statement that takes too long, while it runs on.
+func (t *Table) setOverdue(conn *connection) {
+	if !conn.overdue {
+		conn.overdue = true
+		conn.db.overdue++
+	}
+}
+
+// closeConnection closes a connection. The request on it ends as interrupted.
 func (t *Table) closeConnection(conn *connection) {
 	if t.connections[conn.id] != conn {
 		return
@@ -299,3 +311,14 @@
 	t.emit(CloseConnection{Conn: conn.id})
 	t.requestInterrupted(conn, t.remove(conn))
 }
+
+// closeDetached closes a connection whose request was detached from it before.
+func (t *Table) closeDetached(conn *connection) {
+	if t.connections[conn.id] == conn {
+		t.emit(CloseConnection{Conn: conn.id})
+		t.remove(conn)
+	}
+}
+
+// timerFired closes a connection that was idle for long, or whose answer did not come.
+func (c *connection) timerFired(t *Table) { t.closeConnection(c) }
--- /dev/null
+++ b/internal/sessiontable/drain.go
@@ -0,0 +1,58 @@
+package sessiontable
+
+import (
+	"maps"
+	"slices"
+
+	"stoneford/internal/ports"
+)
+
+// shutdown is the graceful shutdown of the node (design 7.7). Idle sessions are closed
+// at once, transactions that are still open after six tenths of the grace are rolled
+// back, and after nine tenths every session without a statement in flight is closed.
+type shutdown struct {
+	active  bool
+	startUs int64
+	graceUs int64
+	timer   timer
+}
+
+func (s *shutdown) rollbackAt() int64 { return s.startUs + s.graceUs*6/10 }
+func (s *shutdown) closeAt() int64    { return s.startUs + s.graceUs*9/10 }
+
+func (t *Table) drain(e Drain) {
+	if t.shutdown.active {
+		return
+	}
+	t.shutdown.active, t.shutdown.startUs, t.shutdown.graceUs = true, t.now, e.GraceUs
+	for _, id := range slices.Sorted(maps.Keys(t.sessions)) {
+		if session := t.sessions[id]; session.request == nil && session.state == ports.Idle {
+			t.closeSession(session)
+		}
+	}
+	t.timers.arm(&t.shutdown.timer, t.shutdown.rollbackAt())
+}
+
+func (t *Table) closeSession(session *session) {
+	t.emit(CloseSession{Session: session.id})
+	t.forget(session)
+}
+
+// timerFired rolls open transactions back, and later closes sessions. A session with a
+// statement in flight is closed by the reply to it.
+func (s *shutdown) timerFired(t *Table) {
+	last := t.now >= s.closeAt()
+	for _, id := range slices.Sorted(maps.Keys(t.sessions)) {
+		session := t.sessions[id]
+		switch {
+		case session.request != nil:
+		case last:
+			t.closeSession(session)
+		case session.tx != nil:
+			t.abort(session.tx)
+		}
+	}
+	if !last {
+		t.timers.arm(&s.timer, s.closeAt())
+	}
+}
--- a/internal/sessiontable/heap.go
+++ b/internal/sessiontable/heap.go
@@ -1,7 +1,8 @@
 package sessiontable
 
-// heap is a binary heap whose items know their place in it, so that one can be
-// taken out of the middle. An item's place is its index plus one, 0 for none.
+// heap is a binary heap whose items know their index in it, so that one can be removed
+// from the middle. The index that an item stores is one more than that in items; 0
+// stands for an item that is not in the heap. An item is in one heap at a time.
 type heap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -29,7 +30,7 @@
 	}
 }
 
-// fix puts an item right whose order changed.
+// fix restores the order after an item changed.
 func (h *heap[T]) fix(x T) {
 	if i := *h.index(x) - 1; !h.up(i) {
 		h.down(i)
@@ -69,30 +70,3 @@
 		i = c
 	}
 }
-
-// timer is one moment an owner waits for.
-type timer struct {
-	at    int64
-	seq   uint64
-	index int
-	owner any
-}
-
-func (t *Table) arm(timer *timer, at int64) {
-	if timer.index != 0 && timer.at == at {
-		return
-	}
-	t.seq++
-	timer.at, timer.seq = at, t.seq
-	if timer.index != 0 {
-		t.timers.fix(timer)
-		return
-	}
-	t.timers.push(timer)
-}
-
-func (t *Table) disarm(timer *timer) {
-	if timer.index != 0 {
-		t.timers.remove(timer)
-	}
-}
--- /dev/null
+++ b/internal/sessiontable/rejections.go
@@ -0,0 +1,77 @@
+package sessiontable
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+
+	"stoneford/internal/ports"
+	"stoneford/result"
+)
+
+const (
+	// rejectionLogInterval is the least time between two log entries on rejections, in
+	// µs.
+	rejectionLogInterval = 1_000_000
+	// minRetryAfterMs is the least time after which a rejected caller should retry.
+	minRetryAfterMs = 20
+)
+
+// rejectionLog counts the node's own rejections by cause between two log entries.
+type rejectionLog struct {
+	byCause  map[string]int
+	loggedUs int64
+}
+
+// reject ends a request that no database runs: with what a database last answered to
+// it, or else with the time after which a retry makes sense.
+func (t *Table) reject(req *request) {
+	if last := req.rejection; last != nil && last.Code != ports.Busy {
+		t.finish(req, ports.Reply{Code: last.Code, Text: last.Text, Body: last.Body})
+		return
+	}
+	t.counts.Rejected++
+	t.countRejectionCause(req.group.name + ": " + t.rejectionCause(req))
+	retryAfterUs := req.retryAfterUs
+	if since, ok := t.failoverSince(req.group); ok {
+		retryAfterUs = max(retryAfterUs, t.failoverEnd(req.group, since)-t.now)
+	}
+	ms := max(retryAfterUs/1000, minRetryAfterMs)
+	t.finish(req, ports.Reply{Code: ports.Busy, Text: "no database can take it now; retry after " + strconv.FormatInt(ms, 10) + " ms"})
+}
+
+// rejectionCause is why no database runs a request, for the log.
+func (t *Table) rejectionCause(req *request) string {
+	switch primary := t.primary(req.group); {
+	case req.retryAfterUs > 0:
+	case primary == nil && t.denied(req.group):
+		return "the primary denies its role"
+	case primary == nil && req.group.known && req.group.state.Phase == ports.PhaseServing:
+		return "the primary is not announced"
+	case primary == nil:
+		return "the primary is being changed"
+	case primary.failingSince > 0:
+		return "the primary cannot be used"
+	case t.now < primary.backoffUntil:
+		return "the primary accepts no more connections"
+	case t.lacksLease(req):
+		return "no lease"
+	}
+	return "the queue is too long"
+}
+
+// countRejectionCause counts a rejection, and logs the counts once a second.
+func (t *Table) countRejectionCause(cause string) {
+	if t.rejections.byCause == nil {
+		t.rejections.byCause = map[string]int{}
+	}
+	t.rejections.byCause[cause]++
+	if t.now < t.rejections.loggedUs+rejectionLogInterval {
+		return
+	}
+	t.rejections.loggedUs = t.now
+	for _, cause := range slices.Sorted(maps.Keys(t.rejections.byCause)) {
+		t.emit(LogEntry{Code: result.StatementsRejected, Text: strconv.Itoa(t.rejections.byCause[cause]) + " for " + cause})
+	}
+	clear(t.rejections.byCause)
+}
--- a/internal/sessiontable/report.go
+++ b/internal/sessiontable/report.go
@@ -26,10 +26,10 @@
 	Changed bool
 }
 
-// Changed says whether the next Report would say so.
+// Changed reports whether the next Report should be sent at once.
 func (t *Table) Changed() bool { return t.reportChanged }
 
-// Report is what the voters are to be told; it clears Changed.
+// Report is what the node sends to the voters with its next poll. It clears Changed.
 func (t *Table) Report(now int64) Report {
 	r := Report{Changed: t.reportChanged}
 	t.reportChanged = false
@@ -46,15 +46,18 @@
 	return r
 }
 
+// quiescent reports whether nothing is in flight at the group's primary.
 func (t *Table) quiescent(group *databaseGroup) bool {
 	primary := t.databases[group.state.Primary]
 	return primary == nil || primary.running == 0 && primary.openTransactions == 0
 }
 
-// reportIfQuiescent notes that a group may have fallen quiet while its change waits for it.
+// reportIfQuiescent has the report sent at once if a database is a primary that is being
+// replaced, and nothing is in flight at it any more.
 func (t *Table) reportIfQuiescent(db *database) {
 	group := db.group
-	if group.known && group.state.Phase == ports.PhaseDraining && group.state.Primary == db.ID && db.running == 0 && db.openTransactions == 0 {
+	isDrainingPrimary := group.known && group.state.Phase == ports.PhaseDraining && group.state.Primary == db.ID
+	if isDrainingPrimary && db.running == 0 && db.openTransactions == 0 {
 		t.reportChanged = true
 	}
 }
--- /dev/null
+++ b/internal/sessiontable/routing.go
@@ -0,0 +1,117 @@
+package sessiontable
+
+import (
+	"stoneford/internal/invariant"
+	"stoneford/internal/ports"
+)
+
+// routing is the operators' routing table as this node knows it.
+//
+// The table is confirmed as long as a majority of the voters confirms it (design 17.4).
+// A node that has not heard from a majority for long may work by a table that was
+// replaced, so it decides nothing by it:
+//
+//   - A host that it does not know may have been added. That is ruled out within one
+//     lease, so an unknown host is rejected for good only under a lease.
+//   - A route that it knows may have been removed or changed. A change takes a while to
+//     be in force everywhere, so statements are routed for RoutingGrace beyond the lease.
+type routing struct {
+	table      *ports.RoutingTable // nil until the first Update brings one
+	byHost     map[string]*ports.Route
+	leaseUntil int64 // newest lease
+}
+
+// setTable puts a routing table into force.
+func (r *routing) setTable(table *ports.RoutingTable) {
+	r.table = table
+	clear(r.byHost)
+	for i := range table.Routes {
+		route := &table.Routes[i]
+		known := r.byHost[route.Host]
+		if known == nil || len(route.Prefix) < len(known.Prefix) {
+			r.byHost[route.Host] = route
+		}
+	}
+}
+
+func (r *routing) limits() ports.Limits {
+	if r.table == nil {
+		return ports.Limits{}
+	}
+	return r.table.Limits
+}
+
+// tableConfirmed reports whether a majority confirms the routing table at this moment.
+func (t *Table) tableConfirmed() bool { return t.now < t.routing.leaseUntil }
+
+// mayRoute reports whether statements may be routed by the routing table.
+func (t *Table) mayRoute() bool {
+	return t.now < t.routing.leaseUntil+t.options.RoutingGrace.Microseconds()
+}
+
+// routeOf is the route of a session's next statement, or nil if the statement was
+// rejected. A statement inside a transaction keeps the route of the transaction's begin.
+func (t *Table) routeOf(session *session, kind ports.StatementKind) *ports.Route {
+	if session.tx != nil {
+		return session.tx.route
+	}
+	route := t.routing.byHost[session.host]
+	switch {
+	case route == nil:
+		code, text := t.unknownHost()
+		t.reply(session, ports.Reply{Code: code, Text: text, State: ports.Idle}, true)
+		return nil
+	case t.shutdown.active:
+		t.reply(session, ports.Reply{Code: ports.Busy, Text: textShutdown, State: ports.Idle}, true)
+		return nil
+	case needsRoute(kind) && !t.mayRoute():
+		code, text := t.unconfirmedTable()
+		t.answerLocally(session, code, text)
+		return nil
+	}
+	if needsRoute(kind) {
+		t.checkRouted()
+	}
+	return route
+}
+
+// needsRoute reports whether a statement outside a transaction starts work by its
+// route, rather than being answered by this node.
+func needsRoute(kind ports.StatementKind) bool {
+	switch kind {
+	case ports.Begin, ports.BeginRead, ports.Read, ports.Write, ports.Execute:
+		return true
+	}
+	return false
+}
+
+// unknownHost is the rejection of a host that the routing table does not hold. Only
+// under a lease is it final.
+func (t *Table) unknownHost() (ports.Code, string) {
+	if !t.tableConfirmed() {
+		t.countRejectionCause("unknown names, the routing table's lease is over")
+		return unconfirmedReply()
+	}
+	t.countRejectionCause("unknown names")
+	if t.now >= t.routing.leaseUntil {
+		t.checks.Violated(invariant.RoutedUnconfirmed, "a name was refused %d ms after the lease", (t.now-t.routing.leaseUntil)/1000)
+	}
+	return ports.DatabaseUnavailable, "no such database"
+}
+
+// unconfirmedTable is the rejection of a statement that cannot be routed now.
+func (t *Table) unconfirmedTable() (ports.Code, string) {
+	t.countRejectionCause("no majority confirms the routing table")
+	return unconfirmedReply()
+}
+
+func unconfirmedReply() (ports.Code, string) {
+	return ports.Busy, "no majority vouches for this node's routing table; retry after 500 ms"
+}
+
+// checkRouted checks the invariant that statements are routed by a confirmed table only.
+func (t *Table) checkRouted() {
+	if !t.mayRoute() {
+		t.checks.Violated(invariant.RoutedUnconfirmed, "a statement was routed %d ms after the lease", (t.now-t.routing.leaseUntil)/1000)
+	}
+}
--- a/internal/sessiontable/rules_test.go
+++ b/internal/sessiontable/rules_test.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -75,7 +76,7 @@
 
 func (b *bench) send(s uint64, k ports.StatementKind, words ...string) []Effect {
 	b.id++
-	statement := ports.Statement{ID: "s" + decimal(uint64(b.id)), Kind: k}
+	statement := ports.Statement{ID: statementID(b.id), Kind: k}
 	if len(words) > 0 {
 		statement.Name = words[0]
 	}
@@ -86,6 +87,9 @@
 	return b.step(StatementReceived{Session: s, Statement: statement})
 }
 
+// statementID is the ID of the bench's n-th statement.
+func statementID(n int) string { return "s" + strconv.Itoa(n) }
+
 func find[T any](out []Effect) (l []T) {
 	for _, e := range out {
 		if e, ok := e.(T); ok {
@@ -128,7 +132,7 @@
 	b.t.Helper()
 	if len(find[Send](b.effects)) == 0 {
 		if len(find[Connect](b.effects)) == 0 {
-			b.effects = b.pass(b.table.options.OpenDelayUs)
+			b.effects = b.pass(b.table.options.OpenDelay.Microseconds())
 		}
 		if len(find[Send](b.effects)) == 0 {
 			b.connects()
@@ -147,7 +151,7 @@
 	if b.table.connections[c] == nil {
 		b.t.Fatalf("connection %d is none", c)
 	}
-	return b.table.connections[c].database.ID
+	return b.table.connections[c].db.ID
 }
 
 // answerDone ends all ops of a send well, a millisecond later.
@@ -357,7 +361,7 @@
 		if r.code == ports.InDoubt {
 			for _, e := range find[Send](bench.pass(3_000_000)) {
 				for _, op := range e.Ops {
-					if op.Statement.ID == "s"+decimal(uint64(n)) {
+					if op.Statement.ID == statementID(n) {
 						t.Errorf("%s, %d: is sent again", r.what, r.how)
 					}
 				}
@@ -866,7 +870,7 @@
 	bench.send(1, ports.SetValue, "v", "1")
 	resets := 0
 	for i := range uint64(10) {
-		bench.send(1, ports.Prepare, "n", "shape"+decimal(i), "w")
+		bench.send(1, ports.Prepare, "n", "shape"+strconv.FormatUint(i, 10), "w")
 		bench.send(1, ports.Execute, "n")
 		s := bench.sentOps()
 		if s.Ops[0].Statement.Kind == ports.Reset {
@@ -923,7 +927,7 @@
 	bench.open(1, "c")
 	bench.send(1, ports.Write)
 	bench.answerDone(bench.sentOps(), 10)
-	if d := bench.table.Due() - bench.now; d != bench.table.options.IdleConnectionUs {
+	if d := bench.table.Due() - bench.now; d != bench.table.options.IdleConnectionTimeout.Microseconds() {
 		t.Fatalf("due in %d", d)
 	}
 	if l := find[CloseConnection](bench.pass(60_000_000)); len(l) != 1 || bench.table.Due() != math.MaxInt64 {
--- a/internal/sessiontable/state.go
+++ b/internal/sessiontable/state.go
@@ -2,12 +2,26 @@
 
 import "stoneford/internal/fleetstate"
 
-// State is what operators are told of the table.
+// State is the table's state for operators.
 func (t *Table) State(now int64) fleetstate.PoolState {
-	group, counts := t.Gauges(), t.Counts()
-	state := fleetstate.PoolState{Nodes: t.nodes, Sessions: group.Sessions, Connections: group.Connections, Running: group.Running, Waiting: group.Waiting, OpenTransactions: group.OpenTransactions,
-		StatementsByResult: fleetstate.CountsByResult(counts.Results), AnsweredLocally: counts.AnsweredLocally, Rejected: counts.Rejected, Retried: counts.Retries, Connects: counts.Connects, Resets: counts.Resets,
-		PlacedAtReplicas: counts.AtReplica, PlacedAtPrimaries: counts.AtPrimary, Groups: []fleetstate.PoolGroup{}}
+	gauges, counts := t.Gauges(), t.Counts()
+	state := fleetstate.PoolState{
+		Nodes:              t.nodes,
+		Sessions:           gauges.Sessions,
+		Connections:        gauges.Connections,
+		Running:            gauges.Running,
+		Waiting:            gauges.Waiting,
+		OpenTransactions:   gauges.OpenTransactions,
+		StatementsByResult: fleetstate.CountsByResult(counts.Results),
+		AnsweredLocally:    counts.AnsweredLocally,
+		Rejected:           counts.Rejected,
+		Retried:            counts.Retries,
+		Connects:           counts.Connects,
+		Resets:             counts.Resets,
+		PlacedAtReplicas:   counts.AtReplica,
+		PlacedAtPrimaries:  counts.AtPrimary,
+		Groups:             []fleetstate.PoolGroup{},
+	}
 	for _, group := range t.groupsByName {
 		state.Groups = append(state.Groups, t.groupState(now, group))
 	}
@@ -15,26 +29,53 @@
 }
 
 func (t *Table) groupState(now int64, group *databaseGroup) fleetstate.PoolGroup {
-	state := fleetstate.PoolGroup{Group: group.name, Phase: "none", Waiting: group.waiting.len(), Acknowledged: group.acknowledged, PrimaryPosition: fleetstate.Unknown,
-		PendingCommits: group.commits.Len(), Databases: []fleetstate.PoolDatabase{}}
+	state := fleetstate.PoolGroup{
+		Group:           group.name,
+		Phase:           "none",
+		Waiting:         group.waiting.len(),
+		Acknowledged:    group.acknowledged,
+		PrimaryPosition: fleetstate.Unknown,
+		PendingCommits:  group.commits.Len(),
+		Databases:       []fleetstate.PoolDatabase{},
+	}
 	if group.known {
-		view := group.state
-		state.Revision, state.Unconfirmed, state.Term, state.Primary, state.Phase, state.ConfirmedForUs = view.Revision, view.Unconfirmed, view.Term, view.Primary, fleetstate.PhaseName(view.Phase), group.confirmedUntil-now
+		state.Revision, state.Unconfirmed = group.state.Revision, group.state.Unconfirmed
+		state.Term, state.Primary = group.state.Term, group.state.Primary
+		state.Phase = fleetstate.PhaseName(group.state.Phase)
+		state.ConfirmedForUs = group.confirmedUntil - now
 	}
 	if group.commits.Known() {
 		state.PrimaryPosition = group.commits.PrimaryPosition()
 	}
 	for _, db := range group.databases {
-		dbState := fleetstate.PoolDatabase{ID: db.ID, Address: db.Address, Zone: db.Zone, Draining: db.Draining, Connections: len(db.connections), MaxConnections: t.connectionLimit(db),
-			Opening: db.opening, Idle: len(db.idle), Running: db.running, Slots: db.slots, Waiting: db.queue.len(), OpenTransactions: db.openTransactions,
-			FailingUs: fleetstate.Unknown, AppliedPosition: fleetstate.Unknown, HighestNamed: db.position}
-		if db.failingSince > 0 {
-			dbState.FailingUs = max(now-db.failingSince, 0)
-		}
-		if limit, ok := group.commits.AppliedPosition(db.ID); ok {
-			dbState.AppliedPosition = limit
-		}
-		state.Databases = append(state.Databases, dbState)
+		state.Databases = append(state.Databases, t.databaseState(now, db))
+	}
+	return state
+}
+
+func (t *Table) databaseState(now int64, db *database) fleetstate.PoolDatabase {
+	state := fleetstate.PoolDatabase{
+		ID:               db.ID,
+		Address:          db.Address,
+		Zone:             db.Zone,
+		Draining:         db.Draining,
+		Connections:      len(db.connections),
+		MaxConnections:   t.connectionLimit(db),
+		Opening:          db.openingConnections,
+		Idle:             len(db.idle),
+		Running:          db.running,
+		Slots:            db.slots,
+		Waiting:          db.queue.len(),
+		OpenTransactions: db.openTransactions,
+		FailingUs:        fleetstate.Unknown,
+		AppliedPosition:  fleetstate.Unknown,
+		HighestNamed:     db.position,
+	}
+	if db.failingSince > 0 {
+		state.FailingUs = max(now-db.failingSince, 0)
+	}
+	if applied, ok := db.group.commits.AppliedPosition(db.ID); ok {
+		state.AppliedPosition = applied
 	}
 	return state
 }
--- /dev/null
+++ b/internal/sessiontable/statements.go
@@ -0,0 +1,137 @@
+package sessiontable
+
+import "stoneford/internal/ports"
+
+// Replies to statements that do not fit the session's state.
+const (
+	textUnknownPrepared    = "no such prepared name"
+	textAlreadyInTx        = "already inside a transaction"
+	textNoTransaction      = "no transaction is open"
+	textTransactionFailed  = "the transaction failed; only its end is taken"
+	textNotACallersCommand = "not a caller's statement"
+)
+
+// receiveStatement takes a session's next statement: it is answered by this node, or
+// starts a request.
+func (t *Table) receiveStatement(e StatementReceived) {
+	session := t.sessions[e.Session]
+	if session == nil || session.request != nil {
+		return
+	}
+	t.timers.disarm(&session.idleTimer)
+	if session.state == ports.TransactionFailed {
+		t.answerInFailedTransaction(session, e.Statement)
+		return
+	}
+	route := t.routeOf(session, e.Statement.Kind)
+	if route == nil {
+		return // it was rejected
+	}
+	switch e.Statement.Kind {
+	case ports.SetValue, ports.Prepare, ports.Deallocate:
+		t.configureSession(session, e.Statement)
+	case ports.Begin, ports.BeginRead, ports.Rollback:
+		t.delimitTransaction(session, e.Statement, route)
+	case ports.Commit, ports.Read, ports.Write, ports.Execute:
+		t.runStatement(session, e.Statement, route)
+	case ports.BadStatement:
+		t.answerLocally(session, ports.Malformed, e.Statement.Text)
+	default:
+		t.answerLocally(session, ports.Malformed, textNotACallersCommand)
+	}
+}
+
+// configureSession takes a statement that changes the session alone. Databases learn of
+// it with the session's next statement there.
+func (t *Table) configureSession(session *session, statement ports.Statement) {
+	switch statement.Kind {
+	case ports.SetValue:
+		session.values = session.values.with(statement.Name, statement.Text)
+	case ports.Prepare:
+		if session.prepared == nil {
+			session.prepared = map[string]*preparedShape{}
+		}
+		session.prepared[statement.Name] = t.prepared.shape(shapeKey{statement.Writes, statement.Text})
+	case ports.Deallocate:
+		if session.prepared[statement.Name] == nil {
+			t.answerLocally(session, ports.UnknownPreparedStatement, textUnknownPrepared)
+			return
+		}
+		delete(session.prepared, statement.Name)
+	}
+	t.answerLocally(session, ports.Done, "")
+}
+
+// delimitTransaction takes a begin, whose transaction no database knows of before its
+// first statement, or a rollback.
+func (t *Table) delimitTransaction(session *session, statement ports.Statement, route *ports.Route) {
+	isRollback := statement.Kind == ports.Rollback
+	switch {
+	case isRollback && session.tx == nil:
+		t.answerLocally(session, ports.Malformed, textNoTransaction)
+	case isRollback:
+		t.endTransaction(session)
+		t.counts.AnsweredLocally++
+		t.reply(session, ports.Reply{State: ports.Idle}, false)
+	case session.tx != nil:
+		t.answerLocally(session, ports.Malformed, textAlreadyInTx)
+	default:
+		session.tx = &transaction{session: session, begin: statement, readOnly: statement.Kind == ports.BeginRead, route: route, group: t.group(route.Group), arrivedUs: t.now}
+		t.openTransactions++
+		t.counts.AnsweredLocally++
+		t.reply(session, ports.Reply{State: ports.InTransaction}, false)
+	}
+}
+
+// runStatement starts a request for a statement that a database has to run.
+func (t *Table) runStatement(session *session, statement ports.Statement, route *ports.Route) {
+	req := &request{statement: statement}
+	switch statement.Kind {
+	case ports.Commit:
+		if session.tx == nil {
+			t.answerLocally(session, ports.Malformed, textNoTransaction)
+			return
+		}
+		req.commit = true
+	case ports.Write:
+		req.writes = true
+	case ports.Execute:
+		shape := session.prepared[statement.Name]
+		if shape == nil {
+			t.answerLocally(session, ports.UnknownPreparedStatement, textUnknownPrepared)
+			return
+		}
+		req.shape, req.writes = shape, shape.writes
+	}
+	t.startRequest(session, req, route)
+}
+
+// answerLocally ends a statement that this node answers itself. An error aborts the
+// session's transaction.
+func (t *Table) answerLocally(session *session, code ports.Code, text string) {
+	t.counts.AnsweredLocally++
+	reply := ports.Reply{Code: code, Text: text, State: session.state}
+	if code != ports.Done && session.tx != nil {
+		t.abort(session.tx)
+		reply.State = ports.TransactionFailed
+	}
+	t.reply(session, reply, false)
+}
+
+// answerInFailedTransaction takes a statement in a transaction that failed. Only its end
+// is accepted.
+func (t *Table) answerInFailedTransaction(session *session, statement ports.Statement) {
+	reply := ports.Reply{State: ports.Idle}
+	switch statement.Kind {
+	case ports.Rollback:
+	case ports.Commit:
+		reply.Code, reply.Text = ports.RolledBack, "the transaction had failed"
+	default:
+		t.counts.AnsweredLocally++
+		t.reply(session, ports.Reply{Code: ports.Malformed, Text: textTransactionFailed, State: ports.TransactionFailed}, false)
+		return
+	}
+	t.endTransaction(session)
+	t.counts.AnsweredLocally++
+	t.reply(session, reply, false)
+}
--- /dev/null
+++ b/internal/sessiontable/timers.go
@@ -0,0 +1,67 @@
+package sessiontable
+
+import "math"
+
+// timer is one moment that its owner waits for.
+type timer struct {
+	at       int64
+	sequence uint64 // orders timers of the same moment by when they were armed
+	index    int    // in the queue, 0 if it is not armed
+	owner    timerOwner
+}
+
+// timerOwner is called when its timer is due. The timer is disarmed by then.
+type timerOwner interface{ timerFired(t *Table) }
+
+func (t *timer) armed() bool { return t.index != 0 }
+
+// timerQueue holds the armed timers, earliest first.
+type timerQueue struct {
+	heap         heap[*timer]
+	lastSequence uint64
+}
+
+func newTimerQueue() timerQueue {
+	return timerQueue{heap: heap[*timer]{
+		less:  func(a, b *timer) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence },
+		index: func(t *timer) *int { return &t.index },
+	}}
+}
+
+// arm sets a timer; one that is armed already is moved.
+func (q *timerQueue) arm(t *timer, at int64) {
+	if t.armed() && t.at == at {
+		return
+	}
+	q.lastSequence++
+	t.at, t.sequence = at, q.lastSequence
+	if t.armed() {
+		q.heap.fix(t)
+		return
+	}
+	q.heap.push(t)
+}
+
+func (q *timerQueue) disarm(t *timer) {
+	if t.armed() {
+		q.heap.remove(t)
+	}
+}
+
+// due is the moment of the earliest timer, math.MaxInt64 if none is armed.
+func (q *timerQueue) due() int64 {
+	if q.heap.len() == 0 {
+		return math.MaxInt64
+	}
+	return q.heap.top().at
+}
+
+// popDue disarms and returns the earliest timer if it is due, and nil otherwise.
+func (q *timerQueue) popDue(now int64) *timer {
+	if q.heap.len() == 0 || q.heap.top().at > now {
+		return nil
+	}
+	t := q.heap.top()
+	q.heap.remove(t)
+	return t
+}
--- /dev/null
+++ b/internal/sessiontable/update.go
@@ -0,0 +1,111 @@
+package sessiontable
+
+import (
+	"slices"
+
+	"stoneford/internal/ports"
+)
+
+// leaseRequestInterval is the least time between two requests for an Update, in µs. A
+// shorter one renews a lost lease sooner and polls the voters more often.
+const leaseRequestInterval = 100_000
+
+// requestLease asks for an Update: once until it comes, or again after
+// leaseRequestInterval.
+func (t *Table) requestLease() {
+	if t.leaseRequestedUs != 0 && t.now-t.leaseRequestedUs < leaseRequestInterval {
+		return
+	}
+	t.leaseRequestedUs = max(t.now, 1)
+	t.emit(RenewLease{})
+}
+
+// update applies what the voters committed: the routing table and the databases first,
+// then the groups in the order of their names, and then everything that waited.
+func (t *Table) update(e Update) {
+	t.leaseRequestedUs = 0
+	if e.Nodes > 0 {
+		t.nodes = e.Nodes
+	}
+	if e.Table != nil && (t.routing.table == nil || e.Table.Revision >= t.routing.table.Revision) {
+		t.routing.setTable(e.Table)
+		for _, config := range e.Table.Groups {
+			t.group(config.Name).config = config
+		}
+	}
+	if e.Instances != nil {
+		t.setDatabases(e.Instances)
+	}
+	t.routing.leaseUntil = max(t.routing.leaseUntil, e.LeaseUntil)
+	for name, state := range e.Groups {
+		t.group(name).pendingState = &state
+	}
+	for _, group := range t.groupsByName {
+		t.updateGroup(group, e.LeaseUntil)
+	}
+	for _, group := range t.groupsByName {
+		t.requeueWaiting(group)
+	}
+}
+
+// updateGroup applies a group's new leadership, if there is one, and its lease.
+func (t *Table) updateGroup(group *databaseGroup, leaseUntil int64) {
+	if state := group.pendingState; state != nil {
+		group.pendingState = nil
+		t.setGroupState(group, *state)
+	}
+	switch {
+	case !group.known:
+	case t.primary(group) != nil:
+		group.failoverSince = 0
+	case group.failoverSince == 0:
+		group.failoverSince = t.now
+	}
+	if group.confirmedBy() {
+		group.confirmedUntil = max(group.confirmedUntil, leaseUntil)
+	}
+	if len(group.unconfirmed) > 0 {
+		t.retryConfirmations(group)
+	}
+}
+
+// setGroupState applies a leadership. One older than the known one changes nothing.
+func (t *Table) setGroupState(group *databaseGroup, state GroupState) {
+	previous, known := group.state, group.known
+	if known && state.Revision < previous.Revision {
+		state = previous
+	}
+	group.state, group.known = state, true
+	newPrimary := known && (state.Term != previous.Term || state.Primary != previous.Primary)
+	if newPrimary || !known {
+		group.confirmedUntil, group.deniedUs = 0, 0
+		group.commits.Reset()
+		group.commitsTerm = 0
+	}
+	primary := t.databases[previous.Primary]
+	if !known || primary == nil {
+		return
+	}
+	if !newPrimary && state.Phase == previous.Phase && state.Withheld == previous.Withheld {
+		return
+	}
+	if newPrimary || state.Withheld || state.Phase == ports.PhaseFreezing || state.Phase == ports.PhasePromoting {
+		t.endTransactions(primary)
+	}
+	t.requeue(primary, func(req *request) bool { return !req.hasConnection() })
+	t.reportIfQuiescent(primary)
+}
+
+// endTransactions ends the transactions on a primary that was replaced or is about to
+// be (design 14.6): a statement in flight may still end, an idle transaction is closed.
+func (t *Table) endTransactions(primary *database) {
+	for _, conn := range slices.Clone(primary.connections) {
+		switch {
+		case conn.tx == nil && conn.request == nil:
+		case len(conn.pending) > 0:
+			conn.closeAfterStatement = true
+		default:
+			t.closeConnection(conn)
+		}
+	}
+}
--- a/internal/sessiontable/vouched_test.go
+++ b/internal/sessiontable/vouched_test.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 	"testing"
+	"time"
 
 	"stoneford/internal/invariant"
 	"stoneford/internal/ports"
@@ -21,7 +22,7 @@
 // have been added since a majority last vouched for its table, so it is told to come
 // back and not that there is no such database.
 func TestUnknownNamesNeedLease(t *testing.T) {
-	bench := newBench(t, Options{RoutingGraceUs: routeForTest})
+	bench := newBench(t, Options{RoutingGrace: routeForTest * time.Microsecond})
 	if reply := bench.expectOpened(1, "added"); reply.Code != ports.DatabaseUnavailable {
 		t.Fatalf("under a lease: %+v", reply)
 	}
@@ -48,7 +49,7 @@
 // change may take to be in force, and no longer; what has begun goes on.
 func TestNoRoutingByOldTable(t *testing.T) {
 	for _, kind := range []ports.StatementKind{ports.Read, ports.Write, ports.Begin, ports.BeginRead} {
-		bench := newBench(t, Options{RoutingGraceUs: routeForTest})
+		bench := newBench(t, Options{RoutingGrace: routeForTest * time.Microsecond})
 		bench.open(1, "c")
 		bench.open(2, "c")
 		bench.send(2, ports.Begin)
@@ -80,7 +81,7 @@
 
 // TestCheckSeesUnconfirmedRoute: where the guard is skipped the check counts it.
 func TestCheckSeesUnconfirmedRoute(t *testing.T) {
-	bench := newBench(t, Options{RoutingGraceUs: routeForTest})
+	bench := newBench(t, Options{RoutingGrace: routeForTest * time.Microsecond})
 	bench.pass(1_000_000 + routeForTest)
 	bench.table.checkRouted()
 	if n := bench.table.Checks().Counts()[string(invariant.RoutedUnconfirmed)]; n != 1 {
@@ -94,7 +95,7 @@
 // TestReturningInstanceKeepsDraining: an instance that leaves, is taken for gone for
 // a moment and is announced again does not get its time to leave anew.
 func TestReturningInstanceKeepsDraining(t *testing.T) {
-	bench := newBench(t, Options{DrainTimeoutUs: 3_000_000})
+	bench := newBench(t, Options{DrainTimeout: 3 * time.Second})
 	bench.instances[1].Draining = true
 	bench.renewLease(10_000_000)
 	bench.pass(2_000_000)
@@ -113,7 +114,7 @@
 // TestInstanceFirstSeenDraining: a node that starts, and hears of an instance that
 // leaves, does not know since when; its time may be over already.
 func TestInstanceFirstSeenDraining(t *testing.T) {
-	bench := newBench(t, Options{DrainTimeoutUs: 3_000_000})
+	bench := newBench(t, Options{DrainTimeout: 3 * time.Second})
 	bench.instances = append(bench.instances, ports.Instance{ID: "w", Group: "g", Address: "w", Zone: "a", Capacity: 4, AnnouncementNumber: 1, Draining: true})
 	bench.renewLease(10_000_000)
 	if db := bench.table.databases["w"]; db == nil || !bench.table.drained(db) {
--- a/internal/sessiontable/world_test.go
+++ b/internal/sessiontable/world_test.go
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
+	"time"
 
 	"stoneford/internal/ports"
 )
@@ -203,7 +204,7 @@
 		t: t, rand: rand.New(rand.NewPCG(seed, 7)), faults: p, connections: map[uint64]*fakeConn{}, oracles: map[string]*oracle{},
 		clients: map[uint64]*client{}, codes: map[ports.Code]int{}, leaseUs: 400_000, now: 1_000_000,
 	}
-	env.table = New(seed, "a", Options{LeaseUs: env.leaseUs, SeparateBegin: p.separateBegin})
+	env.table = New(seed, "a", Options{Lease: time.Duration(env.leaseUs) * time.Microsecond, SeparateBegin: p.separateBegin})
 	for i, id := range []string{"x", "y", "z"} {
 		db := &fakeDB{env: env, id: id, zone: []string{"a", "b", "c"}[i], alive: true, slots: 4, lag: env.between(1_000, 40_000), conns: map[uint64]*fakeConn{}, call: 1}
 		env.dbs = append(env.dbs, db)
