--- a/internal/sessiontable/check_test.go
+++ b/internal/sessiontable/check_test.go
@@ -1,97 +1,115 @@
 package sessiontable
 
 import (
-	"maps"
 	"slices"
 	"testing"
 )
 
-// checkAll holds every tie in a table to what it says; checkTouched does the
-// same for what a step touched.
-func checkAll(t testing.TB, b *Table) {
+// checkAll checks every reference and count in a table; checkTouched does the same for
+// what a step touched.
+func checkAll(t testing.TB, table *Table) {
 	t.Helper()
-	running, waiting, open := 0, 0, 0
-	held := map[*transaction]uint64{}
-	for id, conn := range b.connections {
-		if timer := conn.inconsistency(); timer != "" {
-			t.Fatalf("connection %d: %s", id, timer)
+	connections, running, waiting := 0, checkConnections(t, table), 0
+	open := checkSessions(t, table)
+	for _, group := range table.groupsByName {
+		waiting += group.waiting.len()
+		for _, db := range group.databases {
+			connections += len(db.connections)
+			waiting += db.queue.len()
+			checkDatabase(t, db)
+			checkQueue(t, db)
+		}
+	}
+	if connections != len(table.connections) || running != table.running || waiting != table.waiting {
+		t.Fatalf("counts: %d connections of %d, %d running of %d, %d waiting of %d", connections, len(table.connections), running, table.running, waiting, table.waiting)
+	}
+	if open > table.openTransactions {
+		t.Fatalf("%d open transactions of %d", open, table.openTransactions)
+	}
+	for i, timer := range table.timers.heap.items {
+		if timer.index != i+1 {
+			t.Fatalf("timers have wrong indexes")
+		}
+	}
+}
+
+// checkConnections checks the connections, and counts the statements that run on them.
+func checkConnections(t testing.TB, table *Table) (running int) {
+	t.Helper()
+	connectionOf := map[*transaction]uint64{}
+	for id, conn := range table.connections {
+		if problem := conn.inconsistency(); problem != "" {
+			t.Fatalf("connection %d: %s", id, problem)
 		}
 		if conn.tx != nil {
-			if held[conn.tx] != 0 {
-				t.Fatalf("a transaction has connections %d and %d", held[conn.tx], id)
+			if connectionOf[conn.tx] != 0 {
+				t.Fatalf("a transaction has connections %d and %d", connectionOf[conn.tx], id)
 			}
-			held[conn.tx] = id
+			connectionOf[conn.tx] = id
 		}
 		if conn.usesSlot {
 			running++
 		}
 		if !slices.Contains(conn.db.connections, conn) {
-			t.Fatalf("connection %d is not among its instance's", id)
+			t.Fatalf("connection %d is not among its database's", id)
 		}
 	}
-	for _, session := range b.sessions {
+	return running
+}
+
+// checkSessions checks the sessions, and counts their transactions.
+func checkSessions(t testing.TB, table *Table) (open int) {
+	t.Helper()
+	for _, session := range table.sessions {
 		if session.tx != nil {
 			open++
 		}
+		req := session.request
+		if req == nil {
+			continue
+		}
 		// It waits, it runs, or it ran and waits to be confirmed: one of these.
-		if req := session.request; req != nil && count(req.conn != nil, req.queueIndex != 0, req.unconfirmed != nil) != 1 {
+		if count(req.conn != nil, req.queueIndex != 0, req.unconfirmed != nil) != 1 {
 			t.Fatalf("session %d: its statement neither waits nor runs, or both", session.id)
 		}
-		if req := session.request; req != nil && req.timer.index == 0 {
+		if !req.timer.armed() {
 			t.Fatalf("session %d: nothing ends its statement", session.id)
 		}
 	}
-	n := 0
-	for _, group := range b.groupsByName {
-		waiting += group.waiting.len()
-		for _, db := range group.databases {
-			n += len(db.connections)
-			waiting += db.queue.len()
-			var run, txs, opening, stuck int
-			for _, conn := range db.connections {
-				if conn.usesSlot {
-					run++
-				}
-				if conn.overdue {
-					stuck++
-				}
-				if conn.tx != nil {
-					txs++
-				}
-				if !conn.open {
-					opening++
-				}
-			}
-			if run != db.running || txs != db.openTransactions || opening != db.openingConnections || stuck != db.overdue {
-				t.Fatalf("instance %s counts %d %d %d %d for %d %d %d %d", db.ID, db.running, db.openTransactions, db.openingConnections, db.overdue, run, txs, opening, stuck)
-			}
-			for _, conn := range db.idle {
-				if !conn.open || conn.usesSlot || conn.tx != nil || len(conn.pending) > 0 {
-					t.Fatalf("instance %s: connection %d is idle and in use", db.ID, conn.id)
-				}
-			}
-			for i, req := range db.queue.items {
-				if req.queueIndex != i+1 || req.db != db {
-					t.Fatalf("instance %s: its line is torn", db.ID)
-				}
-				if i > 0 && queuedBefore(req, db.queue.items[(i-1)/2]) {
-					t.Fatalf("instance %s: its line is out of order", db.ID)
-				}
-			}
-		}
+	return open
+}
+
+// checkDatabase checks a database's counts against its connections.
+func checkDatabase(t testing.TB, db *database) {
+	t.Helper()
+	var running, transactions, opening, overdue int
+	for _, conn := range db.connections {
+		running += count(conn.usesSlot)
+		overdue += count(conn.overdue)
+		transactions += count(conn.tx != nil)
+		opening += count(!conn.open)
 	}
-	if n != len(b.connections) || running != b.running || waiting != b.waiting {
-		t.Fatalf("counts: %d connections of %d, %d running of %d, %d waiting of %d", n, len(b.connections), running, b.running, waiting, b.waiting)
+	if running != db.running || transactions != db.openTransactions || opening != db.openingConnections || overdue != db.overdue {
+		t.Fatalf("database %s counts %d %d %d %d for %d %d %d %d", db.ID, db.running, db.openTransactions, db.openingConnections, db.overdue, running, transactions, opening, overdue)
 	}
-	if open > b.openTransactions {
-		t.Fatalf("%d open transactions of %d", open, b.openTransactions)
+	for _, conn := range db.idle {
+		if !conn.open || conn.usesSlot || conn.tx != nil || len(conn.pending) > 0 {
+			t.Fatalf("database %s: connection %d is idle and in use", db.ID, conn.id)
+		}
 	}
-	for i, timer := range b.timers.heap.items {
-		if timer.index != i+1 {
-			t.Fatalf("timers are torn")
+}
+
+// checkQueue checks a database's queue.
+func checkQueue(t testing.TB, db *database) {
+	t.Helper()
+	for i, req := range db.queue.items {
+		if req.queueIndex != i+1 || req.db != db {
+			t.Fatalf("database %s: its queue has wrong references", db.ID)
+		}
+		if i > 0 && queuedBefore(req, db.queue.items[(i-1)/2]) {
+			t.Fatalf("database %s: its queue is out of order", db.ID)
 		}
 	}
-	_ = maps.Keys(held)
 }
 
 func count(bs ...bool) int {
--- /dev/null
+++ b/internal/sessiontable/environment_test.go
@@ -0,0 +1,374 @@
+package sessiontable
+
+import (
+	binheap "container/heap"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"stoneford/internal/ports"
+)
+
+// event is something that happens in the environment at a moment.
+type event struct {
+	at  int64
+	seq int
+	do  func()
+}
+
+type events []event
+
+func (q events) Len() int { return len(q) }
+
+func (q events) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+}
+
+func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *events) Push(x any) { *q = append(*q, x.(event)) }
+
+func (q *events) Pop() any {
+	x := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return x
+}
+
+// faultPlan says which faults an environment has.
+type faultPlan struct {
+	busy, loseAnswers, disconnect, unresponsive, crash, primaryChanges, drain, partitioned, separateBegin, brokenBegin bool
+	rollbackRestoresValues                                                                                             bool // a rollback undoes values set in its transaction
+	onlyThisNode                                                                                                       bool // no other node commits
+}
+
+// environment is a table among simulated databases, callers and voters.
+type environment struct {
+	t               testing.TB
+	table           *Table
+	rand            *rand.Rand
+	faults          faultPlan
+	now             int64
+	events          events
+	seq             int
+	dbs             []*fakeDB
+	connections     map[uint64]*fakeConn
+	oracles         map[string]*oracle
+	acks            []acknowledgement
+	clients         map[uint64]*client
+	lastSession     uint64
+	ids             int
+	leadership      ports.Leadership
+	primaryChanging bool // a change of primary is in progress
+	partitioned     bool // polls get no response
+	leaseUs         int64
+	leaseGivenUntil int64 // newest lease given
+	codes           map[ports.Code]int
+	routes          []ports.Route
+	trace           []string
+	replicaReads    int
+	stopAt          int64
+	leaseRequested  bool
+	sessionsClosed  int
+}
+
+func newEnvironment(t testing.TB, seed uint64, p faultPlan) *environment {
+	env := &environment{
+		t: t, rand: rand.New(rand.NewPCG(seed, 7)), faults: p, connections: map[uint64]*fakeConn{}, oracles: map[string]*oracle{},
+		clients: map[uint64]*client{}, codes: map[ports.Code]int{}, leaseUs: 400_000, now: 1_000_000,
+	}
+	env.table = New(seed, "a", Options{Lease: time.Duration(env.leaseUs) * time.Microsecond, SeparateBegin: p.separateBegin})
+	for i, id := range []string{"x", "y", "z"} {
+		db := &fakeDB{env: env, id: id, zone: []string{"a", "b", "c"}[i], alive: true, slots: 4, lag: env.between(1_000, 40_000), conns: map[uint64]*fakeConn{}, call: 1}
+		env.dbs = append(env.dbs, db)
+	}
+	env.dbs[0].term = 1
+	env.leadership = ports.Leadership{Revision: 1, Term: 1, Primary: "x", Phase: ports.PhaseServing, LastFailoverUs: 600_000}
+	env.routes = []ports.Route{
+		{Name: "c", Host: "c", Prefix: "/", Class: ports.CurrentRead, Group: "g", TimeoutUs: 2_000_000, LatencyTargetUs: 300_000, Rank: 1},
+		{Name: "b", Host: "b", Prefix: "/", Class: ports.BoundedStaleness, Group: "g", TimeoutUs: 3_000_000, LatencyTargetUs: 500_000, MaxStalenessUs: 500_000, Rank: 2},
+		{Name: "p", Host: "p", Prefix: "/", Class: ports.ReadYourWrites, Group: "g", TimeoutUs: 2_000_000, LatencyTargetUs: 300_000, MaxStalenessUs: 900_000, Rank: 2},
+	}
+	return env
+}
+
+func (env *environment) after(durationUs int64, f func()) {
+	env.seq++
+	binheap.Push(&env.events, event{env.now + max(durationUs, 0), env.seq, f})
+}
+
+func (env *environment) between(a, b int64) int64 { return a + env.rand.Int64N(b-a+1) }
+
+func (env *environment) odds(n int) bool { return env.rand.IntN(n) == 0 }
+
+// inOrder is the delay of the next message on a connection, which keeps the order.
+func (env *environment) inOrder(at *int64) int64 {
+	*at = max(*at, env.now+env.between(200, 900))
+	return *at - env.now
+}
+
+func (env *environment) logf(f string, a ...any) {
+	env.trace = append(env.trace, fmt.Sprintf("%d ", env.now)+fmt.Sprintf(f, a...))
+}
+
+func (env *environment) fatal(f string, a ...any) {
+	env.t.Helper()
+	env.t.Fatalf("at %d: %s\n%s", env.now, fmt.Sprintf(f, a...), joined(env.trace))
+}
+
+func joined(l []string) (s string) {
+	for _, x := range l[max(0, len(l)-60):] {
+		s += x + "\n"
+	}
+	return s
+}
+
+func (env *environment) db(id string) *fakeDB {
+	for _, db := range env.dbs {
+		if db.id == id {
+			return db
+		}
+	}
+	return nil
+}
+
+// step hands events to the table and performs its effects.
+func (env *environment) step(events ...Event) {
+	for _, e := range env.table.Step(env.now, events...) {
+		env.effect(e)
+	}
+	checkAll(env.t, env.table)
+}
+
+// runUntil runs the environment up to a moment. A tick that is due before the next event
+// comes first.
+func (env *environment) runUntil(end int64) {
+	ticks := 0 // without time passing
+	for {
+		next := int64(math.MaxInt64)
+		if len(env.events) > 0 {
+			next = env.events[0].at
+		}
+		due := env.table.Due()
+		isTick := due < next
+		if isTick {
+			next = max(due, env.now)
+		}
+		if next > end {
+			break
+		}
+		if isTick {
+			ticks = env.tick(next, ticks)
+			continue
+		}
+		env.now = next
+		binheap.Pop(&env.events).(event).do()
+	}
+	env.now = end
+}
+
+// tick ticks the table at a moment. It takes and returns the number of ticks without time
+// passing, which is bounded.
+func (env *environment) tick(at int64, ticks int) int {
+	ticks++
+	if at != env.now {
+		ticks = 0
+	}
+	if ticks > 1000 {
+		env.fatal("it is due at the same moment for ever")
+	}
+	env.now = at
+	env.step(Tick{})
+	return ticks
+}
+
+// effect performs an effect of the table.
+func (env *environment) effect(e Effect) {
+	switch e := e.(type) {
+	case Reply:
+		env.reply(e)
+	case CloseSession:
+		env.closeSession(e)
+	case Connect:
+		env.connect(e)
+	case Send:
+		env.send(e)
+	case CloseConnection:
+		if conn := env.connections[e.Conn]; conn != nil {
+			env.logf("conn %d is closed", e.Conn)
+			env.after(env.between(200, 900), func() { conn.close() })
+			delete(env.connections, e.Conn)
+		}
+	case RenewLease:
+		if !env.leaseRequested {
+			env.leaseRequested = true
+			env.after(0, env.renewLease)
+		}
+	}
+}
+
+func (env *environment) connect(e Connect) {
+	db := env.db(e.ID)
+	env.after(env.between(1_000, 12_000), func() {
+		switch {
+		case db == nil || !db.alive:
+			env.step(ConnectEnded{Conn: e.Conn, Err: "not there", ConnectionRefused: true})
+		case db.unresponsive:
+			env.after(e.WaitUs, func() { env.step(ConnectEnded{Conn: e.Conn, Err: "no response"}) })
+		case env.faults.busy && env.odds(20):
+			env.step(ConnectEnded{Conn: e.Conn, Err: "too many", Code: ports.TooManyConnections})
+		default:
+			conn := &fakeConn{id: e.Conn, db: db, values: map[string]string{}, prepared: map[string]shapeKey{}}
+			if env.faults.unresponsive && env.odds(30) {
+				env.after(env.between(10_000, 400_000), func() { conn.unresponsive = true })
+			}
+			db.conns[e.Conn] = conn
+			env.connections[e.Conn] = conn
+			env.step(ConnectEnded{Conn: e.Conn, Position: db.position()})
+		}
+	})
+}
+
+// send has operations arrive at a connection's database.
+func (env *environment) send(e Send) {
+	conn := env.connections[e.Conn]
+	if conn == nil || conn.closed {
+		return // broken, and the table is yet to learn it
+	}
+	if len(e.Ops) == 0 {
+		env.fatal("nothing is sent")
+	}
+	for _, op := range e.Ops {
+		if op.Internal {
+			env.logf("conn %d at %s: internal %d %s", e.Conn, conn.db.id, op.Statement.Kind, op.Statement.Name)
+		} else {
+			env.logf("conn %d at %s: %s %d after %v", e.Conn, conn.db.id, op.Statement.ID, op.Statement.Kind, op.After)
+		}
+	}
+	env.after(env.inOrder(&conn.inAt), func() {
+		if conn.closed {
+			return
+		}
+		conn.ops = append(conn.ops, e.Ops...)
+		conn.next()
+	})
+}
+
+// start brings an environment up.
+func (env *environment) start(callers int) {
+	env.step(Update{Table: &ports.RoutingTable{Revision: 1, Routes: env.routes, Groups: []ports.Group{{Name: "g", ConnectionLimit: 65, RequiredReplicaAcks: 1}}, Limits: ports.Limits{TransactionIdleTimeoutUs: 3_000_000}}})
+	env.renewLease()
+	env.after(50_000, func() {
+		env.renewLeasePeriodically()
+		if !env.faults.onlyThisNode {
+			env.commitOfOtherNodes()
+		}
+	})
+	for range callers {
+		env.after(env.between(60_000, 400_000), env.open)
+	}
+	env.after(1_000_000, func() { env.refill(callers) })
+}
+
+func (env *environment) refill(n int) {
+	if env.stopAt == 0 {
+		for range n - len(env.clients) {
+			env.open()
+		}
+	}
+	env.after(200_000, func() { env.refill(n) })
+}
+
+// injectFaults injects a fault that the plan allows, at random intervals.
+func (env *environment) injectFaults() {
+	env.after(env.between(200_000, 1_500_000), env.injectFaults)
+	var faults []func()
+	add := func(yes bool, f func()) {
+		if yes {
+			faults = append(faults, f)
+		}
+	}
+	add(env.faults.crash, func() { env.dbs[env.rand.IntN(3)].crash() })
+	add(env.faults.primaryChanges, func() {
+		for _, db := range env.dbs {
+			if !db.alive {
+				return
+			}
+		}
+		env.changePrimary(false)
+	})
+	add(env.faults.disconnect, func() {
+		db := env.dbs[env.rand.IntN(3)]
+		for _, c := range sorted(db.conns) {
+			if env.odds(2) {
+				c.disconnect()
+			}
+		}
+	})
+	add(env.faults.partitioned, func() {
+		env.partitioned = true
+		env.after(env.between(100_000, 1_200_000), func() { env.partitioned = false })
+	})
+	add(env.faults.drain, func() {
+		db := env.dbs[env.rand.IntN(3)]
+		db.draining, db.call = !db.draining, db.call+1
+	})
+	add(true, func() { db := env.dbs[env.rand.IntN(3)]; db.lag = env.between(1_000, 1_500_000) })
+	faults[env.rand.IntN(len(faults))]()
+}
+
+func sorted(m map[uint64]*fakeConn) (l []*fakeConn) {
+	for id := range uint64(100_000) {
+		if c := m[id]; c != nil {
+			l = append(l, c)
+			if len(l) == len(m) {
+				break
+			}
+		}
+	}
+	return l
+}
+
+// TestEnvironments drives random callers against databases with every kind of fault, and
+// checks the replies against what the databases did.
+func TestEnvironments(t *testing.T) {
+	plans := []struct {
+		name string
+		p    faultPlan
+	}{
+		{"quiet", faultPlan{rollbackRestoresValues: true, brokenBegin: true}},
+		{"alone", faultPlan{onlyThisNode: true, brokenBegin: true}},
+		{"busy", faultPlan{busy: true, brokenBegin: true}},
+		{"lost", faultPlan{loseAnswers: true, disconnect: true, unresponsive: true, brokenBegin: true}},
+		{"crash", faultPlan{crash: true, brokenBegin: true}},
+		{"changes", faultPlan{primaryChanges: true, brokenBegin: true}},
+		{"cut off", faultPlan{primaryChanges: true, partitioned: true, brokenBegin: true}},
+		{"all", faultPlan{busy: true, loseAnswers: true, disconnect: true, unresponsive: true, crash: true, primaryChanges: true, drain: true, partitioned: true, brokenBegin: true}},
+		{"all, apart", faultPlan{busy: true, loseAnswers: true, disconnect: true, unresponsive: true, crash: true, primaryChanges: true, drain: true, partitioned: true, separateBegin: true}},
+	}
+	seeds := uint64(20)
+	if testing.Short() {
+		seeds = 2
+	}
+	for _, p := range plans {
+		t.Run(p.name, func(t *testing.T) {
+			total := map[ports.Code]int{}
+			replicaReads := 0
+			for seed := range seeds {
+				env := newEnvironment(t, seed, p.p)
+				env.start(25)
+				env.after(600_000, env.injectFaults)
+				env.runUntil(7_000_000)
+				for c, n := range env.codes {
+					total[c] += n
+				}
+				replicaReads += env.replicaReads
+			}
+			if total[ports.Done] == 0 || replicaReads == 0 {
+				t.Fatalf("ended %v, %d at replicas", total, replicaReads)
+			}
+			t.Logf("ended %v, %d at replicas", total, replicaReads)
+		})
+	}
+}
--- /dev/null
+++ b/internal/sessiontable/fake_connection_test.go
@@ -0,0 +1,295 @@
+package sessiontable
+
+import (
+	"maps"
+
+	"stoneford/internal/ports"
+)
+
+// fakeConn is a connection as its database sees it.
+type fakeConn struct {
+	id           uint64
+	db           *fakeDB
+	closed       bool
+	values       map[string]string
+	prepared     map[string]shapeKey
+	tx           string // id of the beginning, "" for none
+	plain        bool
+	writes       []string
+	broken       bool
+	ops          []ports.Op
+	running      bool
+	unresponsive bool              // its answers are lost
+	before       map[string]string // values before the transaction
+	inAt         int64
+	outAt        int64
+}
+
+// close rolls back what is open; what runs goes on to its end.
+func (c *fakeConn) close() {
+	c.closed = true
+	c.tx, c.writes = "", nil
+	delete(c.db.conns, c.id)
+}
+
+// disconnect breaks a connection from the database's side.
+func (c *fakeConn) disconnect() {
+	if c.closed {
+		return
+	}
+	env := c.db.env
+	c.close()
+	if env.connections[c.id] == c {
+		delete(env.connections, c.id)
+		env.after(env.between(200, 900), func() { env.step(ConnectionLost{Conn: c.id, Err: "cut", Disconnected: true}) })
+	}
+}
+
+// next runs the next operation, unless one runs.
+func (c *fakeConn) next() {
+	if c.running || len(c.ops) == 0 || c.closed {
+		return
+	}
+	db, env := c.db, c.db.env
+	if db.unresponsive {
+		env.after(50_000, c.next)
+		return
+	}
+	op := c.ops[0]
+	c.ops = c.ops[1:]
+	switch op.Statement.Kind {
+	case ports.Read, ports.Write, ports.Execute, ports.Commit:
+	default: // it needs no slot
+		c.answer(c.run(op))
+		c.next()
+		return
+	}
+	if db.busy >= db.slots || env.faults.busy && env.odds(30) {
+		c.answer(c.busyAnswer())
+		c.next()
+		return
+	}
+	db.busy++
+	c.running = true
+	env.after(env.between(1_000, 9_000), func() { c.finish(op) })
+}
+
+// busyAnswer rejects a statement, and now and then its transaction with it.
+func (c *fakeConn) busyAnswer() ports.Response {
+	answer := ports.Response{Code: ports.Busy, Text: "busy", Position: c.db.position(), State: c.state()}
+	if c.broken {
+		answer.Code = ports.Malformed
+	}
+	if c.tx != "" && c.db.env.odds(2) {
+		c.broken = true
+		answer.State = ports.TransactionFailed
+	}
+	return answer
+}
+
+// finish runs an operation that had a slot, and answers it unless a fault prevents that.
+func (c *fakeConn) finish(op ports.Op) {
+	db, env := c.db, c.db.env
+	db.busy--
+	c.running = false
+	if !db.alive {
+		return
+	}
+	if expected := env.oracles[op.Statement.ID]; c.closed && expected != nil && expected.tx != "" {
+		return // its transaction is gone
+	}
+	if db.unresponsive {
+		return
+	}
+	answer := c.run(op)
+	if env.faults.loseAnswers && env.odds(150) {
+		if !env.odds(2) {
+			c.disconnect()
+			return
+		}
+		c.unresponsive = true
+	}
+	if answer.Code == neverReceived {
+		return // never ends: no replica receives it
+	}
+	c.answer(answer)
+	c.next()
+}
+
+func (c *fakeConn) state() ports.TransactionState {
+	switch {
+	case c.broken:
+		return ports.TransactionFailed
+	case c.tx != "":
+		return ports.InTransaction
+	}
+	return ports.Idle
+}
+
+// answer sends an answer to the node, in order.
+func (c *fakeConn) answer(answer ports.Response) {
+	env := c.db.env
+	if c.unresponsive || c.closed {
+		return
+	}
+	env.after(env.inOrder(&c.outAt), func() {
+		if !c.closed && env.connections[c.id] == c {
+			env.step(AnswerReceived{Conn: c.id, Answer: answer})
+		}
+	})
+}
+
+// run runs an operation at the database.
+func (c *fakeConn) run(op ports.Op) ports.Response {
+	switch {
+	case op.Internal:
+		return c.runInternal(op)
+	case c.broken:
+		return c.runFailed(op)
+	}
+	expected := c.db.env.oracles[op.Statement.ID]
+	if expected == nil {
+		c.db.env.fatal("a statement runs that nobody sent: %s", op.Statement.ID)
+	}
+	if op.After.Known() && !c.db.has(op.After) {
+		return c.failed(op, ports.Lagging)
+	}
+	if op.Statement.Kind == ports.Begin || op.Statement.Kind == ports.BeginRead {
+		return c.runBegin(op)
+	}
+	return c.runStatement(op, expected)
+}
+
+// done is the answer to an operation that succeeded.
+func (c *fakeConn) done(op ports.Op, stamped bool) ports.Response {
+	return ports.Response{Stamped: stamped, Body: []byte(op.Statement.ID), State: c.state(), Position: c.db.position()}
+}
+
+// failed is the answer to an operation that failed. It breaks the transaction.
+func (c *fakeConn) failed(op ports.Op, code ports.Code) ports.Response {
+	begins := op.Statement.Kind == ports.Begin || op.Statement.Kind == ports.BeginRead
+	if c.tx != "" || begins && c.db.env.faults.brokenBegin {
+		c.broken = true
+	}
+	return ports.Response{Code: code, Text: "no", Body: []byte(op.Statement.ID), State: c.state(), Position: c.db.position()}
+}
+
+// runInternal runs an operation of the node's own.
+func (c *fakeConn) runInternal(op ports.Op) ports.Response {
+	statement := op.Statement
+	switch statement.Kind {
+	case ports.Reset:
+		c.values, c.prepared = map[string]string{}, map[string]shapeKey{}
+	case ports.SetValue:
+		c.values[statement.Name] = statement.Text
+	case ports.Prepare:
+		c.prepared[statement.Name] = shapeKey{statement.Writes, statement.Text}
+	case ports.Rollback:
+		c.rollback()
+	default:
+		c.db.env.fatal("internal operation %d", statement.Kind)
+	}
+	return c.done(op, false)
+}
+
+func (c *fakeConn) rollback() {
+	c.tx, c.writes, c.broken = "", nil, false
+	if c.db.env.faults.rollbackRestoresValues && c.before != nil {
+		c.values = c.before
+	}
+	c.before = nil
+}
+
+// runFailed runs a statement in a transaction that failed: only its end is accepted.
+func (c *fakeConn) runFailed(op ports.Op) ports.Response {
+	if op.Statement.Kind == ports.Commit {
+		c.rollback()
+		return ports.Response{Code: ports.RolledBack, Text: "failed before", State: ports.Idle, Position: c.db.position()}
+	}
+	return ports.Response{Code: ports.Malformed, Text: "failed before", State: ports.TransactionFailed, Position: c.db.position()}
+}
+
+// runBegin begins a transaction.
+func (c *fakeConn) runBegin(op ports.Op) ports.Response {
+	statement := op.Statement
+	if c.tx != "" {
+		c.db.env.fatal("%s begins inside %s", statement.ID, c.tx)
+	}
+	if statement.Kind == ports.Begin && c.db.term == 0 {
+		return c.failed(op, ports.ReadOnly)
+	}
+	c.tx, c.plain, c.writes, c.before = statement.ID, statement.Kind == ports.Begin, nil, maps.Clone(c.values)
+	return c.done(op, false)
+}
+
+// checkStatement checks that a statement runs with the values and as the prepared
+// statement that its caller set. It reports whether the statement writes.
+func (c *fakeConn) checkStatement(op ports.Op, expected *oracle) (writes bool) {
+	statement, env := op.Statement, c.db.env
+	if statement.Kind != ports.Commit && !maps.Equal(c.values, expected.values) {
+		env.fatal("%s runs with %v and not %v on %d", statement.ID, c.values, expected.values, c.id)
+	}
+	if statement.Kind != ports.Execute {
+		return statement.Kind == ports.Write
+	}
+	shape, known := c.prepared[op.Name]
+	if !known || shape != expected.shape {
+		env.fatal("%s runs %q as %v and not %v", statement.ID, op.Name, shape, expected.shape)
+	}
+	return shape.writes
+}
+
+// runStatement runs a read, a write or a commit.
+func (c *fakeConn) runStatement(op ports.Op, expected *oracle) ports.Response {
+	db, env := c.db, c.db.env
+	id, isCommit := op.Statement.ID, op.Statement.Kind == ports.Commit
+	if c.tx != expected.tx {
+		env.fatal("%s of transaction %q runs in %q on %d", id, expected.tx, c.tx, c.id)
+	}
+	if c.tx != "" && c.plain && db.term == 0 && !(isCommit && len(c.writes) == 0) {
+		return c.failed(op, ports.ReadOnly)
+	}
+	writes := c.checkStatement(op, expected)
+	if env.faults.loseAnswers && env.odds(200) && !isCommit {
+		return c.failed(op, ports.Failed)
+	}
+	switch {
+	case isCommit:
+		ids := c.writes
+		c.tx, c.writes, c.before = "", nil, nil
+		if len(ids) == 0 {
+			return c.done(op, true)
+		}
+		return c.commit(op, ids)
+	case writes && c.tx != "":
+		if !c.plain {
+			return c.failed(op, ports.ReadOnly)
+		}
+		c.writes = append(c.writes, id)
+		return c.done(op, true)
+	case writes:
+		if db.term == 0 {
+			return c.failed(op, ports.ReadOnly)
+		}
+		return c.commit(op, []string{id})
+	}
+	env.checkFreshness(db, id, expected)
+	return c.done(op, true)
+}
+
+// commit keeps writes. It is acknowledged if a follower received it.
+func (c *fakeConn) commit(op ports.Op, ids []string) ports.Response {
+	db, env := c.db, c.db.env
+	if db.term == 0 {
+		return ports.Response{Code: ports.ReadOnly, Text: "no", State: c.state(), Position: db.position()}
+	}
+	if !db.append(ids) {
+		return ports.Response{Code: neverReceived}
+	}
+	for _, id := range ids {
+		if env.oracles[id].ran++; env.oracles[id].ran > 1 || env.oracles[id].nothingCommitted {
+			env.fatal("%s takes effect twice", id)
+		}
+	}
+	return ports.Response{Stamped: true, Body: []byte(op.Statement.ID), State: c.state(), Position: db.position()}
+}
--- a/internal/sessiontable/vouched_test.go
+++ b/internal/sessiontable/routing_test.go
@@ -9,18 +9,11 @@
 	"stoneford/internal/ports"
 )
 
+// routeForTest is the routing grace of these tests in µs.
 const routeForTest = 1_500_000
 
-// expectOpened is the reply to a new session's opening.
-func (b *bench) expectOpened(session uint64, host string) ports.Reply {
-	b.t.Helper()
-	b.step(SessionOpened{Session: session, Host: host})
-	return b.reply().Reply
-}
-
-// TestUnknownNamesNeedLease: a name that a node does not know may
-// have been added since a majority last vouched for its table, so it is told to come
-// back and not that there is no such database.
+// TestUnknownNamesNeedLease: a name that a node does not know may have been added since a
+// majority last confirmed its table, so it is rejected for good only under a lease.
 func TestUnknownNamesNeedLease(t *testing.T) {
 	bench := newBench(t, Options{RoutingGrace: routeForTest * time.Microsecond})
 	if reply := bench.expectOpened(1, "added"); reply.Code != ports.DatabaseUnavailable {
@@ -45,8 +38,8 @@
 	}
 }
 
-// TestNoRoutingByOldTable: a node without a lease routes for as long as a
-// change may take to be in force, and no longer; what has begun goes on.
+// TestNoRoutingByOldTable: a node without a lease routes for as long as a change may take
+// to be in force, and no longer; what has begun goes on.
 func TestNoRoutingByOldTable(t *testing.T) {
 	for _, kind := range []ports.StatementKind{ports.Read, ports.Write, ports.Begin, ports.BeginRead} {
 		bench := newBench(t, Options{RoutingGrace: routeForTest * time.Microsecond})
@@ -91,33 +84,3 @@
 		t.Errorf("said %v", fresh)
 	}
 }
-
-// TestReturningInstanceKeepsDraining: an instance that leaves, is taken for gone for
-// a moment and is announced again does not get its time to leave anew.
-func TestReturningInstanceKeepsDraining(t *testing.T) {
-	bench := newBench(t, Options{DrainTimeout: 3 * time.Second})
-	bench.instances[1].Draining = true
-	bench.renewLease(10_000_000)
-	bench.pass(2_000_000)
-	all := slices.Clone(bench.instances)
-	bench.instances = slices.Delete(bench.instances, 1, 2)
-	bench.renewLease(10_000_000)
-	bench.pass(100_000)
-	bench.instances = all
-	bench.renewLease(10_000_000)
-	bench.pass(1_000_000)
-	if db := bench.table.databases["y"]; db == nil || !bench.table.drained(db) {
-		t.Errorf("%+v is given something new", db)
-	}
-}
-
-// TestInstanceFirstSeenDraining: a node that starts, and hears of an instance that
-// leaves, does not know since when; its time may be over already.
-func TestInstanceFirstSeenDraining(t *testing.T) {
-	bench := newBench(t, Options{DrainTimeout: 3 * time.Second})
-	bench.instances = append(bench.instances, ports.Instance{ID: "w", Group: "g", Address: "w", Zone: "a", Capacity: 4, AnnouncementNumber: 1, Draining: true})
-	bench.renewLease(10_000_000)
-	if db := bench.table.databases["w"]; db == nil || !bench.table.drained(db) {
-		t.Errorf("%+v is given something new", db)
-	}
-}
