--- a/cmd/stoneford-simulate/main.go
+++ b/cmd/stoneford-simulate/main.go
@@ -146,13 +146,13 @@
 	replicas := map[string]bool{}
 	for _, a := range answers {
 		for _, r := range a.Runs {
-			for c := range r.Copies {
+			for c := range r.Databases {
 				replicas[c] = true
 			}
 		}
 	}
 	for _, c := range slices.Sorted(maps.Keys(replicas)) {
-		row("reads on "+c+", share", func(f whatif.Figures) float64 { return f.Copies[c] })
+		row("reads on "+c+", share", func(f whatif.Figures) float64 { return f.Databases[c] })
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/emulator/callers/callers.go
+++ b/emulator/callers/callers.go
@@ -370,8 +370,8 @@
 	t0 := nowUs()
 	for n := 1; ; n++ {
 		tag := s.tag()
-		ask, seen := s.current()
-		steps := []query{{Class: s.class("current"), Begin: true, Statements: statements(ask, "value mark")}}
+		call, seen := s.current()
+		steps := []query{{Class: s.class("current"), Begin: true, Statements: statements(call, "value mark")}}
 		rows := []string{checker.OwnRow(s.name)}
 		for range 1 + s.random.IntN(1+s.random.IntN(10)) {
 			key := strconv.Itoa(s.random.IntN(50))
@@ -379,7 +379,7 @@
 			steps = append(steps, query{Class: s.class("current"), Statements: []querytable.Statement{{Text: "add stock ? -1", Params: []string{key}}, {Prepared: "mine"}}})
 		}
 		steps = append(steps, query{Class: s.class("current"), Commit: true, Statements: statements("add ledger "+tag+" 1", "add own "+s.name+" 1")})
-		mark := s.ownValue
+		value := s.ownValue
 		var v reply
 		ok := true
 		for i, q := range steps {
@@ -394,7 +394,7 @@
 				return
 			}
 			if i == 0 {
-				mark = s.ownValue
+				value = s.ownValue
 			}
 			if v.Outcome != result.Done || i == len(steps)-1 {
 				break
@@ -402,8 +402,8 @@
 			if i == 0 {
 				s.received(checker.Current, v, seen)
 			}
-			if len(v.Rows) != 2 || v.Rows[1][0][0] != mark {
-				s.runner.Checker.RecordViolation("%s: step %d of a transaction showed the values of another: %v, not %s", s.route, i, v.Rows, mark)
+			if len(v.Rows) != 2 || v.Rows[1][0][0] != value {
+				s.runner.Checker.RecordViolation("%s: step %d of a transaction showed the values of another: %v, not %s", s.route, i, v.Rows, value)
 			}
 		}
 		s.recordWrite(tag, v.Outcome, rows...)
@@ -432,8 +432,8 @@
 }
 
 func (s *session) read(ctx context.Context, kind string, q query) {
-	ask, seen := s.current()
-	q.Statements = statements(ask)
+	call, seen := s.current()
+	q.Statements = statements(call)
 	v, ok := s.call(ctx, kind, q)
 	if ok && v.Outcome == result.Done {
 		s.received(kind, v, seen)
--- a/emulator/databasereplica/copy.go
+++ b/emulator/databasereplica/copy.go
@@ -47,7 +47,7 @@
 	Received  int64  `json:"received"`
 	Applied   int64  `json:"applied"`
 	Following string `json:"following,omitempty"`
-	Leaving   bool   `json:"leaving"`
+	Draining  bool   `json:"leaving"`
 	Health    string `json:"health"`
 }
 
@@ -138,7 +138,7 @@
 // Status tells all of itself.
 func (c *Replica) Status() Status {
 	return Status{Database: c.Name, Identity: c.Identity, Role: c.role(), Epoch: c.Epoch, LogEpoch: c.LogEpoch(),
-		Received: c.Received(), Applied: c.applied, Following: c.Following, Leaving: c.Draining, Health: "ok"}
+		Received: c.Received(), Applied: c.applied, Following: c.Following, Draining: c.Draining, Health: "ok"}
 }
 
 // Seal makes the copy take no log and no statement of a lower epoch.
--- a/emulator/databasereplica/stored_test.go
+++ b/emulator/databasereplica/stored_test.go
@@ -12,9 +12,9 @@
 // written again: see testdata/README.md.
 var record = flag.Bool("record", false, "write the fixtures under testdata that are missing")
 
-// recordCopy has a copy follow, take commits, lose one to the next primary, and be
+// recordReplica has a copy follow, take commits, lose one to the next primary, and be
 // promoted.
-func recordCopy(t *testing.T, folder string) {
+func recordReplica(t *testing.T, folder string) {
 	t.Helper()
 	s, err := NewServer("orders-a", "identity-1", folder, 10, nil, Faults{})
 	if err != nil {
@@ -53,12 +53,12 @@
 	}
 }
 
-// TestStoredCopy: a folder that earlier code wrote is read whole: whom the copy
+// TestStoredReplica: a folder that earlier code wrote is read whole: whom the copy
 // followed, its epoch and identity, each commit, and that one was cut off.
-func TestStoredCopy(t *testing.T) {
+func TestStoredReplica(t *testing.T) {
 	fixture := filepath.Join("testdata", "copy")
 	if _, err := os.Stat(fixture); *record && os.IsNotExist(err) {
-		recordCopy(t, fixture)
+		recordReplica(t, fixture)
 	}
 	folder := filepath.Join(t.TempDir(), "copy")
 	if err := os.CopyFS(folder, os.DirFS(fixture)); err != nil {
--- a/emulator/fleet/faults.go
+++ b/emulator/fleet/faults.go
@@ -317,26 +317,26 @@
 
 // rewrite changes a boot file in place, as an operator's editor may.
 func rewrite(file string, how int64) error {
-	whole, err := os.ReadFile(file + ".whole")
+	complete, err := os.ReadFile(file + ".whole")
 	if errors.Is(err, os.ErrNotExist) {
-		if whole, err = os.ReadFile(file); err == nil {
-			err = os.WriteFile(file+".whole", whole, 0o644)
+		if complete, err = os.ReadFile(file); err == nil {
+			err = os.WriteFile(file+".whole", complete, 0o644)
 		}
 	}
 	if err != nil {
 		return err
 	}
 	m := map[string]any{}
-	if err := json.Unmarshal(whole, &m); err != nil {
+	if err := json.Unmarshal(complete, &m); err != nil {
 		return err
 	}
-	out := whole
+	out := complete
 	switch how {
 	case 0:
 		m["log_level"] = "debug"
 		out, err = json.Marshal(m)
 	case 1:
-		out = whole[:len(whole)/2]
+		out = complete[:len(complete)/2]
 	case 2:
 		m["log_level"] = "loud"
 		out, err = json.Marshal(m)
--- a/emulator/fleetsimulation/announcements.go
+++ b/emulator/fleetsimulation/announcements.go
@@ -64,7 +64,7 @@
 	}
 	f.callControl(d.ip, d.target, func(c *Control, id uint64) { c.announce(id, i) }, func(v any) { a, _ := v.(announced); end(bool(a)) })
 	f.After(1_000_000, func() { end(false) })
-	if f.Chance(f.lateCallShare) {
+	if f.Chance(f.lateCallProbability) {
 		// The same word once more, late.
 		c, at := d.target, f.Between(300_000, 3_000_000)
 		f.After(at, func() {
--- a/emulator/fleetsimulation/behaviour_test.go
+++ b/emulator/fleetsimulation/behaviour_test.go
@@ -66,7 +66,7 @@
 	a := faulty(p, 1_800_000)
 	p.Observe = behaviourhash.New()
 	b := faulty(p, 1_800_000)
-	if strings.Join(a.Log, "\n") != strings.Join(b.Log, "\n") || a.Now != b.Now || a.sequence != b.sequence || a.Random.Uint64() != b.Random.Uint64() {
-		t.Errorf("%d and %d events, until %d and %d", a.sequence, b.sequence, a.Now, b.Now)
+	if strings.Join(a.Log, "\n") != strings.Join(b.Log, "\n") || a.Now != b.Now || a.Scheduled() != b.Scheduled() || a.Random.Uint64() != b.Random.Uint64() {
+		t.Errorf("%d and %d events, until %d and %d", a.Scheduled(), b.Scheduled(), a.Now, b.Now)
 	}
 }
--- a/emulator/fleetsimulation/callers.go
+++ b/emulator/fleetsimulation/callers.go
@@ -11,16 +11,16 @@
 
 // callerRoute is one route as callers know it.
 type callerRoute struct {
-	name             string
-	host             string
-	group            string
-	kind             ports.ReadClass
-	deadlineUs       int64
-	latencyTargetUs  int64
-	stalenessUs      int64
-	patienceUs       int64 // how long a caller goes on with one operation
-	writeShare       float64
-	transactionShare float64
+	name                   string
+	host                   string
+	group                  string
+	kind                   ports.ReadClass
+	deadlineUs             int64
+	latencyTargetUs        int64
+	stalenessUs            int64
+	patienceUs             int64 // how long a caller goes on with one operation
+	writeProbability       float64
+	transactionProbability float64
 }
 
 // Session is one caller's session, at its caller's side.
@@ -157,9 +157,9 @@
 		}
 		return plannedStatement{kind: ports.Write, text: c.text() + " new", writes: true}
 	}
-	if !f.Chance(c.route.transactionShare) {
+	if !f.Chance(c.route.transactionProbability) {
 		p := read()
-		if f.Chance(c.route.writeShare) {
+		if f.Chance(c.route.writeProbability) {
 			p = write()
 		}
 		o.plan = []plannedStatement{p}
--- a/emulator/fleetsimulation/controls.go
+++ b/emulator/fleetsimulation/controls.go
@@ -308,12 +308,12 @@
 
 // provider is the platform's own calls.
 type provider struct {
-	ip             string
-	responseUs     int64
-	rejectShare    float64
-	lostReplyShare float64
-	takeoverUs     int64 // how long a change of primary takes
-	calls          int
+	ip                   string
+	responseUs           int64
+	rejectProbability    float64
+	lostReplyProbability float64
+	takeoverUs           int64 // how long a change of primary takes
+	calls                int
 }
 
 const providerHost = "10.200.0.160"
@@ -346,13 +346,13 @@
 		}
 		p.calls++
 		f.primaryRoles.called(c, d, gen, until)
-		if f.Chance(p.rejectShare) {
+		if f.Chance(p.rejectProbability) {
 			f.network.carry(p.ip, c.ip, func() { end(false, false) })
 			return
 		}
 		f.After(p.responseUs, func() {
 			back := func(ok, gone bool) {
-				if !f.Chance(p.lostReplyShare) {
+				if !f.Chance(p.lostReplyProbability) {
 					f.network.carry(p.ip, c.ip, func() { end(ok, gone) })
 				}
 			}
--- a/emulator/fleetsimulation/core_test.go
+++ b/emulator/fleetsimulation/core_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"sync"
 	"testing"
+
+	"stoneford/emulator/seedtest"
 )
 
 // sixPlan is a fleet with six control processes, of which five vote and two may be
@@ -65,13 +67,10 @@
 // lost. Nothing that was acknowledged is lost or shown older, and what is in touch
 // works by it in time.
 func TestOverlappingLosses(t *testing.T) {
-	n := uint64(12 / slower)
-	if *seeds > 0 {
-		n = *seeds
-	}
+	n := seedtest.Count(12 / slower)
 	changes := 0
 	var mu sync.Mutex
-	runSeeds(n, *from, func(seed uint64) {
+	runSeeds(n, seedtest.First(), func(seed uint64) {
 		f := overlapped(sixPlan(seed))
 		mu.Lock()
 		defer mu.Unlock()
--- a/emulator/fleetsimulation/databases.go
+++ b/emulator/fleetsimulation/databases.go
@@ -49,9 +49,9 @@
 	syncWaits                []syncWait
 	reachesNewPrimarySinceUs int64 // since when it reaches one that was promoted above it
 	truncatingUntilUs        int64 // busy until, after it was cut back
-	lostReplyShare           float64
+	lostReplyProbability     float64
 	lostReplyKind            int
-	failedStatementShare     float64
+	failureProbability       float64
 	extraServiceUs           int64
 	draining                 bool
 	drainAcknowledgedUs      int64 // when its leaving was acknowledged, 0 if it was not
@@ -213,7 +213,7 @@
 func (d *Database) stepDownForDraining() {
 	f := d.fleet
 	p := d.group.primary
-	if p == nil || p == d || p.term <= d.term || !p.up || !f.network.bothWays(d.ip, p.ip) {
+	if p == nil || p == d || p.term <= d.term || !p.up || !f.network.connected(d.ip, p.ip) {
 		d.reachesNewPrimarySinceUs = 0
 		return
 	}
@@ -248,12 +248,12 @@
 func (d *Database) offer(o *Database) {
 	f := d.fleet
 	log, term, gen, from := d.log[:len(d.log):len(d.log)], d.term, o.generation, d.generation
-	if !f.network.bothWays(d.ip, o.ip) {
+	if !f.network.connected(d.ip, o.ip) {
 		return
 	}
 	d.pushedPositions[o.id] = f.Now
 	f.network.arrive(d.ip, o.ip, f.network.delay(d.ip, o.ip), func() {
-		if !o.up || o.generation != gen || o.ended || !f.network.bothWays(d.ip, o.ip) {
+		if !o.up || o.generation != gen || o.ended || !f.network.connected(d.ip, o.ip) {
 			return
 		}
 		if !o.receive(log, term) {
@@ -261,7 +261,7 @@
 		}
 		n := len(log)
 		f.network.arrive(o.ip, d.ip, f.network.delay(o.ip, d.ip), func() {
-			if d.up && d.generation == from && d.primary && d.term == term && f.network.bothWays(d.ip, o.ip) {
+			if d.up && d.generation == from && d.primary && d.term == term && f.network.connected(d.ip, o.ip) {
 				d.receivedByReplica[o.id] = max(d.receivedByReplica[o.id], n)
 				d.confirm()
 			}
--- a/emulator/fleetsimulation/duties_test.go
+++ b/emulator/fleetsimulation/duties_test.go
@@ -5,6 +5,7 @@
 	"sync"
 	"testing"
 
+	"stoneford/emulator/seedtest"
 	"stoneford/internal/learner"
 	"stoneford/internal/ports"
 	"stoneford/schema"
@@ -38,7 +39,7 @@
 	var mu sync.Mutex
 	worst, sum := int64(0), int64(0)
 	const n = 24
-	runSeeds(n, *from, func(seed uint64) {
+	runSeeds(n, seedtest.First(), func(seed uint64) {
 		f := busyFleet(plan(seed))
 		g := f.groups[f.Random.IntN(len(f.groups))]
 		d, c, at := g.primary, f.owner(g), f.Now
@@ -76,7 +77,7 @@
 func TestRoleOwnerUnderFaults(t *testing.T) {
 	var mu sync.Mutex
 	calls, commands, late, promotions := 0, 0, 0, 0
-	runSeeds(ownerSeeds, *from, func(seed uint64) {
+	runSeeds(ownerSeeds, seedtest.First(), func(seed uint64) {
 		f := busyFleet(plan(seed))
 		for round := range uint64(3) {
 			g := f.groups[f.Random.IntN(len(f.groups))]
--- a/emulator/fleetsimulation/faults.go
+++ b/emulator/fleetsimulation/faults.go
@@ -15,8 +15,8 @@
 		}
 	}
 	clear(f.network.lossy)
-	f.duplicateShare, f.loadFactor = 0, 1
-	f.provider.rejectShare, f.provider.lostReplyShare, f.provider.responseUs = 0, 0, 5_000
+	f.duplicateProbability, f.loadFactor = 0, 1
+	f.provider.rejectProbability, f.provider.lostReplyProbability, f.provider.responseUs = 0, 0, 5_000
 	for _, c := range f.controls {
 		if !c.up {
 			f.startControl(c)
@@ -33,7 +33,7 @@
 	}
 	for _, g := range f.groups {
 		for _, d := range g.databases {
-			d.receivesNothing, d.lagFactor, d.lostReplyShare, d.failedStatementShare, d.extraServiceUs = false, 1, 0, 0, 0
+			d.receivesNothing, d.lagFactor, d.lostReplyProbability, d.failureProbability, d.extraServiceUs = false, 1, 0, 0, 0
 			if !d.up && !d.ended {
 				d.start()
 			}
@@ -244,8 +244,8 @@
 		return true
 	}},
 	{"envelopes late and twice", func(f *Fleet) bool {
-		f.duplicateShare = 0.1
-		f.later(1_000_000, 5_000_000, func() { f.duplicateShare = 0 })
+		f.duplicateProbability = 0.1
+		f.later(1_000_000, 5_000_000, func() { f.duplicateProbability = 0 })
 		return true
 	}},
 	{"primary crashes", func(f *Fleet) bool {
@@ -382,15 +382,15 @@
 		if f.Chance(0.4) {
 			d = g.databases[f.Random.IntN(len(g.databases))]
 		}
-		d.lostReplyShare, d.lostReplyKind = 0.02+f.Random.Float64()*0.2, f.Random.IntN(2)
-		f.later(1_000_000, 5_000_000, func() { d.lostReplyShare = 0 })
+		d.lostReplyProbability, d.lostReplyKind = 0.02+f.Random.Float64()*0.2, f.Random.IntN(2)
+		f.later(1_000_000, 5_000_000, func() { d.lostReplyProbability = 0 })
 		return true
 	}},
 	{"statements fail", func(f *Fleet) bool {
 		g := f.groups[f.Random.IntN(len(f.groups))]
 		d := g.databases[f.Random.IntN(len(g.databases))]
-		d.failedStatementShare = 0.3
-		f.later(1_000_000, 4_000_000, func() { d.failedStatementShare = 0 })
+		d.failureProbability = 0.3
+		f.later(1_000_000, 4_000_000, func() { d.failureProbability = 0 })
 		return true
 	}},
 	{"burst", func(f *Fleet) bool {
@@ -490,8 +490,8 @@
 		return true
 	}},
 	{"platform bounces", func(f *Fleet) bool {
-		f.provider.rejectShare, f.provider.lostReplyShare = f.Random.Float64(), f.Random.Float64()*0.5
-		f.later(1_000_000, 5_000_000, func() { f.provider.rejectShare, f.provider.lostReplyShare = 0, 0 })
+		f.provider.rejectProbability, f.provider.lostReplyProbability = f.Random.Float64(), f.Random.Float64()*0.5
+		f.later(1_000_000, 5_000_000, func() { f.provider.rejectProbability, f.provider.lostReplyProbability = 0, 0 })
 		return true
 	}},
 	{"all processes killed", func(f *Fleet) bool {
--- a/emulator/fleetsimulation/fleet.go
+++ b/emulator/fleetsimulation/fleet.go
@@ -40,16 +40,16 @@
 
 // Plan is what a world is made of.
 type Plan struct {
-	Seed             uint64
-	Nodes            int
-	Controls         int // three, if it is 0
-	Groups           int
-	Callers          int
-	CallerIntervalUs int64
-	ConflictShare    float64 // share of writes that a database rolls back by itself
-	ClockRateSpread  float64 // clocks' rates differ from the true one by so much at most
-	Options          sessiontable.Options
-	Mutation         Mutation
+	Seed                uint64
+	Nodes               int
+	Controls            int // three, if it is 0
+	Groups              int
+	Callers             int
+	CallerIntervalUs    int64
+	ConflictProbability float64 // share of writes that a database rolls back by itself
+	ClockRateSpread     float64 // clocks' rates differ from the true one by so much at most
+	Options             sessiontable.Options
+	Mutation            Mutation
 	// BusyAsConnectionRefused has control processes' edges tell of a bounced question as
 	// of a refused connection.
 	BusyAsConnectionRefused bool
@@ -65,7 +65,7 @@
 
 // Fleet is one world.
 type Fleet struct {
-	*Scheduler
+	scheduler
 	Plan          Plan
 	Log           []string
 	Quiet         bool
@@ -89,8 +89,8 @@
 	sessionIDs    uint64
 	databaseCount int
 
-	duplicateShare                       float64
-	lateCallShare                        float64
+	duplicateProbability                 float64
+	lateCallProbability                  float64
 	loadFactor                           float64
 	promotionUnfreezesGroup              bool // a promotion ends the holds of the whole group
 	failedBeginBreaksConnection          bool // a beginning that fails leaves its connection broken
@@ -117,9 +117,9 @@
 
 // NewFleet makes a world and starts all that is in it.
 func NewFleet(p Plan) *Fleet {
-	f := &Fleet{Scheduler: NewScheduler(p.Seed), Plan: p, controlAt: map[string]*Control{}, nodeAt: map[string]*Node{}, databaseAt: map[string]*Database{}, databases: map[string]*Database{},
-		loadFactor: 1, lateCallShare: 0.02, lastOperationUs: 1 << 62, calmFromUs: 1 << 62, successesByGroup: map[string]int{}, faultCounts: map[string]int{}}
-	f.network = newNetwork(f.Scheduler)
+	f := &Fleet{scheduler: newScheduler(p.Seed), Plan: p, controlAt: map[string]*Control{}, nodeAt: map[string]*Node{}, databaseAt: map[string]*Database{}, databases: map[string]*Database{},
+		loadFactor: 1, lateCallProbability: 0.02, lastOperationUs: 1 << 62, calmFromUs: 1 << 62, successesByGroup: map[string]int{}, faultCounts: map[string]int{}}
+	f.network = newNetwork(f.scheduler)
 	f.oracle = newOracle(f)
 	f.operators = operators{fleet: f, tables: map[uint64]*version{}}
 	f.moves = newMoves(f)
@@ -152,9 +152,9 @@
 			}
 		}
 		f.routes = append(f.routes,
-			&callerRoute{name: "current-" + g.name, host: "cur" + g.name, group: g.name, kind: ports.CurrentRead, deadlineUs: 800_000, latencyTargetUs: 300_000, patienceUs: 2_000_000, writeShare: 0.2, transactionShare: 0.5},
-			&callerRoute{name: "bounded-" + g.name, host: "bnd" + g.name, group: g.name, kind: ports.BoundedStaleness, deadlineUs: 2_000_000, latencyTargetUs: 600_000, patienceUs: 3_000_000, transactionShare: 0.1, stalenessUs: 1_500_000},
-			&callerRoute{name: "pinned-" + g.name, host: "pin" + g.name, group: g.name, kind: ports.ReadYourWrites, deadlineUs: 800_000, latencyTargetUs: 300_000, patienceUs: 2_000_000, writeShare: 0.2, transactionShare: 0.15, stalenessUs: 2_500_000})
+			&callerRoute{name: "current-" + g.name, host: "cur" + g.name, group: g.name, kind: ports.CurrentRead, deadlineUs: 800_000, latencyTargetUs: 300_000, patienceUs: 2_000_000, writeProbability: 0.2, transactionProbability: 0.5},
+			&callerRoute{name: "bounded-" + g.name, host: "bnd" + g.name, group: g.name, kind: ports.BoundedStaleness, deadlineUs: 2_000_000, latencyTargetUs: 600_000, patienceUs: 3_000_000, transactionProbability: 0.1, stalenessUs: 1_500_000},
+			&callerRoute{name: "pinned-" + g.name, host: "pin" + g.name, group: g.name, kind: ports.ReadYourWrites, deadlineUs: 800_000, latencyTargetUs: 300_000, patienceUs: 2_000_000, writeProbability: 0.2, transactionProbability: 0.15, stalenessUs: 2_500_000})
 	}
 	for i := range cmp.Or(p.Controls, 3) {
 		ip := fmt.Sprintf("10.%d.%d.1", i%3+1, i/3)
@@ -254,7 +254,7 @@
 	f.operators.readBack(contactTimeoutUs)
 	f.Run(f.Now + contactTimeoutUs + 100_000)
 	f.oracle.finish()
-	if f.calmOperations > 0 && float64(f.calmSuccesses) < minCalmSuccessShare*float64(f.calmOperations) {
+	if f.calmOperations > 0 && float64(f.calmSuccesses) < minCalmSuccessRatio*float64(f.calmOperations) {
 		f.oracle.violation("LIVE: %d of %d operations were served once all was calm: %v", f.calmSuccesses, f.calmOperations, f.failedOperations)
 	}
 	for _, g := range f.groups {
--- a/emulator/fleetsimulation/fleet_test.go
+++ b/emulator/fleetsimulation/fleet_test.go
@@ -1,20 +1,15 @@
 package fleetsimulation
 
 import (
-	"flag"
 	"strings"
 	"sync"
 	"testing"
-)
 
-var (
-	seeds = flag.Uint64("seeds", 0, "how many seeds of the whole fleet to run (default: CI's)")
-	from  = flag.Uint64("from", 0, "first seed")
-	tell  = flag.Bool("tell", false, "print what happened in each seed")
+	"stoneford/emulator/seedtest"
 )
 
 func plan(seed uint64) Plan {
-	return Plan{Seed: seed, Nodes: 4 + int(seed%8), Groups: 2 + int(seed%2), Callers: 36, CallerIntervalUs: 150_000, ConflictShare: 0.002, ClockRateSpread: 0.04}
+	return Plan{Seed: seed, Nodes: 4 + int(seed%8), Groups: 2 + int(seed%2), Callers: 36, CallerIntervalUs: 150_000, ConflictProbability: 0.002, ClockRateSpread: 0.04}
 }
 
 // told fails the test with what broke, and prints the run if that is wanted.
@@ -23,9 +18,7 @@
 	if len(f.Violations()) > 0 {
 		t.Errorf("seed %d:\n%s", f.Plan.Seed, strings.Join(f.Violations(), "\n"))
 	}
-	if *tell {
-		t.Logf("seed %d:\n%s", f.Plan.Seed, strings.Join(f.Log, "\n"))
-	}
+	seedtest.PrintLog(t, f.Plan.Seed, f.Log)
 }
 
 // TestQuietFleet: without faults everything is served.
@@ -51,34 +44,16 @@
 	return f
 }
 
-// runSeeds runs seeds on a few threads; every seed is its own world.
-func runSeeds(n, first uint64, do func(seed uint64)) {
-	var wg sync.WaitGroup
-	ch := make(chan uint64)
-	for range 6 {
-		wg.Go(func() {
-			for s := range ch {
-				do(s)
-			}
-		})
-	}
-	for s := first; s < first+n; s++ {
-		ch <- s
-	}
-	close(ch)
-	wg.Wait()
-}
+// runSeeds runs seeds in parallel; every seed is a simulated fleet of its own.
+func runSeeds(n, first uint64, run func(seed uint64)) { seedtest.Run(6, n, first, run) }
 
 // TestFleetUnderFaults: nothing that must never happen happens, whatever faults
 // the seeds bring about within what has to be borne.
 func TestFleetUnderFaults(t *testing.T) {
-	n := uint64(60)
-	if *seeds > 0 {
-		n = *seeds
-	}
+	n := seedtest.Count(60)
 	var mu sync.Mutex
 	ops, ok, acknowledged, promotions := 0, 0, 0, 0
-	runSeeds(n, *from, func(seed uint64) {
+	runSeeds(n, seedtest.First(), func(seed uint64) {
 		f := faulty(plan(seed), 1_800_000)
 		mu.Lock()
 		defer mu.Unlock()
@@ -93,10 +68,7 @@
 	for i, k := range faults {
 		t.Run(strings.ReplaceAll(k.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			n, first := uint64(1), *from
-			if *seeds > 0 {
-				n = *seeds
-			}
+			n, first := seedtest.Count(1), seedtest.First()
 			for seed := first; seed < first+n; seed++ {
 				f := faulty(plan(uint64(i)*1000+seed), 1_500_000, k.name)
 				if f.faultCounts[k.name] == 0 {
--- a/emulator/fleetsimulation/leaves_test.go
+++ b/emulator/fleetsimulation/leaves_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"sync"
 	"testing"
+
+	"stoneford/emulator/seedtest"
 )
 
 const drainingSeeds = uint64(30)
@@ -30,7 +32,7 @@
 	t.Helper()
 	var mu sync.Mutex
 	acknowledged, promotions := 0, 0
-	runSeeds(drainingSeeds, *from, func(seed uint64) {
+	runSeeds(drainingSeeds, seedtest.First(), func(seed uint64) {
 		f := busyFleet(plan(seed))
 		g := f.groups[f.Random.IntN(len(f.groups))]
 		what(f, g, f.followers(g))
@@ -116,7 +118,7 @@
 // was acknowledged and stands nowhere else.
 func TestLastUpToDateReplicaDrains(t *testing.T) {
 	var mu sync.Mutex
-	runSeeds(drainingSeeds, *from, func(seed uint64) {
+	runSeeds(drainingSeeds, seedtest.First(), func(seed uint64) {
 		f := lastUpToDateReplica(plan(seed))
 		mu.Lock()
 		defer mu.Unlock()
@@ -129,7 +131,7 @@
 func TestMutationDrainingReplicasReceive(t *testing.T) {
 	var mu sync.Mutex
 	red := uint64(0)
-	runSeeds(drainingSeeds, *from, func(seed uint64) {
+	runSeeds(drainingSeeds, seedtest.First(), func(seed uint64) {
 		p := plan(seed)
 		p.Mutation = DrainingReplicasReceive
 		f := lastUpToDateReplica(p)
--- a/emulator/fleetsimulation/moves_test.go
+++ b/emulator/fleetsimulation/moves_test.go
@@ -6,6 +6,7 @@
 	"sync"
 	"testing"
 
+	"stoneford/emulator/seedtest"
 	"stoneford/internal/ports"
 )
 
@@ -86,14 +87,11 @@
 
 // TestMovesUnderFaults: nothing that must never happen happens.
 func TestMovesUnderFaults(t *testing.T) {
-	n := uint64(40)
-	if *seeds > 0 {
-		n = *seeds
-	}
+	n := seedtest.Count(40)
 	var mu sync.Mutex
 	ops, ok, acknowledged, requested := 0, 0, 0, 0
 	seen := map[ports.MovePhase]int{}
-	runSeeds(n, *from, func(seed uint64) {
+	runSeeds(n, seedtest.First(), func(seed uint64) {
 		f := moving(plan(seed), 2_500_000)
 		mu.Lock()
 		defer mu.Unlock()
--- a/emulator/fleetsimulation/network.go
+++ b/emulator/fleetsimulation/network.go
@@ -8,7 +8,7 @@
 // network carries whatever goes between hosts. Ways are ordered, as TCP's are;
 // a way that is cut holds what was put on it until it is mended.
 type network struct {
-	scheduler     *Scheduler
+	scheduler     scheduler
 	zones         map[string]string  // of each host
 	lossy         map[string]float64 // by zone: share of what is lost at the first sending
 	partitions    map[[2]string]int
@@ -29,15 +29,15 @@
 	toCallerDelayUs  = 1_000
 )
 
-func newNetwork(w *Scheduler) *network {
+func newNetwork(w scheduler) *network {
 	return &network{scheduler: w, zones: map[string]string{}, lossy: map[string]float64{}, partitions: map[[2]string]int{}, lastArrivalUs: map[[2]string]int64{}, lastFaultUs: map[string]int64{}}
 }
 
 // reaches says whether one direction works.
 func (n *network) reaches(from, to string) bool { return n.partitions[[2]string{from, to}] == 0 }
 
-// bothWays says whether both directions work.
-func (n *network) bothWays(a, b string) bool { return n.reaches(a, b) && n.reaches(b, a) }
+// connected says whether both directions work.
+func (n *network) connected(a, b string) bool { return n.reaches(a, b) && n.reaches(b, a) }
 
 // partition breaks one direction once more; mend takes one such cut back.
 func (n *network) partition(from, to string) {
--- a/emulator/fleetsimulation/nodes.go
+++ b/emulator/fleetsimulation/nodes.go
@@ -195,10 +195,10 @@
 		}
 	case f.network.loses(from, to) && f.Chance(0.3):
 	default:
-		if f.Chance(f.duplicateShare) {
+		if f.Chance(f.duplicateProbability) {
 			f.network.carry(from, to, deliver)
 		}
-		if f.Chance(f.duplicateShare) {
+		if f.Chance(f.duplicateProbability) {
 			f.After(f.Between(10_000, 900_000), deliver) // late and out of order
 			return
 		}
@@ -323,7 +323,7 @@
 		}
 		own = append(own, o)
 	}
-	sent, taken := f.Now, false
+	sent, received := f.Now, false
 	var deliver func()
 	deliver = func() {
 		if s.database == nil || s.connection == nil {
@@ -331,7 +331,7 @@
 		}
 		switch {
 		case s.database.up && s.database.generation == s.databaseGeneration:
-			taken = true
+			received = true
 			if s.connection.open {
 				s.connection.push(own, n)
 			} else {
@@ -342,13 +342,13 @@
 				f.After(100_000, deliver)
 			}
 		default:
-			taken = true
+			received = true
 			f.network.carry(s.ip, n.ip, func() { s.lost(true, "reset") })
 		}
 	}
 	f.network.carry(n.ip, s.ip, deliver)
 	f.After(unackedBytesTimeoutUs, func() {
-		if !taken && s.atNode {
+		if !received && s.atNode {
 			s.lost(false, "timed out")
 		}
 	})
@@ -409,7 +409,7 @@
 		return !s.atNode && (s.connection == nil || !s.connection.open)
 	})
 	for _, s := range f.streams {
-		if f.network.bothWays(s.node.ip, s.ip) && (s.database == nil || s.database.up || !s.database.unresponsive) && s.node.up && s.node.generation == s.gen {
+		if f.network.connected(s.node.ip, s.ip) && (s.database == nil || s.database.up || !s.database.unresponsive) && s.node.up && s.node.generation == s.gen {
 			s.badFrom = 0
 			continue
 		}
--- a/emulator/fleetsimulation/operators.go
+++ b/emulator/fleetsimulation/operators.go
@@ -258,8 +258,8 @@
 	f := o.fleet
 	got := false
 	until := f.Now + for_
-	var ask func()
-	ask = func() {
+	var request func()
+	request = func() {
 		if got || f.Now > until {
 			return
 		}
@@ -270,9 +270,9 @@
 				o.check(r.table)
 			}
 		})
-		f.After(500_000, ask)
+		f.After(500_000, request)
 	}
-	ask()
+	request()
 	f.After(for_, func() {
 		if !got {
 			f.oracle.violation("CONFIG: the table was not read back within %d ms", for_/1000)
--- a/emulator/fleetsimulation/statements.go
+++ b/emulator/fleetsimulation/statements.go
@@ -105,7 +105,7 @@
 // reply sends an answer, unless it is to be lost.
 func (c *databaseConnection) reply(o ports.Op, a ports.Response) {
 	d := c.database
-	if !o.Internal && o.Statement.Kind != ports.Begin && o.Statement.Kind != ports.BeginRead && d.fleet.Chance(d.lostReplyShare) {
+	if !o.Internal && o.Statement.Kind != ports.Begin && o.Statement.Kind != ports.BeginRead && d.fleet.Chance(d.lostReplyProbability) {
 		if d.lostReplyKind == 0 {
 			return // never comes
 		}
@@ -145,14 +145,14 @@
 		c.execOwn(o, done)
 		return
 	}
-	truth := f.oracle.statement(statement.ID)
-	if truth == nil {
+	sent := f.oracle.statement(statement.ID)
+	if sent == nil {
 		f.oracle.violation("UNASKED: %s was sent statement %q, which no caller sent", d.id, statement.ID)
 		done(bad(ports.Malformed, "unknown"))
 		return
 	}
-	if string(statement.Raw) != truth.raw {
-		f.oracle.violation("UNASKED: %s was sent %q as %q", d.id, truth.raw, statement.Raw)
+	if string(statement.Raw) != sent.raw {
+		f.oracle.violation("UNASKED: %s was sent %q as %q", d.id, sent.raw, statement.Raw)
 	}
 	if c.state == ports.TransactionFailed {
 		if statement.Kind == ports.Commit {
@@ -181,7 +181,7 @@
 				}
 				done(bad(ports.ReadOnly, d.id))
 			default:
-				c.transaction = &databaseTransaction{begin: truth, plain: statement.Kind == ports.Begin, term: d.term}
+				c.transaction = &databaseTransaction{begin: sent, plain: statement.Kind == ports.Begin, term: d.term}
 				c.state = ports.InTransaction
 				done(ports.Response{Body: []byte("complete -")})
 			}
@@ -195,14 +195,14 @@
 				return
 			}
 			writes = sh.writes
-			f.oracle.preparedRan(d, truth, sh)
+			f.oracle.preparedRan(d, sent, sh)
 		}
 		x := c.transaction
-		if !d.work(truth.workUs, false, func() {
+		if !d.work(sent.workUs, false, func() {
 			if c.transaction != x {
 				return // rolled back meanwhile
 			}
-			c.execRun(o, truth, writes, done)
+			c.execRun(o, sent, writes, done)
 		}) {
 			done(bad(ports.Busy, "the line is full"))
 		}
@@ -211,11 +211,11 @@
 			done(bad(ports.Malformed, "no transaction"))
 			return
 		}
-		if !d.work(f.Between(500, 2_000), false, func() { c.execCommit(truth, done) }) {
+		if !d.work(f.Between(500, 2_000), false, func() { c.execCommit(sent, done) }) {
 			done(bad(ports.Busy, "the line is full"))
 		}
 	default:
-		f.oracle.violation("%s was sent %q", d.id, truth.raw)
+		f.oracle.violation("%s was sent %q", d.id, sent.raw)
 		done(bad(ports.Malformed, "not a statement"))
 	}
 }
@@ -234,14 +234,14 @@
 		return
 	}
 	f.oracle.statementRan(c, statement)
-	if f.Chance(d.failedStatementShare) {
+	if f.Chance(d.failureProbability) {
 		if writes && c.transaction == nil && f.Chance(0.5) {
 			d.append(statement, []*Statement{statement})
 		}
 		done(c.fail(ports.Failed, "it failed"))
 		return
 	}
-	if f.Chance(f.Plan.ConflictShare) {
+	if f.Chance(f.Plan.ConflictProbability) {
 		c.state = ports.Idle
 		if c.transaction != nil {
 			c.state = ports.TransactionFailed
@@ -297,7 +297,7 @@
 	}
 	f.oracle.statementRan(c, statement)
 	c.transaction, c.state = nil, ports.Idle
-	if f.Chance(f.Plan.ConflictShare) {
+	if f.Chance(f.Plan.ConflictProbability) {
 		done(bad(ports.RolledBack, "a conflict"))
 		return
 	}
--- a/emulator/fleetsimulation/storm_test.go
+++ b/emulator/fleetsimulation/storm_test.go
@@ -5,6 +5,7 @@
 	"sync"
 	"testing"
 
+	"stoneford/emulator/seedtest"
 	"stoneford/internal/ports"
 )
 
@@ -86,10 +87,10 @@
 
 // controlReturnsThenDecides has a control process away for most of a storm; once it is back
 // and had its time to catch up, another one is lost.
-func (f *Fleet) controlReturnsThenDecides(leave, back func(c *Control)) {
+func (f *Fleet) controlReturnsThenDecides(draining, back func(c *Control)) {
 	i := f.Random.IntN(3)
 	c, other := f.controls[i], f.controls[(i+1+f.Random.IntN(2))%3]
-	leave(c)
+	draining(c)
 	f.After(stormAwayUs, func() { back(c) })
 	f.After(stormAwayUs+contactTimeoutUs+f.Between(100_000, 500_000), func() {
 		f.killControl(other, true)
@@ -134,12 +135,9 @@
 	for i, k := range stormFaults {
 		t.Run(strings.ReplaceAll(k.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			n := uint64(max(2/slower, 1))
-			if *seeds > 0 {
-				n = *seeds
-			}
+			n, first := seedtest.Count(max(2/slower, 1)), seedtest.First()
 			total, least := 0, changes
-			for seed := *from; seed < *from+n; seed++ {
+			for seed := first; seed < first+n; seed++ {
 				f, acknowledged := stormed(plan(uint64(i)*1000+seed), changes, k.do)
 				told(t, f)
 				total, least = total+acknowledged, min(least, acknowledged)
--- a/emulator/fleetsimulation/truth.go
+++ b/emulator/fleetsimulation/truth.go
@@ -17,7 +17,7 @@
 	rejectTimeoutUs       = 1_500_000
 	recoveryPeriodUs      = 6_000_000
 	maxReportedViolations = 12
-	minCalmSuccessShare   = 0.97
+	minCalmSuccessRatio   = 0.97
 	// invariantCheckInterval is after how many looks at the fleet its processes' checks are asked.
 	invariantCheckInterval = 5
 )
@@ -318,7 +318,7 @@
 func (oracle *Oracle) coreState(c *Control) coreState {
 	s := coreState{up: c.up, frozen: c.frozen, draining: c.draining, startUs: c.startUs}
 	for _, o := range oracle.f.controls {
-		if o != c && !oracle.f.network.bothWays(c.ip, o.ip) {
+		if o != c && !oracle.f.network.connected(c.ip, o.ip) {
 			s.unreachable++
 		}
 	}
--- a/emulator/link/link.go
+++ b/emulator/link/link.go
@@ -18,7 +18,7 @@
 	mu          sync.Mutex
 	cond        *sync.Cond
 	partitions  map[Direction]bool
-	lossShare   float64
+	lossRatio   float64
 	connections map[net.Conn]bool
 	closed      bool
 }
@@ -130,7 +130,7 @@
 				return
 			}
 			k.mu.Lock()
-			late := k.lossShare > 0 && rand.Float64() < k.lossShare
+			late := k.lossRatio > 0 && rand.Float64() < k.lossRatio
 			k.mu.Unlock()
 			if late {
 				time.Sleep(retransmissionDelay)
@@ -171,10 +171,10 @@
 }
 
 // SetLoss has a share of what passes arrive late, as after a lost packet.
-func (k *Link) SetLoss(share float64) {
+func (k *Link) SetLoss(ratio float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lossShare = share
+	k.lossRatio = ratio
 }
 
 // Reset resets every connection now open.
--- a/emulator/run-fleet/main.go
+++ b/emulator/run-fleet/main.go
@@ -28,13 +28,13 @@
 )
 
 type figures struct {
-	Queries  int            `json:"queries"`
-	Served   float64        `json:"served_share"`
-	FirstTry float64        `json:"served_at_first_try_share"`
-	P50Us    int64          `json:"p50_us"`
-	P99Us    int64          `json:"p99_us"`
-	Codes    map[string]int `json:"codes"`
-	Copies   map[string]int `json:"copies,omitempty"`
+	Queries   int            `json:"queries"`
+	Served    float64        `json:"served_share"`
+	FirstTry  float64        `json:"served_at_first_try_share"`
+	P50Us     int64          `json:"p50_us"`
+	P99Us     int64          `json:"p99_us"`
+	Codes     map[string]int `json:"codes"`
+	Databases map[string]int `json:"copies,omitempty"`
 }
 
 type fault struct {
@@ -246,7 +246,7 @@
 		return (s.Kind == checker.Lookup || s.Kind == checker.Pinned || s.Kind == checker.Current) && s.Outcome == result.Done
 	})
 	by := lo.CountValuesBy(reads, func(s callers.Sample) string { return s.Database })
-	rep.All.Copies = by
+	rep.All.Databases = by
 	n := int(took.Seconds()) + 1
 	sent, served := make([]int, n), make([]int, n)
 	for _, s := range ss {
--- a/emulator/simulation/callers.go
+++ b/emulator/simulation/callers.go
@@ -124,9 +124,9 @@
 
 // MoveCallers has sessions go on in another zone, in the middle of what they
 // are at: those of a zone, or any so often.
-func (f *Fleet) MoveCallers(from string, share float64) {
+func (f *Fleet) MoveCallers(from string, fraction float64) {
 	for _, s := range f.sessions {
-		if (from == "" || s.zone == from) && f.Chance(share) {
+		if (from == "" || s.zone == from) && f.Chance(fraction) {
 			z := f.Plan.Zones[f.Random.IntN(len(f.Plan.Zones))]
 			s.moved, s.zone = s.zone != z, z
 		}
--- a/emulator/simulation/control_process.go
+++ b/emulator/simulation/control_process.go
@@ -45,7 +45,7 @@
 	end = func() {
 		switch {
 		case !c.up || c.generation != gen:
-		case c.paused:
+		case c.frozen:
 			c.pending = append(c.pending, end)
 		default:
 			c.unsynced = nil
@@ -83,7 +83,7 @@
 			}
 		case control.ReplaceDatabase:
 			f.After(f.Between(500, f.MaxPlatformUs), func() {
-				if f.Chance(f.PlatformFailureShare) {
+				if f.Chance(f.PlatformFailureProbability) {
 					return
 				}
 				if o := f.Databases[d.Database]; o.state.Identity == d.Identity {
@@ -94,7 +94,7 @@
 			for i, n := range f.Nodes {
 				if n.boot.Name == d.Machine {
 					f.After(f.Between(500, f.MaxPlatformUs), func() {
-						if !f.Chance(f.PlatformFailureShare) {
+						if !f.Chance(f.PlatformFailureProbability) {
 							f.StopNode(i)
 						}
 					})
@@ -144,7 +144,7 @@
 	gen := c.generation
 	back := func(err bool, s databasereplica.Status) {
 		f.toControl(c, gen, control.DatabaseReply{Group: d.Group, ID: d.ID, Failed: err, Status: sealed.Status{Identity: s.Identity, Role: s.Role,
-			Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Leaving}})
+			Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Draining}})
 	}
 	f.call(c.boot.Listen, d.Address, 500_000, func(db *Database, reply func(any)) {
 		if d.SealEpoch > 0 && f.Plan.Mutation == UnsealedTakeover {
@@ -170,7 +170,7 @@
 // platform carries a takeover out as the stand-in does.
 func (f *Fleet) platform(d control.FailoverRequest) {
 	f.After(f.Between(500, f.MaxPlatformUs), func() {
-		if f.Chance(f.PlatformFailureShare) || d.Epoch < f.platformEpochs[d.Group] || d.Epoch == f.platformEpochs[d.Group] && f.platformTargets[d.Group] != d.Target {
+		if f.Chance(f.PlatformFailureProbability) || d.Epoch < f.platformEpochs[d.Group] || d.Epoch == f.platformEpochs[d.Group] && f.platformTargets[d.Group] != d.Target {
 			return
 		}
 		f.platformEpochs[d.Group], f.platformTargets[d.Group] = d.Epoch, d.Target
--- a/emulator/simulation/databases.go
+++ b/emulator/simulation/databases.go
@@ -16,7 +16,7 @@
 	state           *databasereplica.Replica
 	up              bool
 	unresponsive    bool // takes everything and returns nothing
-	paused          bool
+	frozen          bool
 	lostResponses   int
 	extraServiceUs  int64
 	lagUs           int64
@@ -58,7 +58,7 @@
 
 func (d *Database) start() {
 	d.generation++
-	d.up, d.paused, d.unresponsive, d.waiters, d.pending, d.requestedFrom = true, false, false, nil, nil, -1
+	d.up, d.frozen, d.unresponsive, d.waiters, d.pending, d.requestedFrom = true, false, false, nil, nil, -1
 	d.serversFreeAtUs = make([]int64, max(1, d.fleet.Plan.DatabaseServers))
 	d.follow(d.generation)
 }
@@ -72,7 +72,7 @@
 	d.state = c
 }
 
-func (d *Database) responds() bool { return d.up && !d.unresponsive && !d.paused }
+func (d *Database) responds() bool { return d.up && !d.unresponsive && !d.frozen }
 
 // changed wakes who waits for a position.
 func (d *Database) changed() {
@@ -121,7 +121,7 @@
 	later = func() {
 		switch {
 		case !d.up || d.generation != g:
-		case d.paused:
+		case d.frozen:
 			d.pending = append(d.pending, later)
 		default:
 			f()
@@ -161,7 +161,7 @@
 		run = func() {
 			switch {
 			case !db.up || db.generation != gen:
-			case db.paused:
+			case db.frozen:
 				db.pending = append(db.pending, run)
 			case db.unresponsive:
 				// Taken and, for all anyone can tell, run.
@@ -194,7 +194,7 @@
 	if !d.up || d.generation != gen {
 		return
 	}
-	if d.paused {
+	if d.frozen {
 		d.pending = append(d.pending, func() { d.follow(gen) })
 		return
 	}
@@ -219,7 +219,7 @@
 			if !d.up || d.generation != gen {
 				return
 			}
-			if d.paused {
+			if d.frozen {
 				d.pending = append(d.pending, func() { d.follow(gen) })
 				return
 			}
@@ -256,7 +256,7 @@
 func (d *Database) applyTo(gen int, pos int64) {
 	switch {
 	case !d.up || d.generation != gen:
-	case d.paused:
+	case d.frozen:
 		d.pending = append(d.pending, func() { d.applyTo(gen, pos) })
 	case d.appliesNothing:
 		d.fleet.After(10_000, func() { d.applyTo(gen, pos) })
--- a/emulator/simulation/day_end.go
+++ b/emulator/simulation/day_end.go
@@ -65,7 +65,7 @@
 func (f *Fleet) ReadBack() {
 	read, cs := map[string]bool{}, []*controlProcess{}
 	for _, c := range f.Controls {
-		if c.up && !c.paused {
+		if c.up && !c.frozen {
 			cs = append(cs, c)
 		}
 	}
@@ -118,7 +118,7 @@
 		case 0, 1:
 			f.KillControl(ci)
 		case 2:
-			f.PauseControl(ci)
+			f.FreezeControl(ci)
 		case 3:
 			f.Isolate(f.Controls[ci].boot.Listen, f.Chance(0.5))
 		}
--- a/emulator/simulation/day_test.go
+++ b/emulator/simulation/day_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"stoneford/emulator/checker"
+	"stoneford/emulator/seedtest"
 	"stoneford/emulator/simulation"
 )
 
@@ -48,7 +49,7 @@
 	}
 	var mu sync.Mutex
 	queries, acked, unsure, served, moves := 0, 0, 0, 0.0, map[string]int{}
-	runSeeds(n, *from, func(seed uint64) {
+	runSeeds(n, seedtest.First(), func(seed uint64) {
 		f, v := day(seed, length, faults, change)
 		mu.Lock()
 		defer mu.Unlock()
--- a/emulator/simulation/faults.go
+++ b/emulator/simulation/faults.go
@@ -56,7 +56,7 @@
 // StopNode stops a pool node with its grace, then ends it.
 func (f *Fleet) StopNode(i int) {
 	n := f.Nodes[i]
-	if !n.up || n.paused || n.draining {
+	if !n.up || n.frozen || n.draining {
 		return
 	}
 	n.draining = true
@@ -71,7 +71,7 @@
 	g := n.generation
 	f.After(grace, func() {
 		if n.generation == g {
-			if len(n.waiters) > 0 && !n.paused {
+			if len(n.waiters) > 0 && !n.frozen {
 				f.Violation("%s stopped and dropped %d queries halfway", n.boot.Name, len(n.waiters))
 			}
 			n.up = false
@@ -79,14 +79,14 @@
 	})
 }
 
-// PauseNode freezes a pool node.
-func (f *Fleet) PauseNode(i int) { f.Nodes[i].paused = true }
+// FreezeNode freezes a pool node.
+func (f *Fleet) FreezeNode(i int) { f.Nodes[i].frozen = true }
 
 // ResumeNode lets a frozen pool node go on.
 func (f *Fleet) ResumeNode(i int) { f.Nodes[i].resume(f) }
 
-// PauseControl freezes a control process.
-func (f *Fleet) PauseControl(i int) { f.Controls[i].paused = true }
+// FreezeControl freezes a control process.
+func (f *Fleet) FreezeControl(i int) { f.Controls[i].frozen = true }
 
 // ResumeControl lets a frozen control process go on.
 func (f *Fleet) ResumeControl(i int) { f.Controls[i].resume(f) }
@@ -112,13 +112,13 @@
 	f.Databases[n].start()
 }
 
-// PauseDatabase freezes a database.
-func (f *Fleet) PauseDatabase(n string) { f.Databases[n].paused = true }
+// FreezeDatabase freezes a database.
+func (f *Fleet) FreezeDatabase(n string) { f.Databases[n].frozen = true }
 
 // ResumeDatabase lets a frozen database go on.
 func (f *Fleet) ResumeDatabase(n string) {
 	d := f.Databases[n]
-	d.paused = false
+	d.frozen = false
 	hs := d.pending
 	d.pending = nil
 	for _, h := range hs {
@@ -239,11 +239,11 @@
 // Heal mends the network and brings every process back.
 func (f *Fleet) Heal() {
 	f.Network.Repair()
-	f.Network.LossShare, f.Network.DuplicateShare, f.MaxPlatformUs, f.PlatformFailureShare = 0, 0, 5_000, 0
+	f.Network.LossProbability, f.Network.DuplicateProbability, f.MaxPlatformUs, f.PlatformFailureProbability = 0, 0, 5_000, 0
 	for i, c := range f.Controls {
 		if !c.up {
 			f.StartControl(i)
-		} else if c.paused {
+		} else if c.frozen {
 			f.ResumeControl(i)
 		}
 		c.slowUs, c.syncUs = 0, 0
@@ -251,7 +251,7 @@
 	for i, n := range f.Nodes {
 		if !n.up {
 			f.StartNode(i)
-		} else if n.paused {
+		} else if n.frozen {
 			f.ResumeNode(i)
 		}
 		n.slowUs = 0
@@ -262,7 +262,7 @@
 			d.unresponsive, d.receivesNothing, d.appliesNothing, d.extraServiceUs, d.lagUs, d.lostResponses, d.state.Draining = false, false, false, 0, f.Plan.LagUs, 0, false
 			if !d.up {
 				f.StartDatabase(n)
-			} else if d.paused {
+			} else if d.frozen {
 				f.ResumeDatabase(n)
 			}
 		}
--- a/emulator/simulation/fleet.go
+++ b/emulator/simulation/fleet.go
@@ -9,36 +9,41 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/emulator/virtualtime"
 	"stoneford/internal/behaviourhash"
 	"stoneford/internal/control"
 	"stoneford/internal/settings"
 	"stoneford/schema"
 )
 
+// randomStream sets the random numbers of this simulation apart from those of
+// others with the same seed.
+const randomStream = 0x5eed
+
 // Plan is what a simulated fleet is made of and what it has to bear.
 type Plan struct {
-	Seed                      uint64
-	Partner                   string        // default pharmacies
-	Configuration             []byte        // a configuration as operators send it; without one it is made of Groups, Zones and Connections
-	MorePartners              []PartnerPlan // further partners on the same pool
-	Machines                  int
-	Groups                    []string
-	Zones                     []string
-	Connections               int32
-	Sessions                  int
-	TickIntervalUs            int64   // pause between two ticks of a group, 0 for 50 ms
-	StepIntervalUs            int64   // pause between two steps of a node that hears nothing, 0 for 10 ms
-	DayUs                     int64   // length of a day whose curve the callers follow, 0 for none
-	ThinkUs                   int64   // mean pause of a session between two things it does
-	ServiceUs                 int64   // mean time of a run
-	DatabaseServers           int     // runs a database works on at once
-	AbandonedTransactionShare float64 // share of transactions that callers leave as they are
-	LagUs                     int64   // replicas apply a commit this much late
-	Choice                    string
-	Position                  bool
-	MaxDelayUs                int64 // greatest delay of one way, 0 for 1500
-	CrossZoneDelayUs          int64 // added to each way between two zones
-	Mutation                  Mutation
+	Seed               uint64
+	Partner            string        // default pharmacies
+	Configuration      []byte        // a configuration as operators send it; without one it is made of Groups, Zones and Connections
+	MorePartners       []PartnerPlan // further partners on the same pool
+	Machines           int
+	Groups             []string
+	Zones              []string
+	Connections        int32
+	Sessions           int
+	TickIntervalUs     int64   // pause between two ticks of a group, 0 for 50 ms
+	StepIntervalUs     int64   // pause between two steps of a node that hears nothing, 0 for 10 ms
+	DayUs              int64   // length of a day whose curve the callers follow, 0 for none
+	ThinkUs            int64   // mean pause of a session between two things it does
+	ServiceUs          int64   // mean time of a run
+	DatabaseServers    int     // runs a database works on at once
+	AbandonProbability float64 // share of transactions that callers leave as they are
+	LagUs              int64   // replicas apply a commit this much late
+	Choice             string
+	Position           bool
+	MaxDelayUs         int64 // greatest delay of one way, 0 for 1500
+	CrossZoneDelayUs   int64 // added to each way between two zones
+	Mutation           Mutation
 	// Observe, where it is set, records what the cores do at their edge: envelopes,
 	// calls to databases and to the platform, and answers. It changes nothing.
 	Observe *behaviourhash.Recorder
@@ -81,7 +86,7 @@
 
 // Fleet is a whole simulated fleet.
 type Fleet struct {
-	*Scheduler
+	*virtualtime.Scheduler
 	Plan                 Plan
 	Configuration        *schema.Configuration        // all partners' together
 	owner                map[string]string            // a group's partner
@@ -105,16 +110,16 @@
 	halted               bool
 	applied              map[string]uint64 // per node and key, over restarts
 	// MaxPlatformUs is the longest the platform takes to carry out what it is asked
-	// for, PlatformFailureShare how often it does nothing.
-	MaxPlatformUs        int64
-	PlatformFailureShare float64
-	noMajorityUs         int64 // when fewer than two control processes were last plain
-	crowdCount           int
-	waiting              int                      // queries whose callers wait for a return
-	rolling              bool                     // all nodes, or all control processes, are restarted in turn
-	lastTag              map[string]string        // newest acknowledged tag by route
-	lastRead             map[string]string        // newest read by route
-	firstConfigurations  map[string]*schema.Value // of each configuration, for a plant
+	// for, PlatformFailureProbability how often it does nothing.
+	MaxPlatformUs              int64
+	PlatformFailureProbability float64
+	noMajorityUs               int64 // when fewer than two control processes were last plain
+	crowdCount                 int
+	waiting                    int                      // queries whose callers wait for a return
+	rolling                    bool                     // all nodes, or all control processes, are restarted in turn
+	lastTag                    map[string]string        // newest acknowledged tag by route
+	lastRead                   map[string]string        // newest read by route
+	firstConfigurations        map[string]*schema.Value // of each configuration, for a plant
 }
 
 // Violation notes something that must never happen.
@@ -130,7 +135,7 @@
 
 // NewFleet lays a fleet out and starts it.
 func NewFleet(p Plan) *Fleet {
-	w := NewScheduler(p.Seed)
+	w := virtualtime.NewScheduler(p.Seed, randomStream)
 	if p.Partner == "" {
 		p.Partner = "pharmacies"
 	}
--- a/emulator/simulation/fleet_test.go
+++ b/emulator/simulation/fleet_test.go
@@ -1,7 +1,6 @@
 package simulation_test
 
 import (
-	"flag"
 	"maps"
 	"slices"
 	"strings"
@@ -9,19 +8,14 @@
 	"testing"
 
 	"stoneford/emulator/checker"
+	"stoneford/emulator/seedtest"
 	"stoneford/emulator/simulation"
 	"stoneford/result"
 )
 
-var (
-	seeds  = flag.Uint64("seeds", 0, "how many seeds of the whole fleet to run (default: CI's)")
-	from   = flag.Uint64("from", 0, "first seed")
-	notify = flag.Bool("tell", false, "print what happened in each seed")
-)
-
 func plan(seed uint64) simulation.Plan {
 	return simulation.Plan{Seed: seed, Machines: 4, Groups: []string{"inventory-1"}, MorePartners: []simulation.PartnerPlan{{Partner: "lender", Groups: []string{"ledger-1"}}}, Zones: []string{"cluj", "iasi", "brasov"}, Connections: 20,
-		Sessions: 16, ThinkUs: 120_000, ServiceUs: 1_000, DatabaseServers: 8, LagUs: 5_000, AbandonedTransactionShare: 0.03}
+		Sessions: 16, ThinkUs: 120_000, ServiceUs: 1_000, DatabaseServers: 8, LagUs: 5_000, AbandonProbability: 0.03}
 }
 
 // faulty runs one seed under random faults.
@@ -38,35 +32,17 @@
 	return f, f.Finish()
 }
 
-// runSeeds runs seeds on a few threads; every seed is its own world.
-func runSeeds(n, first uint64, do func(seed uint64)) {
-	var wg sync.WaitGroup
-	ch := make(chan uint64)
-	for range 8 {
-		wg.Go(func() {
-			for s := range ch {
-				do(s)
-			}
-		})
-	}
-	for s := first; s < first+n; s++ {
-		ch <- s
-	}
-	close(ch)
-	wg.Wait()
-}
+// runSeeds runs seeds in parallel; every seed is a simulated fleet of its own.
+func runSeeds(n, first uint64, run func(seed uint64)) { seedtest.Run(8, n, first, run) }
 
 // TestFleetUnderFaults: nothing that must never happen happens, whatever
 // faults the seeds bring about within what has to be borne.
 func TestFleetUnderFaults(t *testing.T) {
-	n := uint64(32)
-	if *seeds > 0 {
-		n = *seeds
-	}
+	n := seedtest.Count(32)
 	var mu sync.Mutex
 	acked, served, all, unsure := 0, 0.0, 0, 0
 	pending, forced, moves, retry := map[result.Code][]int64{}, []int64{}, map[string]int{}, map[result.Code][]simulation.RetryAfterRejection{}
-	runSeeds(n, *from, func(seed uint64) {
+	runSeeds(n, seedtest.First(), func(seed uint64) {
 		f, v := faulty(plan(seed))
 		mu.Lock()
 		defer mu.Unlock()
@@ -85,9 +61,7 @@
 		if len(v.Violations) > 0 {
 			t.Errorf("seed %d: %d violations:\n%s", seed, len(v.Violations), strings.Join(v.Violations[:min(5, len(v.Violations))], "\n"))
 		}
-		if *notify {
-			t.Logf("seed %d:\n%s", seed, strings.Join(f.Log, "\n"))
-		}
+		seedtest.PrintLog(t, seed, f.Log)
 	})
 	t.Logf("%d seeds: %d queries, %.4f served on average, %d writes acknowledged, %d uncertain", n, all, served, acked, unsure)
 	for _, c := range slices.Sorted(maps.Keys(pending)) {
@@ -178,12 +152,12 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			share := simulation.Served(ss)
+			fraction := simulation.Served(ss)
 			if !c.planted {
-				least = min(least, share)
+				least = min(least, fraction)
 			}
-			if ok := share >= 0.25 && len(ss) > 50; ok == c.planted {
-				t.Errorf("%s, seed %d: %.3f of %d queries are served from 12 s after the return on", c.name, seed, share, len(ss))
+			if ok := fraction >= 0.25 && len(ss) > 50; ok == c.planted {
+				t.Errorf("%s, seed %d: %.3f of %d queries are served from 12 s after the return on", c.name, seed, fraction, len(ss))
 			}
 			for _, b := range v.Violations {
 				if !c.planted {
--- a/emulator/simulation/life.go
+++ b/emulator/simulation/life.go
@@ -5,7 +5,7 @@
 // processState is a process's standing; gen tells one run of it from the next.
 type processState struct {
 	up          bool
-	paused      bool
+	frozen      bool
 	generation  int
 	pending     []func() // what came while it was frozen
 	slowUs      int64    // a slow machine: each step takes so long
@@ -17,11 +17,11 @@
 
 func (l *processState) begin() {
 	l.generation++
-	l.up, l.paused, l.pending, l.slowUs, l.freeAtUs, l.queue, l.scheduled = true, false, nil, 0, 0, nil, false
+	l.up, l.frozen, l.pending, l.slowUs, l.freeAtUs, l.queue, l.scheduled = true, false, nil, 0, 0, nil, false
 }
 
 func (l *processState) resume(f *Fleet) {
-	l.paused = false
+	l.frozen = false
 	hs := l.pending
 	l.pending = nil
 	for _, h := range hs {
@@ -34,7 +34,7 @@
 func (f *Fleet) enter(l *processState, gen int, do func()) {
 	switch {
 	case !l.up || l.generation != gen:
-	case l.paused:
+	case l.frozen:
 		l.pending = append(l.pending, func() { f.enter(l, gen, do) })
 	case l.slowUs == 0 && f.Now >= l.freeAtUs && len(l.queue) == 0:
 		do()
@@ -59,7 +59,7 @@
 		switch {
 		case !l.up || l.generation != gen:
 			return
-		case l.paused:
+		case l.frozen:
 			l.pending = append(l.pending, run)
 			return
 		}
@@ -89,7 +89,7 @@
 		if !l.up || l.generation != gen {
 			return
 		}
-		if !l.paused && len(l.queue) == 0 {
+		if !l.frozen && len(l.queue) == 0 {
 			f.enter(l, gen, do)
 		}
 		f.After(every, tick)
@@ -99,7 +99,7 @@
 
 // healthy says that nothing ails a process now.
 func (f *Fleet) healthy(l *processState, b *schema.Boot) bool {
-	return l.up && !l.paused && l.slowUs == 0 && l.freeAtUs <= f.Now && !f.Network.Faulty(b.Listen)
+	return l.up && !l.frozen && l.slowUs == 0 && l.freeAtUs <= f.Now && !f.Network.Faulty(b.Listen)
 }
 
 // watchFaults notes when each process was last not plain: promises of time
--- a/emulator/simulation/moves_test.go
+++ b/emulator/simulation/moves_test.go
@@ -104,7 +104,7 @@
 		f.Join()
 		i := len(f.Nodes) - 1
 		f.Crowd(4, 6_000_000)
-		for f.Now < at+12_000_000 && !f.HoldsLease(i) {
+		for f.Now < at+12_000_000 && !f.HasLease(i) {
 			f.Run(f.Now + 50_000)
 		}
 		ready := f.Now - at
--- a/emulator/simulation/news_test.go
+++ b/emulator/simulation/news_test.go
@@ -21,7 +21,7 @@
 		f.Quiet = true
 		f.PutConfiguration(nil)
 		f.Run(4_000_000)
-		f.Network.LossShare = 0.1
+		f.Network.LossProbability = 0.1
 		for i := range 6 {
 			if i == 2 {
 				f.KillNode(int(seed) % 11)
--- a/emulator/simulation/node_process.go
+++ b/emulator/simulation/node_process.go
@@ -88,7 +88,7 @@
 func (f *Fleet) checkLeases() {
 	sum := map[string]int{}
 	for _, n := range f.Nodes {
-		if !n.up || n.paused {
+		if !n.up || n.frozen {
 			continue
 		}
 		for _, w := range n.wanted {
@@ -230,7 +230,7 @@
 	}, func(v any, _ bool) {
 		p := querytable.PollEnded{Poll: e.Poll}
 		if s, ok := v.(databasereplica.Status); ok {
-			p.Status = querytable.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Draining: s.Leaving}
+			p.Status = querytable.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Draining: s.Draining}
 			switch {
 			case f.Plan.Mutation == AckBeforeMajority && s.Role == "replica":
 				p.Status.Received += 1000
@@ -249,9 +249,9 @@
 			if f.Plan.Mutation == UnheardDraining {
 				p.Status.Draining = false
 			}
-			if s.Leaving && n.drainingSinceUs[e.Address] == 0 {
+			if s.Draining && n.drainingSinceUs[e.Address] == 0 {
 				n.drainingSinceUs[e.Address] = f.Now
-			} else if !s.Leaving {
+			} else if !s.Draining {
 				delete(n.drainingSinceUs, e.Address)
 			}
 		} else {
@@ -261,8 +261,8 @@
 	})
 }
 
-// HoldsLease says whether a node may use connections to every group's primary now.
-func (f *Fleet) HoldsLease(i int) bool {
+// HasLease says whether a node may use connections to every group's primary now.
+func (f *Fleet) HasLease(i int) bool {
 	n := f.Nodes[i]
 	for _, g := range f.Plan.Groups {
 		w := n.wanted[f.owner[g]+"/"+g]
--- a/emulator/simulation/random_faults.go
+++ b/emulator/simulation/random_faults.go
@@ -33,7 +33,7 @@
 	}
 	ids := map[string]string{}
 	for _, c := range f.Controls {
-		if !c.up || c.paused {
+		if !c.up || c.frozen {
 			continue
 		}
 		st := control.GroupState(c.core.Committed(control.GroupKeyPrefix + f.owner[g] + "/" + g))
@@ -54,7 +54,7 @@
 
 func (f *Fleet) controlsHealthy() bool {
 	for _, c := range f.Controls {
-		if !c.up || c.paused || c.draining || !c.core.Voting() {
+		if !c.up || c.frozen || c.draining || !c.core.Voting() {
 			return false
 		}
 	}
@@ -78,7 +78,7 @@
 	if k >= 9 && k < 12 && !f.controlsHealthy() {
 		return
 	}
-	if k >= 12 && k < 16 && (!n.up || n.paused || n.draining) {
+	if k >= 12 && k < 16 && (!n.up || n.frozen || n.draining) {
 		return
 	}
 	switch k {
@@ -96,7 +96,7 @@
 		later(500_000, 6_000_000, func() { d.unresponsive = false })
 	case 3:
 		f.logf("fault: freeze %s", db)
-		f.PauseDatabase(db)
+		f.FreezeDatabase(db)
 		later(300_000, 6_000_000, func() { f.ResumeDatabase(db) })
 	case 4:
 		f.logf("fault: isolate %s", db)
@@ -140,7 +140,7 @@
 		later(300_000, 6_000_000, func() { f.StartControl(ci) })
 	case 11:
 		f.logf("fault: freeze %s", f.Controls[ci].boot.Name)
-		f.PauseControl(ci)
+		f.FreezeControl(ci)
 		later(300_000, 8_000_000, func() { f.ResumeControl(ci) })
 	case 12:
 		f.logf("fault: kill %s", n.boot.Name)
@@ -152,7 +152,7 @@
 		})
 	case 13, 14:
 		f.logf("fault: freeze %s", n.boot.Name)
-		f.PauseNode(ni)
+		f.FreezeNode(ni)
 		later(300_000, 8_000_000, func() { f.ResumeNode(ni) })
 	case 15:
 		f.logf("fault: stop %s", n.boot.Name)
@@ -172,20 +172,20 @@
 		later(300_000, 6_000_000, f.Network.Repair)
 	case 17:
 		f.logf("fault: the network drops and doubles")
-		f.Network.LossShare, f.Network.DuplicateShare = 0.1, 0.1
-		later(500_000, 5_000_000, func() { f.Network.LossShare, f.Network.DuplicateShare = 0, 0 })
+		f.Network.LossProbability, f.Network.DuplicateProbability = 0.1, 0.1
+		later(500_000, 5_000_000, func() { f.Network.LossProbability, f.Network.DuplicateProbability = 0, 0 })
 	case 18, 19:
 		f.Operators()
 	case 20:
 		f.logf("fault: a crowd")
 		f.Crowd(4, f.Between(2_000_000, 5_000_000))
 	case 21, 22:
-		z, share := "", 0.4
+		z, fraction := "", 0.4
 		if f.Chance(0.5) {
-			z, share = f.Plan.Zones[f.Random.IntN(len(f.Plan.Zones))], 1
+			z, fraction = f.Plan.Zones[f.Random.IntN(len(f.Plan.Zones))], 1
 		}
 		f.logf("fault: callers move to other zones (%s)", z)
-		f.MoveCallers(z, share)
+		f.MoveCallers(z, fraction)
 	case 23:
 		f.logf("fault: %s has a slow machine", n.boot.Name)
 		n.slowUs = f.Between(5_000, 80_000)
@@ -237,8 +237,8 @@
 		}
 	case 32:
 		f.logf("fault: the platform is slow and does not do all")
-		f.MaxPlatformUs, f.PlatformFailureShare = f.Between(100_000, 3_000_000), 0.5
-		later(2_000_000, 6_000_000, func() { f.MaxPlatformUs, f.PlatformFailureShare = 5_000, 0 })
+		f.MaxPlatformUs, f.PlatformFailureProbability = f.Between(100_000, 3_000_000), 0.5
+		later(2_000_000, 6_000_000, func() { f.MaxPlatformUs, f.PlatformFailureProbability = 5_000, 0 })
 	case 33, 34, 35:
 		f.randomBooking(g)
 	}
@@ -260,7 +260,7 @@
 		f.LoseDisk(i)
 	}
 	later(func() { f.StartControl(i) })
-	if n := f.Nodes[i]; n.up && !n.paused && !n.draining {
+	if n := f.Nodes[i]; n.up && !n.frozen && !n.draining {
 		f.KillNode(i)
 		later(func() {
 			if !n.up {
@@ -294,7 +294,7 @@
 		return
 	}
 	n := f.Nodes[i]
-	if !n.up || n.paused || n.draining {
+	if !n.up || n.frozen || n.draining {
 		f.rollNodes(i + 1)
 		return
 	}
--- a/emulator/simulation/sessions.go
+++ b/emulator/simulation/sessions.go
@@ -85,7 +85,7 @@
 	f := s.fleet
 	var ns, near []*nodeProcess
 	for _, n := range f.Nodes {
-		if n.up && !n.paused && !n.stopping() && n.tables[s.group] != nil {
+		if n.up && !n.frozen && !n.stopping() && n.tables[s.group] != nil {
 			ns = append(ns, n)
 			if n.boot.Zone == s.zone {
 				near = append(near, n)
@@ -348,11 +348,11 @@
 			last.Commit, last.Rollback = false, true
 		}
 		steps = append(steps, last)
-		ask, seen := s.current()
-		steps[0].Statements = statements(ask, "value mark")
+		statement, seen := s.current()
+		steps[0].Statements = statements(statement, "value mark")
 		var step func(i int)
 		step = func(i int) {
-			if i > 0 && s.moved || i == len(steps)-1 && ends > 1-f.Plan.AbandonedTransactionShare {
+			if i > 0 && s.moved || i == len(steps)-1 && ends > 1-f.Plan.AbandonProbability {
 				// It goes and does not come back: nothing may be kept.
 				s.id = ""
 				s.writeEnded(tag, result.NoEffect, rows...)
@@ -402,8 +402,8 @@
 
 func (s *session) read(kind string, q querytable.Query, done func()) {
 	s.attempt(kind, done, func(end func(querytable.Reply)) {
-		ask, seen := s.current()
-		q.Name, q.Statements = s.tag(), statements(ask)
+		statement, seen := s.current()
+		q.Name, q.Statements = s.tag(), statements(statement)
 		s.fleet.lastRead[s.route] = q.Name
 		s.send(q, func(r querytable.Reply) {
 			if r.Outcome == result.Done {
--- a/emulator/site-move/databases.go
+++ b/emulator/site-move/databases.go
@@ -115,13 +115,13 @@
 }
 
 func (d *database) confirm() {
-	most := 0
+	limit := 0
 	for _, n := range d.receivedByReplica {
-		most = max(most, n)
+		limit = max(limit, n)
 	}
 	var left []syncWait
 	for _, w := range d.syncWaits {
-		if w.position <= most {
+		if w.position <= limit {
 			w.done <- true
 		} else {
 			left = append(left, w)
--- a/emulator/site-move/run.go
+++ b/emulator/site-move/run.go
@@ -214,14 +214,14 @@
 			return ports.Reply{}, false
 		}
 	}
-	leave := func() {
+	shutDown := func() {
 		if c != nil {
 			ev.SessionClosed(session)
 			c = nil
 		}
 	}
-	defer leave()
-	pause := func(d time.Duration) {
+	defer shutDown()
+	wait := func(d time.Duration) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(d):
@@ -234,8 +234,8 @@
 				c, ev = &caller{make(chan ports.Reply, 4)}, w.serving[r.IntN(len(w.serving))]
 				session = ev.SessionOpened(c, "pickups")
 				if x, ok := reply(); !ok || x.Code != ports.Done {
-					leave()
-					pause(20 * time.Millisecond)
+					shutDown()
+					wait(20 * time.Millisecond)
 					continue
 				}
 			}
@@ -248,16 +248,16 @@
 				w.mu.Unlock()
 				break
 			}
-			leave()
+			shutDown()
 			if !ok || !x.Code.NoEffect() {
 				w.mu.Lock()
 				w.inDoubt++
 				w.mu.Unlock()
 				break
 			}
-			pause(20 * time.Millisecond)
+			wait(20 * time.Millisecond)
 		}
-		pause(w.options.Every/2 + time.Duration(r.Int64N(int64(w.options.Every))))
+		wait(w.options.Every/2 + time.Duration(r.Int64N(int64(w.options.Every))))
 	}
 }
 
@@ -381,15 +381,15 @@
 
 // callerInterval is the longest time without an acknowledgement since a moment.
 func callerInterval(at []time.Time, since time.Time) time.Duration {
-	var most time.Duration
+	var limit time.Duration
 	last := since
 	for _, t := range at {
 		if t.After(since) {
-			most = max(most, t.Sub(last))
+			limit = max(limit, t.Sub(last))
 			last = t
 		}
 	}
-	return max(most, time.Since(last))
+	return max(limit, time.Since(last))
 }
 
 // check holds what was acknowledged against the newest primary's log.
--- a/emulator/whatif/whatif.go
+++ b/emulator/whatif/whatif.go
@@ -174,7 +174,7 @@
 	P50Us     int64                   `json:"p50_us"`
 	P99Us     int64                   `json:"p99_us"`
 	Kinds     map[string]Kind         `json:"kinds"`
-	Copies    map[string]float64      `json:"reads_by_copy_share"`
+	Databases map[string]float64      `json:"reads_by_copy_share"`
 	Ages      map[string]checker.Ages `json:"ages"`
 	Polls     float64                 `json:"status_polls_per_query"`
 	Uncertain int                     `json:"uncertain_writes"`
@@ -221,7 +221,7 @@
 	ss := lo.Filter(f.Oracle.Samples, func(s simulation.Sample, _ int) bool { return s.AtUs >= at && s.AtUs < end })
 	ts := simulation.Took(ss)
 	g := Figures{Queries: len(ss), Served: simulation.Served(ss), P50Us: checker.Quantile(ts, 0.5), P99Us: checker.Quantile(ts, 0.99), Kinds: map[string]Kind{},
-		Copies: map[string]float64{}, Ages: v.Ages, Uncertain: v.InDoubt, Broken: len(v.Violations)}
+		Databases: map[string]float64{}, Ages: v.Ages, Uncertain: v.InDoubt, Broken: len(v.Violations)}
 	g.Polls = float64(after.Polls-before.Polls) / float64(max(1, after.Queries-before.Queries))
 	g.FirstTry = simulation.Served(lo.Map(ss, func(s simulation.Sample, _ int) simulation.Sample {
 		if s.Attempts > 1 {
@@ -237,7 +237,7 @@
 		return s.Database != "" && s.Kind != "reservation" && s.Kind != "transaction"
 	})
 	for c, n := range lo.CountValuesBy(reads, func(s simulation.Sample) string { return s.Database }) {
-		g.Copies[c] = float64(n) / float64(len(reads))
+		g.Databases[c] = float64(n) / float64(len(reads))
 	}
 	return g, nil
 }
--- a/emulator/whatif/whatif_test.go
+++ b/emulator/whatif/whatif_test.go
@@ -35,8 +35,8 @@
 	if is.Figures(func(f Figures) float64 { return f.Served }).Min < 0.999 {
 		t.Errorf("as it is: %+v", is.Runs)
 	}
-	if a := ask("the Iasi replica out"); a.Figures(func(f Figures) float64 { return f.Copies["inventory-1-b"] }).Max > 0.01 {
-		t.Errorf("reads still go to what is out: %+v", a.Runs[0].Copies)
+	if a := ask("the Iasi replica out"); a.Figures(func(f Figures) float64 { return f.Databases["inventory-1-b"] }).Max > 0.01 {
+		t.Errorf("reads still go to what is out: %+v", a.Runs[0].Databases)
 	}
 	if a := ask("replication lags 700 ms"); a.Figures(age).Min < 300_000 || a.Figures(age).Max > 1_500_000 {
 		t.Errorf("with a lag of 700 ms the greatest age is %v", a.Figures(age))
