--- /dev/null
+++ b/emulator/fleetsimulation/faults_databases.go
@@ -0,0 +1,197 @@
+package fleetsimulation
+
+import "slices"
+
+// crashPrimary crashes a primary and restarts it later.
+func (f *Fleet) crashPrimary() bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	d := g.primary
+	d.crash(f.Chance(0.5))
+	f.later(300_000, 7_000_000, func() { f.restartDatabase(d) })
+	return true
+}
+
+// crashPrimaryBriefly restarts a primary before, or just after, it counts as lost.
+func (f *Fleet) crashPrimaryBriefly() bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	d := g.primary
+	d.crash(f.Chance(0.3))
+	f.later(30_000, 1_200_000, func() { f.restartDatabase(d) })
+	return true
+}
+
+// restartPrimaryUnderNewIdentity crashes a primary, which comes back on its log
+// under another identity.
+func (f *Fleet) restartPrimaryUnderNewIdentity() bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	d, same := g.primary, f.Chance(0.5)
+	d.crash(f.Chance(0.3))
+	f.later(100_000, 5_000_000, func() { f.restartUnderNewIdentity(d, same) })
+	return true
+}
+
+// losePrimary crashes a primary, in whose stead an empty database comes.
+func (f *Fleet) losePrimary() bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	d := g.primary
+	d.crash(f.Chance(0.5))
+	f.later(1_000_000, 6_000_000, func() { f.replaceLost(d) })
+	return true
+}
+
+// releasePrimary replaces a primary as the platform does for planned work.
+func (f *Fleet) releasePrimary() bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	f.release(g, []*Database{g.primary})
+	return true
+}
+
+// releaseAll replaces all databases of a group, one after the other.
+func (f *Fleet) releaseAll() bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	ds := slices.Clone(g.databases)
+	f.Random.Shuffle(len(ds), func(i, j int) { ds[i], ds[j] = ds[j], ds[i] })
+	f.release(g, ds)
+	return true
+}
+
+// crashFollower crashes a follower, which comes back as it was, under another identity, or
+// not at all.
+func (f *Fleet) crashFollower() bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	d := f.anyFollower(g)
+	d.crash(f.Chance(0.5))
+	switch f.Random.IntN(4) {
+	case 0:
+		f.later(100_000, 5_000_000, func() { f.restartUnderNewIdentity(d, f.Chance(0.5)) })
+	case 1:
+		f.later(1_000_000, 6_000_000, func() { f.replaceLost(d) })
+	default:
+		f.later(100_000, 5_000_000, func() { f.restartDatabase(d) })
+	}
+	return true
+}
+
+// crashPrimaryBesideLaggingFollower crashes a primary one of whose followers receives
+// nothing.
+func (f *Fleet) crashPrimaryBesideLaggingFollower() bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	d, p := f.anyFollower(g), g.primary
+	d.receivesNothing = true
+	f.later(100_000, 2_000_000, func() { p.crash(f.Chance(0.5)) })
+	f.later(2_500_000, 6_000_000, func() { d.receivesNothing = false })
+	f.later(2_500_000, 7_000_000, func() { f.restartDatabase(p) })
+	return true
+}
+
+// restartFollowerDuringFailover restarts a follower while its primary is crashed or
+// partitioned off.
+func (f *Fleet) restartFollowerDuringFailover() bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	p := g.primary
+	if f.Chance(0.5) {
+		p.crash(f.Chance(0.5))
+		f.later(2_000_000, 6_000_000, func() { f.restartDatabase(p) })
+	} else {
+		f.isolate(p.ip, f.controlHosts(), 0, f.Between(2_000_000, 5_000_000))
+		for _, n := range f.nodes {
+			if f.Chance(0.7) {
+				f.isolate(p.ip, []string{n.ip}, 0, f.Between(2_000_000, 5_000_000))
+			}
+		}
+	}
+	d := f.anyFollower(g)
+	f.later(200_000, 1_800_000, func() {
+		d.crash(false)
+		f.later(20_000, 300_000, func() { f.restartDatabase(d) })
+	})
+	return true
+}
+
+// killControlDuringFailover ends a control process while a primary is being changed.
+func (f *Fleet) killControlDuringFailover() bool {
+	g, c := f.anyGroup(), f.anyControl()
+	if g == nil || c == nil {
+		return false
+	}
+	d := g.primary
+	d.crash(f.Chance(0.5))
+	f.later(2_000_000, 7_000_000, func() { f.restartDatabase(d) })
+	f.later(100_000, 2_000_000, func() {
+		f.killControl(c, f.Chance(0.5))
+		if f.Chance(0.3) {
+			c.disk = nil
+		}
+		f.later(100_000, 1_000_000, func() { f.restartControl(c) })
+	})
+	return true
+}
+
+// loseReplies has a database run statements whose replies are lost.
+func (f *Fleet) loseReplies() bool {
+	g := f.groups[f.Random.IntN(len(f.groups))]
+	d := g.primary
+	if f.Chance(0.4) {
+		d = g.databases[f.Random.IntN(len(g.databases))]
+	}
+	d.lostReplyProbability, d.lostReplyKind = 0.02+f.Random.Float64()*0.2, f.Random.IntN(2)
+	f.later(1_000_000, 5_000_000, func() { d.lostReplyProbability = 0 })
+	return true
+}
+
+// failStatements has a database fail some statements.
+func (f *Fleet) failStatements() bool {
+	g := f.groups[f.Random.IntN(len(f.groups))]
+	d := g.databases[f.Random.IntN(len(g.databases))]
+	d.failureProbability = 0.3
+	f.later(1_000_000, 4_000_000, func() { d.failureProbability = 0 })
+	return true
+}
+
+// slowDatabase makes each statement of a database take longer.
+func (f *Fleet) slowDatabase() bool {
+	g := f.groups[f.Random.IntN(len(f.groups))]
+	d := g.databases[f.Random.IntN(len(g.databases))]
+	d.extraServiceUs = f.Between(5_000, 200_000)
+	f.later(1_000_000, 4_000_000, func() { d.extraServiceUs = 0 })
+	return true
+}
+
+// lagFollowers has databases of a group apply their log late.
+func (f *Fleet) lagFollowers() bool {
+	g := f.groups[f.Random.IntN(len(f.groups))]
+	for _, d := range g.databases {
+		if f.Chance(0.6) {
+			d.lagFactor = f.Random.Float64() * 120
+			f.later(2_000_000, 6_000_000, func() { d.lagFactor = 1 })
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/emulator/fleetsimulation/faults_network.go
@@ -0,0 +1,192 @@
+package fleetsimulation
+
+import "slices"
+
+// partitionMachine partitions a machine off from all other hosts.
+func (f *Fleet) partitionMachine() bool {
+	ip := f.nodes[f.Random.IntN(len(f.nodes))].ip
+	if slices.ContainsFunc(f.controls, func(c *Control) bool { return c.ip == ip }) && f.anyControl() == nil {
+		return false
+	}
+	f.isolate(ip, f.hosts(), f.Random.IntN(3), f.Between(300_000, 5_000_000))
+	return true
+}
+
+// partitionZone partitions one zone off from the others.
+func (f *Fleet) partitionZone() bool {
+	if f.anyControl() == nil {
+		return false
+	}
+	z := zoneNames[f.Random.IntN(3)]
+	how, us := f.Random.IntN(3), f.Between(300_000, 4_000_000)
+	var in, out []string
+	for _, h := range f.hosts() {
+		if f.network.zones[h] == z {
+			in = append(in, h)
+		} else {
+			out = append(out, h)
+		}
+	}
+	for _, h := range in {
+		f.isolate(h, out, how, us)
+	}
+	return true
+}
+
+// partitionCore partitions control processes from one another: one from the others, or each
+// from each.
+func (f *Fleet) partitionCore() bool {
+	if f.anyControl() == nil {
+		return false
+	}
+	how, us := f.Random.IntN(3), f.Between(300_000, 4_000_000)
+	if f.Chance(0.3) { // each from each
+		for _, c := range f.controls {
+			f.isolate(c.ip, f.controlHosts(), how, us)
+		}
+		return true
+	}
+	f.isolate(f.controls[f.Random.IntN(len(f.controls))].ip, f.controlHosts(), how, us)
+	return true
+}
+
+// partitionPrimaryFromFollowers partitions a primary off from some of its followers.
+func (f *Fleet) partitionPrimaryFromFollowers() bool {
+	return f.partitionPrimary(func(g *group) []string {
+		var hs []string
+		for _, d := range g.databases {
+			if d != g.primary && f.Chance(0.7) {
+				hs = append(hs, d.ip)
+			}
+		}
+		return hs
+	})
+}
+
+// partitionPrimaryFromCore partitions a primary off from all control processes.
+func (f *Fleet) partitionPrimaryFromCore() bool {
+	return f.partitionPrimary(func(*group) []string { return f.controlHosts() })
+}
+
+// partitionPrimaryFromNodes partitions a primary off from some pool nodes.
+func (f *Fleet) partitionPrimaryFromNodes() bool {
+	return f.partitionPrimary(func(*group) []string {
+		var hs []string
+		for _, n := range f.nodes {
+			if f.Chance(0.5) {
+				hs = append(hs, n.ip)
+			}
+		}
+		return hs
+	})
+}
+
+// partitionPrimaryFromAllButOneNode leaves a primary reachable from one host of a pool
+// node only.
+func (f *Fleet) partitionPrimaryFromAllButOneNode() bool {
+	return f.partitionPrimary(func(*group) []string {
+		keep := f.nodes[f.Random.IntN(len(f.nodes))].ip
+		return slices.DeleteFunc(f.hosts(), func(h string) bool { return h == keep })
+	})
+}
+
+// splitNodesBetweenCoreAndPrimary has no pool node reach both the core and a primary,
+// but for those on a control process's host: a node that is partitioned from the
+// core still reaches the primary that the core replaces.
+func (f *Fleet) splitNodesBetweenCoreAndPrimary() bool {
+	g := f.anyGroup()
+	if g == nil || f.anyControl() == nil {
+		return false
+	}
+	us := f.Between(300_000, 5_000_000)
+	f.isolate(g.primary.ip, f.controlHosts(), 0, us)
+	for i, n := range f.nodes {
+		if i < 3 || f.Chance(0.5) { // those beside a control process stay with it
+			f.isolate(g.primary.ip, []string{n.ip}, 0, us)
+		} else {
+			f.isolate(n.ip, f.controlHosts(), 0, us)
+		}
+	}
+	return true
+}
+
+// loseOnLinks has a zone's links lose a part of what they carry.
+func (f *Fleet) loseOnLinks() bool {
+	z := zoneNames[f.Random.IntN(3)]
+	f.network.lossy[z] = 0.01 + f.Random.Float64()*0.1
+	f.later(1_000_000, 5_000_000, func() { delete(f.network.lossy, z) })
+	return true
+}
+
+// duplicateEnvelopes delivers some envelopes late or twice.
+func (f *Fleet) duplicateEnvelopes() bool {
+	f.duplicateProbability = 0.1
+	f.later(1_000_000, 5_000_000, func() { f.duplicateProbability = 0 })
+	return true
+}
+
+func (f *Fleet) controlHosts() []string {
+	var hs []string
+	for _, c := range f.controls {
+		hs = append(hs, c.ip)
+	}
+	return hs
+}
+
+// hosts are all but callers.
+func (f *Fleet) hosts() []string {
+	var hs []string
+	for _, n := range f.nodes {
+		hs = append(hs, n.ip)
+	}
+	for _, c := range f.controls {
+		if !slices.Contains(hs, c.ip) {
+			hs = append(hs, c.ip)
+		}
+	}
+	for _, g := range f.groups {
+		for _, d := range g.databases {
+			if !slices.Contains(hs, d.ip) {
+				hs = append(hs, d.ip)
+			}
+		}
+	}
+	return append(hs, providerHost, "operators")
+}
+
+// isolate cuts a host off from others for a while: 0 both ways, 1 from it, 2 to
+// it.
+func (f *Fleet) isolate(host string, others []string, how int, us int64) {
+	others = slices.Clone(others)
+	for _, o := range others {
+		if how != 2 {
+			f.network.partition(host, o)
+		}
+		if how != 1 {
+			f.network.partition(o, host)
+		}
+	}
+	healed := f.healCount
+	f.After(us, func() {
+		if f.healCount != healed {
+			return
+		}
+		for _, o := range others {
+			if how != 2 {
+				f.network.repair(host, o)
+			}
+			if how != 1 {
+				f.network.repair(o, host)
+			}
+		}
+	})
+}
+
+func (f *Fleet) partitionPrimary(from func(g *group) []string) bool {
+	g := f.anyGroup()
+	if g == nil {
+		return false
+	}
+	f.isolate(g.primary.ip, from(g), f.Random.IntN(3), f.Between(300_000, 5_000_000))
+	return true
+}
--- /dev/null
+++ b/emulator/fleetsimulation/faults_operations.go
@@ -0,0 +1,70 @@
+package fleetsimulation
+
+// stopNodesInTurn restarts pool nodes one after the other, with their grace.
+func (f *Fleet) stopNodesInTurn() bool {
+	at := int64(0)
+	for _, n := range f.nodes {
+		if !f.Chance(0.6) {
+			continue
+		}
+		f.After(at, func() {
+			f.stopNode(n)
+			gen := n.generation
+			var back func()
+			back = func() {
+				if !n.up && n.generation == gen {
+					f.restartNode(n)
+				} else if n.generation == gen {
+					f.After(300_000, back)
+				}
+			}
+			f.After(500_000, back)
+		})
+		at += f.Between(300_000, 2_000_000)
+	}
+	return true
+}
+
+// stopControlsInTurn restarts control processes one after the other.
+func (f *Fleet) stopControlsInTurn() bool {
+	if f.anyControl() == nil {
+		return false
+	}
+	at := int64(0)
+	for _, c := range f.controls {
+		f.After(at, func() {
+			f.stopControl(c)
+			f.After(700_000, func() { f.restartControl(c) })
+		})
+		at += f.Between(2_000_000, 5_000_000)
+	}
+	return true
+}
+
+// changeTable has operators change the routing table.
+func (f *Fleet) changeTable() bool {
+	f.operators.act()
+	return true
+}
+
+// changeTableOften has operators change the routing table several times in a row.
+func (f *Fleet) changeTableOften() bool {
+	for i := range int64(6) {
+		f.After(i*300_000, f.operators.act)
+	}
+	return true
+}
+
+// slowPlatform has the platform take long to respond.
+func (f *Fleet) slowPlatform() bool {
+	f.provider.responseUs = f.Between(100_000, 2_500_000)
+	f.later(1_000_000, 6_000_000, func() { f.provider.responseUs = 5_000 })
+	return true
+}
+
+// rejectAtPlatform has the platform reject some calls and lose the replies to others.
+func (f *Fleet) rejectAtPlatform() bool {
+	f.provider.rejectProbability, f.provider.lostReplyProbability = f.Random.Float64(), f.Random.Float64()*0.5
+	f.later(1_000_000, 5_000_000, func() { f.provider.rejectProbability, f.provider.lostReplyProbability = 0, 0 })
+	return true
+}
--- /dev/null
+++ b/emulator/fleetsimulation/faults_processes.go
@@ -0,0 +1,148 @@
+package fleetsimulation
+
+// killRandomNode ends a pool node at once and starts it later.
+func (f *Fleet) killRandomNode() bool {
+	n := f.anyNode()
+	if n == nil {
+		return false
+	}
+	f.killNode(n, f.Chance(0.4))
+	f.later(300_000, 4_000_000, func() { f.restartNode(n) })
+	return true
+}
+
+// killSomeNodes ends each pool node with some probability, all at one moment.
+func (f *Fleet) killSomeNodes() bool {
+	for _, n := range f.nodes {
+		if n.up && f.Chance(0.4) {
+			f.killNode(n, f.Chance(0.2))
+			f.later(300_000, 2_000_000, func() { f.restartNode(n) })
+		}
+	}
+	return true
+}
+
+// freezeRandomNode stops a pool node's process for a while.
+func (f *Fleet) freezeRandomNode() bool {
+	n := f.anyNode()
+	if n == nil {
+		return false
+	}
+	n.freeze()
+	f.later(300_000, 5_000_000, n.thaw)
+	return true
+}
+
+// freezeAllNodes stops every pool node, each for a time of its own.
+func (f *Fleet) freezeAllNodes() bool {
+	for _, n := range f.nodes {
+		if n.up {
+			n.freeze()
+			f.later(200_000, 1_800_000, n.thaw)
+		}
+	}
+	return true
+}
+
+// slowRandomNode makes each event of a pool node take longer.
+func (f *Fleet) slowRandomNode() bool {
+	n := f.anyNode()
+	if n == nil {
+		return false
+	}
+	n.slowUs = f.Between(200, 4_000)
+	f.later(1_000_000, 6_000_000, func() { n.slowUs = 0 })
+	return true
+}
+
+// killRandomControl ends a control process and starts it on its disk later.
+func (f *Fleet) killRandomControl() bool {
+	c := f.anyControl()
+	if c == nil {
+		return false
+	}
+	f.killControl(c, f.Chance(0.5))
+	f.later(300_000, 5_000_000, func() { f.restartControl(c) })
+	return true
+}
+
+// loseControlDisk ends a control process and starts it later on an empty disk.
+func (f *Fleet) loseControlDisk() bool {
+	c := f.anyControl()
+	if c == nil {
+		return false
+	}
+	f.killControl(c, true)
+	c.disk = nil
+	f.later(300_000, 4_000_000, func() { f.restartControl(c) })
+	return true
+}
+
+// freezeRandomControl stops a control process for a while.
+func (f *Fleet) freezeRandomControl() bool {
+	c := f.anyControl()
+	if c == nil {
+		return false
+	}
+	c.freeze()
+	f.later(300_000, 5_000_000, c.thaw)
+	return true
+}
+
+// slowRandomControl makes a control process and its disk slow.
+func (f *Fleet) slowRandomControl() bool {
+	c := f.anyControl()
+	if c == nil {
+		return false
+	}
+	c.slowUs, c.syncUs = f.Between(0, 8_000), f.Between(0, 300_000)
+	f.later(1_000_000, 5_000_000, func() { c.slowUs, c.syncUs = 0, 0 })
+	return true
+}
+
+// freezeMachine stops a control process and the pool node on its machine.
+func (f *Fleet) freezeMachine() bool {
+	c := f.anyControl()
+	if c == nil {
+		return false
+	}
+	us := f.Between(300_000, 5_000_000)
+	c.freeze()
+	f.After(us, c.thaw)
+	for _, n := range f.nodes {
+		if n.ip == c.ip && n.up {
+			n.freeze()
+			f.After(us, n.thaw)
+		}
+	}
+	return true
+}
+
+// killAllProcesses ends every control process and every pool node at one moment.
+func (f *Fleet) killAllProcesses() bool {
+	if f.anyControl() == nil || f.faultCounts["all processes killed"] > 0 {
+		return false
+	}
+	unresponsive := f.Chance(0.5)
+	for _, c := range f.controls {
+		f.killControl(c, unresponsive)
+		f.later(500_000, 1_500_000, func() { f.restartControl(c) })
+	}
+	for _, n := range f.nodes {
+		f.killNode(n, unresponsive)
+		f.later(500_000, 1_500_000, func() { f.restartNode(n) })
+	}
+	return true
+}
+
+// killAllControls ends every control process at one moment.
+func (f *Fleet) killAllControls() bool {
+	if f.anyControl() == nil {
+		return false
+	}
+	for _, c := range f.controls {
+		f.killControl(c, f.Chance(0.5))
+		f.later(300_000, 2_000_000, func() { f.restartControl(c) })
+	}
+	return true
+}
--- a/emulator/fleetsimulation/planted_test.go
+++ b/emulator/fleetsimulation/planted_test.go
@@ -26,19 +26,19 @@
 }
 
 func TestMutationFreezeIgnored(t *testing.T) {
-	checkMutation(t, FreezeIgnored, 1_500_000, "LOST ONE", "some nodes cut from the core, the others and the core from a primary")
+	checkMutation(t, FreezeIgnored, 1_500_000, "LOST ONE", "some nodes partitioned from the core, the others and the core from a primary")
 }
 func TestMutationSyncDropped(t *testing.T) {
 	checkMutation(t, SyncDropped, 1_500_000, "LOST", "primary crashes", "primary gone for good")
 }
 func TestMutationSlowClock(t *testing.T) {
-	checkMutation(t, SlowClock, 1_500_000, "STALE", "primary cut from some nodes", "primary cut from all but one node", "followers lag", "machine cut off")
+	checkMutation(t, SlowClock, 1_500_000, "STALE", "primary partitioned from some nodes", "primary partitioned from all but one node", "followers lag", "machine partitioned")
 }
 func TestMutationResetIgnored(t *testing.T) {
 	checkMutation(t, ResetIgnored, 3_000_000, "PINNED", "connections reset")
 }
 func TestMutationAfterIgnored(t *testing.T) {
-	checkMutation(t, AfterIgnored, 1_500_000, "STALE", "followers lag", "a follower deaf and the primary crashes")
+	checkMutation(t, AfterIgnored, 1_500_000, "STALE", "followers lag", "a follower receives nothing and the primary crashes")
 }
 func TestMutationBusyThatRan(t *testing.T) {
 	checkMutation(t, BusyThatRan, 3_000_000, "REFUSED TWICE", "burst")
