--- a/emulator/fleetsimulation/callers.go
+++ b/emulator/fleetsimulation/callers.go
@@ -61,15 +61,15 @@
 
 // attempt is one try of an operation.
 type attempt struct {
-	op       *operation
-	stmts    []*Statement
-	promised string
-	sent     bool // its commit or its single write was sent
+	op         *operation
+	statements []*Statement
+	promised   string
+	sent       bool // its commit or its single write was sent
 }
 
 // wrote says whether a transaction of it asked for a write that was taken.
 func (t *attempt) wrote(x *transaction) bool {
-	return slices.ContainsFunc(t.stmts, func(s *Statement) bool { return s.transaction == x && s.writes && len(s.results) > 0 })
+	return slices.ContainsFunc(t.statements, func(s *Statement) bool { return s.transaction == x && s.writes && len(s.results) > 0 })
 }
 
 type operation struct {
@@ -349,7 +349,7 @@
 	if statement.kind == ports.Commit || x == nil && statement.writes {
 		t.sent = true
 	}
-	t.stmts = append(t.stmts, statement)
+	t.statements = append(t.statements, statement)
 	f.oracle.statements[statement.id] = statement
 	s.send(statement, func(r ports.Reply, lost bool) {
 		if !lost {
--- /dev/null
+++ b/emulator/fleetsimulation/oracle_statements.go
@@ -0,0 +1,155 @@
+package fleetsimulation
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"stoneford/internal/ports"
+)
+
+func (o *Oracle) statement(id string) *Statement { return o.statements[id] }
+
+// requiredEntries are the commits that a read which a session sends now has to
+// show: for a current read the newest acknowledged one, else the newest that is
+// older than the staleness bound, and for a session that reads its writes its own.
+func (o *Oracle) requiredEntries(r *callerRoute, s *Session) []*entry {
+	g := o.fleet.group(r.group)
+	var required []*entry
+	i := len(g.acknowledged)
+	if r.kind != ports.CurrentRead {
+		i, _ = slices.BinarySearchFunc(g.acknowledged, o.fleet.Now-r.stalenessUs, func(a acknowledgedEntry, at int64) int {
+			if a.acknowledgedUs < at {
+				return -1
+			}
+			return 1
+		})
+	}
+	if i > 0 {
+		required = append(required, g.acknowledged[i-1].newest)
+	}
+	if r.kind == ports.ReadYourWrites && s.minPosition != nil {
+		required = append(required, s.minPosition)
+	}
+	return required
+}
+
+// statementArrived is called when a caller's operation reaches a database.
+func (o *Oracle) statementArrived(d *Database, n *Node, op ports.Op) {
+	statement := o.statements[op.Statement.ID]
+	if statement == nil {
+		return // reported when it runs
+	}
+	if d.group.name != statement.route.group {
+		o.violation("ROUTE: %s of group %s was sent %q of route %s", d.id, d.group.name, statement.raw, statement.route.name)
+	}
+	drainedUs := o.fleet.Now - d.drainAcknowledgedUs
+	if statement.opensDatabaseWork() && d.drainAcknowledgedUs > 0 && drainedUs > drainTimeoutUs && o.inContact(n) && o.coreIsStable() {
+		o.violation("DRAIN: %s sent %q to %s %.2f s after its draining was acknowledged", n.name, statement.raw, d.id, float64(drainedUs)/1e6)
+	}
+}
+
+// statementRan is called when a database runs a caller's read, write or commit.
+func (o *Oracle) statementRan(c *databaseConnection, statement *Statement) {
+	if !maps.Equal(c.values, statement.values) {
+		o.violation("PINNED: %q ran on %s with values %v, not %v", statement.raw, c.database.id, c.values, statement.values)
+	}
+	o.checkTransaction(c, statement)
+	if statement.isRead() {
+		o.Reads++
+		o.checkFreshness(c.database, statement)
+	}
+}
+
+// checkTransaction checks that a statement ran within its own transaction, and on
+// the connection of that transaction's first statement.
+func (o *Oracle) checkTransaction(c *databaseConnection, statement *Statement) {
+	database, own := c.database.id, statement.transaction
+	switch {
+	case own == nil && c.transaction != nil:
+		o.violation("PINNED: %q ran on %s within a transaction", statement.raw, database)
+	case own != nil && c.transaction == nil:
+		o.violation("PINNED: %q ran on %s outside its transaction", statement.raw, database)
+	case own != nil && c.transaction.begin.transaction != own:
+		o.violation("PINNED: %q ran on %s within another's transaction", statement.raw, database)
+	case own != nil && own.connection != nil && own.connection != c:
+		what := "on another connection than the first statement"
+		if statement == own.first {
+			what = "once more, on another connection"
+		}
+		o.violation("PINNED: %q ran on %s %s", statement.raw, database, what)
+		own.connection = c // reported once
+	}
+	if own != nil && own.connection == nil {
+		own.connection = c
+	}
+}
+
+// checkFreshness checks that a database that runs a read has the commits that the
+// read has to show.
+func (o *Oracle) checkFreshness(d *Database, statement *Statement) {
+	visible := d.applied
+	if d.primary {
+		visible = len(d.log)
+	}
+	for _, e := range statement.requiredCommits() {
+		i := int(e.position.Number)
+		if i <= visible && d.log[i-1] == e || d.group.lost[e] { // a lost one is reported already
+			continue
+		}
+		o.violation("STALE: %q of route %s ran on %s at %v, which lacks %v acknowledged %d ms before it was sent", statement.raw, statement.route.name, d.id,
+			d.positionAt(visible), e.position, (statement.sentUs-e.acknowledgedUs)/1000)
+	}
+}
+
+// preparedRan is called when a database runs a prepared name.
+func (o *Oracle) preparedRan(d *Database, statement *Statement, ran shape) {
+	if ran != statement.shape {
+		o.violation("PINNED: %q ran %v on %s, its caller prepared %v", statement.raw, ran, d.id, statement.shape)
+	}
+}
+
+// makeResult makes what a database returns for a statement.
+func (o *Oracle) makeResult(statement *Statement, d *Database) []byte {
+	b := fmt.Appendf(nil, "row %s %s\ncomplete %s.%d", statement.id, statement.text, d.id, len(statement.results))
+	statement.results = append(statement.results, slices.Clone(b))
+	return b
+}
+
+// statementEnded is called when a caller hears the end of a statement.
+func (o *Oracle) statementEnded(statement *Statement, r ports.Reply) {
+	o.Codes[r.Code]++
+	if r.Code == ports.InDoubt || r.Code == ports.Timeout {
+		o.InDoubt++
+	}
+	switch {
+	case r.Code.NoEffect():
+		o.statementRejected(statement, r)
+	case r.Code == ports.Done:
+		o.statementDone(statement, r)
+	}
+}
+
+// statementRejected checks that nothing of an attempt took effect whose caller hears
+// that nothing did.
+func (o *Oracle) statementRejected(statement *Statement, r ports.Reply) {
+	statement.attempt.promised = fmt.Sprintf("%d %s (%s)", r.Code, r.Text, statement.raw)
+	for _, other := range statement.attempt.statements {
+		if len(other.commits) > 0 {
+			o.violation("REFUSED: %q is kept at %v; its caller is told %d %s", other.raw, other.commits[0].position, r.Code, r.Text)
+		}
+	}
+}
+
+func (o *Oracle) statementDone(statement *Statement, r ports.Reply) {
+	switch statement.kind {
+	case ports.Read, ports.Write, ports.Execute, ports.Commit:
+		if !slices.ContainsFunc(statement.results, func(b []byte) bool { return string(b) == string(r.Body) }) {
+			o.violation("MIXED: %q was answered %q, which no database returned for it", statement.raw, r.Body)
+		}
+	}
+	o.fleet.moves.ended(statement)
+	if statement.acknowledgesWrites() {
+		o.writeAcknowledged(statement)
+	}
+}
