--- a/emulator/fleetsimulation/moves.go
+++ b/emulator/fleetsimulation/moves.go
@@ -42,34 +42,46 @@
 
 // observe is called after each step of a control process.
 func (m *moves) observe(c *Control) {
-	f := m.fleet
-	for _, g := range f.groups {
+	for _, g := range m.fleet.groups {
 		if v, ok := c.core.Learner().Committed(learner.MovePrefix + g.name); ok && v.Revision > m.phases[g.name][0] {
-			x := &schema.Move{}
-			if proto.Unmarshal(v.Data, x) != nil {
-				f.oracle.violation("MOVE: a register cannot be read")
-			}
-			m.phases[g.name] = [2]uint64{v.Revision, uint64(x.Phase)}
-			m.seen[ports.MovePhase(x.Phase)]++
-			f.logf("move of %s to %s by table %d: %v %s", g.name, x.ToSite, x.TableRevision, ports.MovePhase(x.Phase), x.Cause)
-			if ports.MovePhase(x.Phase) == ports.MoveAgreed {
-				m.gate(g, x.TableRevision)
-			}
+			m.observeMove(g, v)
 		}
 		if v, ok := c.core.Learner().Committed(learner.LeaderPrefix + g.name); ok {
-			l := learner.DecodeLeadership(v)
-			fs := m.floors[g.name]
-			if ports.Phase(l.Phase) == ports.PhaseServing && l.TableRevision > 0 && (len(fs) == 0 || l.TableRevision > fs[len(fs)-1].table) {
-				m.floors[g.name] = append(fs, floor{l.TableRevision, f.Now, l.Term, l.Term == m.terms[g.name]})
-				if m.agreed[g.name] < l.TableRevision {
-					f.oracle.violation("GATE: %s needs table %d, by which no move was agreed", g.name, l.TableRevision)
-				}
-			}
-			if ports.Phase(l.Phase) == ports.PhaseServing {
-				m.terms[g.name] = max(m.terms[g.name], l.Term)
-			}
+			m.observeLeadership(g, learner.DecodeLeadership(v))
+		}
+	}
+}
+
+// observeMove notes a newer revision of a group's move.
+func (m *moves) observeMove(g *group, v learner.CommittedValue) {
+	f := m.fleet
+	move := &schema.Move{}
+	if proto.Unmarshal(v.Data, move) != nil {
+		f.oracle.violation("MOVE: a register cannot be read")
+	}
+	phase := ports.MovePhase(move.Phase)
+	m.phases[g.name] = [2]uint64{v.Revision, uint64(move.Phase)}
+	m.seen[phase]++
+	f.logf("move of %s to %s by table %d: %v %s", g.name, move.ToSite, move.TableRevision, phase, move.Cause)
+	if phase == ports.MoveAgreed {
+		m.gate(g, move.TableRevision)
+	}
+}
+
+// observeLeadership notes the tables and terms of a group's leaderships. A table
+// that a leadership needs must be one by which a move was agreed.
+func (m *moves) observeLeadership(g *group, l *schema.Leadership) {
+	if ports.Phase(l.Phase) != ports.PhaseServing {
+		return
+	}
+	floors := m.floors[g.name]
+	if l.TableRevision > 0 && (len(floors) == 0 || l.TableRevision > floors[len(floors)-1].table) {
+		m.floors[g.name] = append(floors, floor{l.TableRevision, m.fleet.Now, l.Term, l.Term == m.terms[g.name]})
+		if m.agreed[g.name] < l.TableRevision {
+			m.fleet.oracle.violation("GATE: %s needs table %d, by which no move was agreed", g.name, l.TableRevision)
 		}
 	}
+	m.terms[g.name] = max(m.terms[g.name], l.Term)
 }
 
 // gate is called when a move was seen agreed: whoever has a lease works by its
--- a/emulator/fleetsimulation/operators.go
+++ b/emulator/fleetsimulation/operators.go
@@ -45,113 +45,147 @@
 	return t
 }
 
-// put sends a change until somebody says what became of it; ps are places it is
-// sent to at once beside the first. done is told the end, ok if it is in force.
+// put sends a change, again and again, until a control process replies what became
+// of it. valid is whether the change can be committed; twice sends it to two control
+// processes at once. done hears the outcome, or Unavailable where nobody replied.
 func (o *operators) put(c ports.TableChange, valid bool, twice bool, done func(ports.Outcome)) {
-	f := o.fleet
 	o.names++
 	c.Digest = fmt.Sprintf("change-%d", o.names)
+	s := &tableSubmission{operators: o, change: c, valid: valid, version: o.addVersion(c, valid), startUs: o.fleet.Now, done: done}
+	s.send(0)
+	if twice {
+		s.send(maxSubmissionRetries / 2)
+	}
+}
+
+// addVersion notes the table that a change makes of its base.
+func (o *operators) addVersion(c ports.TableChange, valid bool) *version {
 	v := &version{revision: c.Revision, base: c.BaseRevision}
-	if b := o.tables[c.BaseRevision]; b != nil || c.BaseRevision == 0 {
+	if base := o.tables[c.BaseRevision]; base != nil || c.BaseRevision == 0 {
 		old := ports.RoutingTable{}
-		if b != nil {
-			old = b.table
+		if base != nil {
+			old = base.table
 		}
-		t, ps := routingtable.Apply(old, c)
-		v.table = t
-		if (len(ps) == 0) != valid {
-			panic(fmt.Sprint("not what was meant: ", ps))
+		table, problems := routingtable.Apply(old, c)
+		v.table = table
+		if (len(problems) == 0) != valid {
+			panic(fmt.Sprint("not what was meant: ", problems))
 		}
 	}
 	if !valid {
 		v.refused = "it is invalid"
 	}
-	if o.tables[c.Revision] == nil {
-		o.tables[c.Revision] = v
-	} else {
-		v = o.tables[c.Revision]
+	if known := o.tables[c.Revision]; known != nil {
+		return known
 	}
-	ended := false
-	began := f.Now
-	end := func(r ports.ChangeResult) {
-		if ended || r.Outcome == ports.Unavailable {
-			return
-		}
-		ended = true
-		o.ended(v, c, valid, r, f.Now-began)
-		done(r.Outcome)
+	o.tables[c.Revision] = v
+	return v
+}
+
+const (
+	// maxSubmissionRetries bounds the attempts to submit one change.
+	maxSubmissionRetries = 30
+	// submissionTimeoutUs is how long operators wait for a control process's reply.
+	submissionTimeoutUs = 1_000_000
+)
+
+// tableSubmission is one change on its way to the control processes.
+type tableSubmission struct {
+	operators *operators
+	change    ports.TableChange
+	valid     bool
+	version   *version
+	startUs   int64
+	ended     bool
+	done      func(ports.Outcome)
+}
+
+// send sends the change to some control process, and once more later where that one
+// does not say what became of it.
+func (s *tableSubmission) send(retries int) {
+	if s.ended {
+		return
 	}
-	var send func(tries int)
-	send = func(tries int) {
-		if ended {
-			return
+	if retries > maxSubmissionRetries {
+		s.ended = true
+		s.done(ports.Unavailable)
+		return
+	}
+	f := s.operators.fleet
+	target := f.controls[f.Random.IntN(len(f.controls))]
+	retried := false
+	retry := func(us int64) {
+		if !retried && !s.ended {
+			retried = true
+			f.After(us, func() { s.send(retries + 1) })
 		}
-		if tries > 30 {
-			ended = true
-			done(ports.Unavailable)
+	}
+	f.callControl("operators", target, func(c *Control, id uint64) {
+		c.post("operators", coordinator.ChangeTable{ID: id, Change: s.change})
+	}, func(reply any) {
+		r, ok := reply.(ports.ChangeResult)
+		if !ok || r.Outcome == ports.Unavailable {
+			retry(f.Between(50_000, 300_000) + int64(retries)*50_000)
 			return
 		}
-		to := f.controls[f.Random.IntN(len(f.controls))]
-		retry := false
-		next := func(us int64) {
-			if !retry && !ended {
-				retry = true
-				f.After(us, func() { send(tries + 1) })
-			}
-		}
-		f.callControl("operators", to, func(c2 *Control, id uint64) {
-			c2.post("operators", coordinator.ChangeTable{ID: id, Change: c})
-		}, func(x any) {
-			r, ok := x.(ports.ChangeResult)
-			if !ok || r.Outcome == ports.Unavailable {
-				next(f.Between(50_000, 300_000) + int64(tries)*50_000)
-				return
-			}
-			end(r)
-		})
-		f.After(1_000_000, func() { next(0) })
-	}
-	send(0)
-	if twice {
-		send(15)
-	}
+		s.end(r)
+	})
+	f.After(submissionTimeoutUs, func() { retry(0) })
 }
 
-func (o *operators) ended(v *version, c ports.TableChange, valid bool, r ports.ChangeResult, took int64) {
-	f := o.fleet
-	f.logf("operators: revision %d on %d: %d after %d ms, %d in force %v", c.Revision, c.BaseRevision, r.Outcome, took/1000, r.Revision, r.Problems)
+func (s *tableSubmission) end(r ports.ChangeResult) {
+	if s.ended {
+		return
+	}
+	s.ended = true
+	o := s.operators
+	o.fleet.logf("operators: revision %d on %d: %d after %d ms, %d in force %v", s.change.Revision, s.change.BaseRevision, r.Outcome, (o.fleet.Now-s.startUs)/1000, r.Revision, r.Problems)
 	switch r.Outcome {
 	case ports.Committed:
-		if !valid {
-			f.oracle.violation("CONFIG: revision %d, which is invalid, was acknowledged", c.Revision)
-			return
-		}
-		for _, a := range o.acknowledged {
-			if a != v && a.base == v.base {
-				f.oracle.violation("CONFIG: revisions %d and %d, both based on %d, were acknowledged", a.revision, v.revision, v.base)
-			}
-		}
-		if v.acknowledgedUs == 0 {
-			v.acknowledgedUs = f.Now
-			o.acknowledged = append(o.acknowledged, v)
-		}
-		o.known = max(o.known, v.revision)
+		o.changeCommitted(s)
 	case ports.Stale, ports.Invalid:
-		if r.Outcome == ports.Invalid && valid {
-			f.oracle.violation("CONFIG: revision %d, which is valid, was called invalid: %v", c.Revision, r.Problems)
-		}
-		if v.refused == "" {
-			v.refused = "its sender was told so"
-		}
-		if v.inForce {
-			f.oracle.violation("CONFIG: revision %d was in force and is refused", c.Revision)
+		o.changeRefused(s, r)
+	}
+	s.done(r.Outcome)
+}
+
+// changeCommitted is called when operators hear that their change is committed.
+func (o *operators) changeCommitted(s *tableSubmission) {
+	f, v := o.fleet, s.version
+	if !s.valid {
+		f.oracle.violation("CONFIG: revision %d, which is invalid, was acknowledged", s.change.Revision)
+		return
+	}
+	for _, a := range o.acknowledged {
+		if a != v && a.base == v.base {
+			f.oracle.violation("CONFIG: revisions %d and %d, both based on %d, were acknowledged", a.revision, v.revision, v.base)
 		}
-		if r.Outcome == ports.Stale {
-			if w := o.tables[r.Revision]; r.Revision > 0 && w == nil {
-				f.oracle.violation("CONFIG: revision %d is said to be in force, which nobody sent", r.Revision)
-			}
-			o.known = max(o.known, r.Revision)
+	}
+	if v.acknowledgedUs == 0 {
+		v.acknowledgedUs = f.Now
+		o.acknowledged = append(o.acknowledged, v)
+	}
+	o.known = max(o.known, v.revision)
+}
+
+// changeRefused is called when operators hear that their change is invalid, or that
+// another one is in force that does not build on its base.
+func (o *operators) changeRefused(s *tableSubmission, r ports.ChangeResult) {
+	f, v := o.fleet, s.version
+	if r.Outcome == ports.Invalid && s.valid {
+		f.oracle.violation("CONFIG: revision %d, which is valid, was called invalid: %v", s.change.Revision, r.Problems)
+	}
+	if v.refused == "" {
+		v.refused = "its sender was told so"
+	}
+	if v.inForce {
+		f.oracle.violation("CONFIG: revision %d was in force and is refused", s.change.Revision)
+	}
+	if r.Outcome == ports.Stale {
+		if r.Revision > 0 && o.tables[r.Revision] == nil {
+			f.oracle.violation("CONFIG: revision %d is said to be in force, which nobody sent", r.Revision)
 		}
+		o.known = max(o.known, r.Revision)
 	}
 }
 
@@ -160,7 +194,7 @@
 	return o.next
 }
 
-// first sends the first table until it is taken.
+// first submits the first table until it is committed.
 func (o *operators) first() {
 	t := o.fleet.baseTable()
 	o.put(ports.TableChange{BaseRevision: 0, Revision: o.revision(), Complete: true, Routes: t.Routes, Groups: t.Groups, Limits: &t.Limits}, true, false, func(ports.Outcome) {})
@@ -196,90 +230,113 @@
 	return c
 }
 
-// act has operators do one thing of those they do.
+// act has operators do one of the things they do, unless some are at it.
 func (o *operators) act() {
 	f := o.fleet
 	if o.known == 0 || o.busy > 0 {
 		return
 	}
-	done := func(ports.Outcome) { o.busy-- }
 	switch f.Random.IntN(6) {
 	case 0, 1:
-		o.busy++
-		o.put(o.amend(), true, false, done)
-	case 2: // sent to two at once
-		o.busy++
-		o.put(o.amend(), true, true, done)
-	case 3: // two race
-		o.busy += 2
-		a, b := o.amend(), o.amend()
-		b.BaseRevision = a.BaseRevision
-		o.put(a, true, false, done)
-		f.After(f.Between(0, 30_000), func() { o.put(b, true, false, done) })
-	case 4: // invalid
-		o.busy++
-		c := o.amend()
-		c.RemoveRoutes = nil
-		switch f.Random.IntN(4) {
-		case 0:
-			c.Routes = append(c.Routes, ports.Route{Name: "x", Host: "x", Group: "nobody", TimeoutUs: 1})
-		case 1:
-			c.Routes = append(c.Routes, ports.Route{Name: "x", Host: f.routes[0].host, Prefix: "/", Group: f.groups[0].name, TimeoutUs: 1})
-		case 2:
-			c.Routes = append(c.Routes, ports.Route{Name: "x", Host: "x", Group: f.groups[0].name})
-		default:
-			c.Problems = []string{"cannot be read"}
+		o.submit(o.amend(), true, false)
+	case 2:
+		o.submit(o.amend(), true, true)
+	case 3:
+		o.race()
+	case 4:
+		o.submit(o.invalidChange(), false, false)
+	case 5:
+		if len(o.acknowledged) >= 2 {
+			o.submitOnOldBase()
 		}
-		o.put(c, false, false, done)
-	case 5: // on an old base
-		if len(o.acknowledged) < 2 {
-			return
-		}
-		o.busy++
-		c := o.amend()
-		old := o.acknowledged[f.Random.IntN(len(o.acknowledged)-1)]
-		c.BaseRevision = old.revision
-		c.RemoveRoutes = nil
-		if c.Routes == nil {
-			c.Routes = []ports.Route{{Name: "y", Host: "y", Prefix: "/", Group: f.groups[0].name, TimeoutUs: 800_000, LatencyTargetUs: 300_000}}
-		}
-		o.put(c, true, false, func(r ports.Outcome) {
-			if r == ports.Committed {
-				f.oracle.violation("CONFIG: a change on the old revision %d was acknowledged", c.BaseRevision)
-			}
-			o.busy--
-		})
 	}
 }
 
-// readBack asks for the table until it comes, and holds it against what was
-// acknowledged.
-func (o *operators) readBack(for_ int64) {
+// submit puts a change; operators are busy until it has ended.
+func (o *operators) submit(c ports.TableChange, valid, twice bool) {
+	o.busy++
+	o.put(c, valid, twice, func(ports.Outcome) { o.busy-- })
+}
+
+// race has two operators change the same base at about the same time.
+func (o *operators) race() {
+	done := func(ports.Outcome) { o.busy-- }
+	o.busy += 2
+	a, b := o.amend(), o.amend()
+	b.BaseRevision = a.BaseRevision
+	o.put(a, true, false, done)
+	o.fleet.After(o.fleet.Between(0, 30_000), func() { o.put(b, true, false, done) })
+}
+
+// invalidChange is a change that must never be committed.
+func (o *operators) invalidChange() ports.TableChange {
+	f := o.fleet
+	c := o.amend()
+	c.RemoveRoutes = nil
+	switch f.Random.IntN(4) {
+	case 0:
+		c.Routes = append(c.Routes, ports.Route{Name: "x", Host: "x", Group: "nobody", TimeoutUs: 1})
+	case 1:
+		c.Routes = append(c.Routes, ports.Route{Name: "x", Host: f.routes[0].host, Prefix: "/", Group: f.groups[0].name, TimeoutUs: 1})
+	case 2:
+		c.Routes = append(c.Routes, ports.Route{Name: "x", Host: "x", Group: f.groups[0].name})
+	default:
+		c.Problems = []string{"cannot be read"}
+	}
+	return c
+}
+
+// submitOnOldBase submits a change of a table that another one has followed.
+func (o *operators) submitOnOldBase() {
+	f := o.fleet
+	o.busy++
+	c := o.amend()
+	c.BaseRevision = o.acknowledged[f.Random.IntN(len(o.acknowledged)-1)].revision
+	c.RemoveRoutes = nil
+	if c.Routes == nil {
+		c.Routes = []ports.Route{{Name: "y", Host: "y", Prefix: "/", Group: f.groups[0].name, TimeoutUs: 800_000, LatencyTargetUs: 300_000}}
+	}
+	o.put(c, true, false, func(r ports.Outcome) {
+		if r == ports.Committed {
+			f.oracle.violation("CONFIG: a change on the old revision %d was acknowledged", c.BaseRevision)
+		}
+		o.busy--
+	})
+}
+
+// tableReadIntervalUs is how long after one request for the table the next follows.
+const tableReadIntervalUs = 500_000
+
+// readBack fetches the table until it comes, and checks it against what was
+// acknowledged. It must come within timeoutUs.
+func (o *operators) readBack(timeoutUs int64) {
 	f := o.fleet
-	got := false
-	until := f.Now + for_
+	received := false
+	until := f.Now + timeoutUs
 	var request func()
 	request = func() {
-		if got || f.Now > until {
+		if received || f.Now > until {
 			return
 		}
-		to := f.controls[f.Random.IntN(len(f.controls))]
-		f.callControl("operators", to, func(c *Control, id uint64) { c.post("operators", coordinator.FetchTable{ID: id}) }, func(x any) {
-			if r, ok := x.(fetched); ok && r.ok && !got {
-				got = true
+		target := f.controls[f.Random.IntN(len(f.controls))]
+		f.callControl("operators", target, func(c *Control, id uint64) { c.post("operators", coordinator.FetchTable{ID: id}) }, func(reply any) {
+			if r, ok := reply.(fetched); ok && r.ok && !received {
+				received = true
 				o.check(r.table)
 			}
 		})
-		f.After(500_000, request)
+		f.After(tableReadIntervalUs, request)
 	}
 	request()
-	f.After(for_, func() {
-		if !got {
-			f.oracle.violation("CONFIG: the table was not read back within %d ms", for_/1000)
+	f.After(timeoutUs, func() {
+		if !received {
+			f.oracle.violation("CONFIG: the table was not read back within %d ms", timeoutUs/1000)
 		}
 	})
 }
 
+// check checks a table that was read back: it is one that was sent, and builds on
+// every acknowledged one.
 func (o *operators) check(t ports.RoutingTable) {
 	f := o.fleet
 	v := o.tables[t.Revision]
@@ -287,7 +344,7 @@
 		f.oracle.violation("CONFIG: revision %d was read back, which nobody sent", t.Revision)
 		return
 	}
-	t.Placements = nil // they change by moves
+	t.Placements = nil // moves change them
 	if string(routingtable.Encode(t)) != string(routingtable.Encode(v.table)) {
 		f.oracle.violation("CONFIG: revision %d was read back with another content", t.Revision)
 	}
