--- /dev/null
+++ b/emulator/fleetsimulation/readiness.go
@@ -0,0 +1,50 @@
+package fleetsimulation
+
+import "slices"
+
+// pickNode is the platform's choice of a node for a new connection.
+func (f *Fleet) pickNode(zone string, tried []*Node) *Node {
+	in := func(z string) (ready, all []*Node) {
+		for _, n := range f.nodes {
+			if n.zone == z {
+				all = append(all, n)
+				if n.ready {
+					ready = append(ready, n)
+				}
+			}
+		}
+		return
+	}
+	ready, all := in(zone)
+	ns := ready
+	if len(ready)*2 < len(all) {
+		ns = all
+	}
+	if len(ready) == 0 {
+		for _, z := range zoneNames {
+			if r, _ := in(z); z != zone {
+				ns = append(ns, r...)
+			}
+		}
+	}
+	fresh := slices.DeleteFunc(slices.Clone(ns), func(n *Node) bool { return slices.Contains(tried, n) })
+	if len(fresh) > 0 {
+		ns = fresh
+	}
+	if len(ns) == 0 {
+		return nil
+	}
+	return ns[f.Random.IntN(len(ns))]
+}
+
+// probe asks every node whether it is ready, each second.
+func (f *Fleet) probe() {
+	for _, n := range f.nodes {
+		if n.up && !n.frozen && n.core.Ready(n.now()) {
+			n.ready, n.misses = true, 0
+		} else if n.misses++; n.misses >= 2 {
+			n.ready = false
+		}
+	}
+	f.After(1_000_000, f.probe)
+}
--- /dev/null
+++ b/emulator/fleetsimulation/sessions.go
@@ -0,0 +1,138 @@
+package fleetsimulation
+
+import (
+	"fmt"
+
+	"stoneford/internal/ports"
+	"stoneford/internal/sessiontable"
+)
+
+// Session is one caller's session, at its caller's side.
+type Session struct {
+	fleet       *Fleet
+	caller      *caller
+	node        *Node
+	generation  int
+	id          uint64
+	open        bool // nothing ended it yet
+	ready       bool
+	state       ports.TransactionState
+	values      map[string]string
+	prepared    map[string]shape
+	request     *pendingRequest
+	minPosition *entry
+}
+
+type pendingRequest struct {
+	statement *Statement // nil while it opens
+	atUs      int64      // it arrived at the node
+	end       func(r ports.Reply, lost bool)
+}
+
+// connect opens a session at a node.
+func (c *caller) connect(n *Node) *Session {
+	f := c.fleet
+	s := &Session{fleet: f, caller: c, node: n, generation: n.generation, open: true, values: map[string]string{}, prepared: map[string]shape{}}
+	f.sessionIDs++
+	s.id = f.sessionIDs
+	f.After(toCallerDelayUs, func() {
+		if !s.open {
+			return
+		}
+		if !n.up || n.generation != s.generation {
+			f.After(toCallerDelayUs, s.connectionBroke)
+			return
+		}
+		n.sessions[s.id] = s
+		n.enter(s.source(), func() {
+			if n.generation == s.generation && n.sessions[s.id] == s {
+				if s.request != nil {
+					s.request.atUs = f.Now
+				}
+				n.step(sessiontable.SessionOpened{Session: s.id, Host: c.route.host})
+			}
+		})
+	})
+	return s
+}
+
+func (s *Session) source() string { return fmt.Sprint("session", s.id) }
+
+func (s *Session) send(statement *Statement, end func(ports.Reply, bool)) {
+	f, n := s.fleet, s.node
+	a := &pendingRequest{statement: statement, end: end}
+	s.request = a
+	f.After(toCallerDelayUs, func() {
+		n.enter(s.source(), func() {
+			if n.generation != s.generation || n.sessions[s.id] != s {
+				return
+			}
+			a.atUs = f.Now
+			n.step(sessiontable.StatementReceived{Session: s.id, Statement: ports.Statement{ID: statement.id, Kind: statement.kind, Name: statement.name, Text: statement.text, Writes: statement.writes || statement.shape.writes, Raw: []byte(statement.raw)}})
+		})
+	})
+}
+
+// replied brings a reply of the node's to the caller.
+func (s *Session) replied(r ports.Reply, closed bool) {
+	f := s.fleet
+	if a := s.request; a != nil && a.atUs > 0 && len(r.Body) == 0 && r.Code.NoEffect() {
+		pending := f.Now - a.atUs
+		f.oracle.RejectionDelays = append(f.oracle.RejectionDelays, pending)
+		if pending > rejectTimeoutUs && (a.statement == nil || !a.statement.forwarded) && s.node.lastFaultUs < a.atUs && s.node.healthy() {
+			f.oracle.violation("HELD: %s told %d (%s) after %d ms", s.node.name, r.Code, r.Text, pending/1000)
+		}
+	}
+	f.After(toCallerDelayUs, func() {
+		if !s.open {
+			return
+		}
+		s.state = r.State
+		a := s.request
+		if closed {
+			s.open = false
+		}
+		if a == nil {
+			f.oracle.violation("%s replied %d %s where nothing was asked", s.node.name, r.Code, r.Text)
+			s.close()
+			return
+		}
+		s.request = nil
+		a.end(r, false)
+	})
+}
+
+// shut is the node closing a session that asked nothing.
+func (s *Session) shut() {
+	s.fleet.After(toCallerDelayUs, s.connectionBroke)
+}
+
+// connectionBroke ends a session from outside.
+func (s *Session) connectionBroke() {
+	if !s.open {
+		return
+	}
+	s.open = false
+	delete(s.node.sessions, s.id)
+	if a := s.request; a != nil {
+		s.request = nil
+		a.end(ports.Reply{}, true)
+	}
+}
+
+// close ends a session from the caller's side.
+func (s *Session) close() {
+	if !s.open {
+		return
+	}
+	s.open, s.request = false, nil
+	n, f := s.node, s.fleet
+	f.After(toCallerDelayUs, func() {
+		n.enter(s.source(), func() {
+			if n.generation == s.generation && n.sessions[s.id] == s {
+				delete(n.sessions, s.id)
+				n.step(sessiontable.SessionClosed{Session: s.id})
+			}
+		})
+	})
+}
--- a/emulator/fleetsimulation/statement.go
+++ b/emulator/fleetsimulation/statement.go
@@ -65,3 +65,13 @@
 	}
 	return s.kind == ports.Commit && s.attempt.wrote(s.transaction)
 }
+
+// reachesDatabase says whether a statement is one that a database runs for its
+// caller: not one that only changes the session.
+func (s *Statement) reachesDatabase() bool {
+	switch s.kind {
+	case ports.Read, ports.Write, ports.Execute, ports.Commit:
+		return true
+	}
+	return false
+}
