--- a/emulator/fleetsimulation/statements.go
+++ b/emulator/fleetsimulation/statements.go
@@ -26,10 +26,10 @@
 }
 
 type databaseTransaction struct {
-	begin  *Statement
-	plain  bool
-	term   uint64
-	writes []*Statement
+	begin    *Statement
+	mayWrite bool
+	term     uint64
+	writes   []*Statement
 }
 
 func (d *Database) accept(group, id string, s *stream) (ports.Code, *databaseConnection) {
@@ -117,119 +117,147 @@
 	c.stream.answer(a)
 }
 
-func bad(code ports.Code, text string) ports.Response {
+func errorResponse(code ports.Code, text string) ports.Response {
 	return ports.Response{Code: code, Text: text, Body: []byte("error " + text)}
 }
 
-// lostLead says that a transaction that may write stands on a database that
-// leads no more.
+// lostLead says whether a transaction that may write is open on a database that is
+// not the primary of its term any more.
 func (c *databaseConnection) lostLead() bool {
-	return c.transaction != nil && c.transaction.plain && (!c.database.primary || c.database.term != c.transaction.term)
+	return c.transaction != nil && c.transaction.mayWrite && (!c.database.primary || c.database.term != c.transaction.term)
 }
 
-func (c *databaseConnection) checkPosition(p ports.Position) bool {
+// lacksPosition says whether the database does not show a position yet that a
+// statement has to come after.
+func (c *databaseConnection) lacksPosition(p ports.Position) bool {
 	return p.Known() && c.database.fleet.Plan.Mutation != AfterIgnored && c.database.position().Before(p)
 }
 
+// fail ends a statement that failed; it fails its transaction too.
 func (c *databaseConnection) fail(code ports.Code, text string) ports.Response {
 	if c.transaction != nil {
 		c.state = ports.TransactionFailed
 	}
-	return bad(code, text)
+	return errorResponse(code, text)
 }
 
+// beginTimeUs is how long a database takes to begin a transaction.
+const beginTimeUs = 50
+
+// exec runs one operation; done hears its response, or nothing where the connection
+// is dropped before.
 func (c *databaseConnection) exec(o ports.Op, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
-	statement := o.Statement
 	if o.Internal {
-		c.execOwn(o, done)
+		c.execInternal(o, done)
 		return
 	}
-	sent := f.oracle.statement(statement.ID)
+	sent := f.oracle.statement(o.Statement.ID)
 	if sent == nil {
-		f.oracle.violation("UNASKED: %s was sent statement %q, which no caller sent", d.id, statement.ID)
-		done(bad(ports.Malformed, "unknown"))
+		f.oracle.violation("UNASKED: %s was sent statement %q, which no caller sent", d.id, o.Statement.ID)
+		done(errorResponse(ports.Malformed, "unknown"))
 		return
 	}
-	if string(statement.Raw) != sent.raw {
-		f.oracle.violation("UNASKED: %s was sent %q as %q", d.id, sent.raw, statement.Raw)
+	if string(o.Statement.Raw) != sent.raw {
+		f.oracle.violation("UNASKED: %s was sent %q as %q", d.id, sent.raw, o.Statement.Raw)
 	}
 	if c.state == ports.TransactionFailed {
-		if statement.Kind == ports.Commit {
-			c.transaction, c.state = nil, ports.Idle
-			done(bad(ports.RolledBack, "failed before"))
-			return
-		}
-		done(bad(ports.Malformed, "only its end is taken"))
+		done(c.endFailedTransaction(o.Statement.Kind))
 		return
 	}
-	switch statement.Kind {
+	switch o.Statement.Kind {
 	case ports.Begin, ports.BeginRead:
-		us := int64(50)
-		f.After(us, func() {
-			switch {
-			case c.state != ports.Idle:
-				done(bad(ports.Malformed, "inside a transaction"))
-			case c.checkPosition(o.After):
-				if f.failedBeginBreaksConnection {
-					c.state = ports.TransactionFailed
-				}
-				done(bad(ports.Lagging, d.id))
-			case statement.Kind == ports.Begin && !d.primary:
-				if f.failedBeginBreaksConnection {
-					c.state = ports.TransactionFailed
-				}
-				done(bad(ports.ReadOnly, d.id))
-			default:
-				c.transaction = &databaseTransaction{begin: sent, plain: statement.Kind == ports.Begin, term: d.term}
-				c.state = ports.InTransaction
-				done(ports.Response{Body: []byte("complete -")})
-			}
-		})
+		f.After(beginTimeUs, func() { done(c.begin(o, sent)) })
 	case ports.Read, ports.Write, ports.Execute:
-		writes := statement.Kind == ports.Write
-		if statement.Kind == ports.Execute {
-			sh, ok := c.prepared[o.Name]
-			if !ok {
-				done(c.fail(ports.UnknownPreparedStatement, "no such name"))
-				return
-			}
-			writes = sh.writes
-			f.oracle.preparedRan(d, sent, sh)
-		}
-		x := c.transaction
-		if !d.work(sent.workUs, false, func() {
-			if c.transaction != x {
-				return // rolled back meanwhile
-			}
-			c.execRun(o, sent, writes, done)
-		}) {
-			done(bad(ports.Busy, "the line is full"))
-		}
+		c.startStatement(o, sent, done)
 	case ports.Commit:
-		if c.transaction == nil {
-			done(bad(ports.Malformed, "no transaction"))
+		c.startCommit(sent, done)
+	default:
+		f.oracle.violation("%s was sent %q", d.id, sent.raw)
+		done(errorResponse(ports.Malformed, "not a statement"))
+	}
+}
+
+// endFailedTransaction is all that a failed transaction takes: its end.
+func (c *databaseConnection) endFailedTransaction(kind ports.StatementKind) ports.Response {
+	if kind != ports.Commit {
+		return errorResponse(ports.Malformed, "only its end is taken")
+	}
+	c.transaction, c.state = nil, ports.Idle
+	return errorResponse(ports.RolledBack, "failed before")
+}
+
+// begin begins a transaction.
+func (c *databaseConnection) begin(o ports.Op, sent *Statement) ports.Response {
+	d := c.database
+	mayWrite := o.Statement.Kind == ports.Begin
+	switch {
+	case c.state != ports.Idle:
+		return errorResponse(ports.Malformed, "inside a transaction")
+	case c.lacksPosition(o.After):
+		return c.failBegin(ports.Lagging)
+	case mayWrite && !d.primary:
+		return c.failBegin(ports.ReadOnly)
+	}
+	c.transaction = &databaseTransaction{begin: sent, mayWrite: mayWrite, term: d.term}
+	c.state = ports.InTransaction
+	return ports.Response{Body: []byte("complete -")}
+}
+
+// failBegin rejects a beginning. Some databases then take the rest of the transaction
+// that was sent along for statements on their own, others fail the connection.
+func (c *databaseConnection) failBegin(code ports.Code) ports.Response {
+	if c.database.fleet.failedBeginBreaksConnection {
+		c.state = ports.TransactionFailed
+	}
+	return errorResponse(code, c.database.id)
+}
+
+// startStatement runs a read, a write or a prepared statement once the database has
+// a slot for it.
+func (c *databaseConnection) startStatement(o ports.Op, sent *Statement, done func(ports.Response)) {
+	writes := o.Statement.Kind == ports.Write
+	if o.Statement.Kind == ports.Execute {
+		prepared, ok := c.prepared[o.Name]
+		if !ok {
+			done(c.fail(ports.UnknownPreparedStatement, "no such name"))
 			return
 		}
-		if !d.work(f.Between(500, 2_000), false, func() { c.execCommit(sent, done) }) {
-			done(bad(ports.Busy, "the line is full"))
+		writes = prepared.writes
+		c.database.fleet.oracle.preparedRan(c.database, sent, prepared)
+	}
+	transaction := c.transaction
+	accepted := c.database.work(sent.workUs, false, func() {
+		if c.transaction == transaction { // else it was rolled back meanwhile
+			c.execStatement(o, sent, writes, done)
 		}
-	default:
-		f.oracle.violation("%s was sent %q", d.id, sent.raw)
-		done(bad(ports.Malformed, "not a statement"))
+	})
+	if !accepted {
+		done(errorResponse(ports.Busy, "the line is full"))
+	}
+}
+
+// startCommit commits once the database has a slot for it.
+func (c *databaseConnection) startCommit(sent *Statement, done func(ports.Response)) {
+	if c.transaction == nil {
+		done(errorResponse(ports.Malformed, "no transaction"))
+		return
+	}
+	if !c.database.work(c.database.fleet.Between(500, 2_000), false, func() { c.execCommit(sent, done) }) {
+		done(errorResponse(ports.Busy, "the line is full"))
 	}
 }
 
-func (c *databaseConnection) execRun(o ports.Op, statement *Statement, writes bool, done func(ports.Response)) {
+func (c *databaseConnection) execStatement(o ports.Op, statement *Statement, writes bool, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
 	switch {
 	case c.lostLead():
 		done(c.fail(ports.ReadOnly, d.id))
 		return
-	case c.checkPosition(o.After):
+	case c.lacksPosition(o.After):
 		done(c.fail(ports.Lagging, d.id))
 		return
-	case writes && (!d.primary || c.transaction != nil && !c.transaction.plain):
+	case writes && (!d.primary || c.transaction != nil && !c.transaction.mayWrite):
 		done(c.fail(ports.ReadOnly, d.id))
 		return
 	}
@@ -246,7 +274,7 @@
 		if c.transaction != nil {
 			c.state = ports.TransactionFailed
 		}
-		done(bad(ports.RolledBack, "a conflict"))
+		done(errorResponse(ports.RolledBack, "a conflict"))
 		return
 	}
 	body := f.oracle.makeResult(statement, d)
@@ -257,7 +285,7 @@
 	case writes:
 		e := d.append(statement, []*Statement{statement})
 		if f.Plan.Mutation == BusyThatRan && f.Chance(0.05) {
-			done(bad(ports.Busy, "planted"))
+			done(errorResponse(ports.Busy, "planted"))
 			return
 		}
 		if f.Plan.Mutation == RunsTwice && f.Chance(0.01) {
@@ -288,7 +316,7 @@
 	d, f := c.database, c.database.fleet
 	x := c.transaction
 	if x == nil { // dropped meanwhile
-		done(bad(ports.RolledBack, "gone"))
+		done(errorResponse(ports.RolledBack, "gone"))
 		return
 	}
 	if len(x.writes) > 0 && c.lostLead() {
@@ -298,7 +326,7 @@
 	f.oracle.statementRan(c, statement)
 	c.transaction, c.state = nil, ports.Idle
 	if f.Chance(f.Plan.ConflictProbability) {
-		done(bad(ports.RolledBack, "a conflict"))
+		done(errorResponse(ports.RolledBack, "a conflict"))
 		return
 	}
 	body := f.oracle.makeResult(statement, d)
@@ -309,7 +337,7 @@
 	c.await(d.append(statement, x.writes), body, done)
 }
 
-func (c *databaseConnection) execOwn(o ports.Op, done func(ports.Response)) {
+func (c *databaseConnection) execInternal(o ports.Op, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
 	statement := o.Statement
 	name := statement.Name
@@ -319,7 +347,7 @@
 	f.After(30, func() {
 		ok := ports.Response{Body: []byte("complete -")}
 		if c.state == ports.TransactionFailed && statement.Kind != ports.Rollback {
-			done(bad(ports.Malformed, "only its end is taken"))
+			done(errorResponse(ports.Malformed, "only its end is taken"))
 			return
 		}
 		switch statement.Kind {
