--- a/emulator/fleetsimulation/callers.go
+++ b/emulator/fleetsimulation/callers.go
@@ -35,6 +35,7 @@
 	done       bool
 }
 
+// startCallers starts the callers of all groups.
 func (f *Fleet) startCallers() {
 	for i := range f.Plan.Callers {
 		g := f.groups[i%len(f.groups)]
@@ -45,7 +46,7 @@
 				rs = append(rs, r)
 			}
 		}
-		// 55, 25 and 20 of a hundred.
+		// 55, 25 and 20 percent of the callers.
 		switch x := f.Random.Float64(); {
 		case x < 0.55:
 			c.route = rs[0]
@@ -59,7 +60,7 @@
 	}
 }
 
-// next begins the caller's next operation after a while.
+// next starts the caller's next operation after a while.
 func (c *caller) next() {
 	f := c.fleet
 	if c.done || f.Now >= f.lastOperationUs {
@@ -82,8 +83,13 @@
 	})
 }
 
-func (c *caller) text() string { c.steps++; return fmt.Sprintf("thing-%d", c.fleet.Random.IntN(2000)) }
+// text draws the text of a statement.
+func (c *caller) text() string {
+	c.steps++
+	return fmt.Sprintf("thing-%d", c.fleet.Random.IntN(2000))
+}
 
+// plan draws the caller's next operation: a single statement or a transaction.
 func (c *caller) plan() *operation {
 	f := c.fleet
 	o := &operation{caller: c, atUs: f.Now, counted: true, readOnly: true}
@@ -122,7 +128,7 @@
 		p.restUs = f.Between(0, 50_000)
 		o.plan = append(o.plan, p)
 	}
-	if c.setsValues && f.Chance(0.1) { // inside, too
+	if c.setsValues && f.Chance(0.1) { // also within the transaction
 		o.plan = slices.Insert(o.plan, 1+f.Random.IntN(len(o.plan)), plannedStatement{kind: ports.SetValue})
 	}
 	switch {
--- a/emulator/fleetsimulation/databases.go
+++ b/emulator/fleetsimulation/databases.go
@@ -2,23 +2,12 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"stoneford/internal/ports"
 )
 
-// entry is one commit on a log.
-type entry struct {
-	position       ports.Position
-	commit         *Statement   // that asked for it
-	writes         []*Statement // in it; of a single write the commit itself
-	atUs           int64
-	primary        *Database
-	late           bool // made by a primary after another's promotion took effect
-	acknowledgedUs int64
-}
-
-// Database is one database: a life of its log under one identity.
+// Database is one database: one incarnation of a log under one identity. Its fields
+// about a run of its process are set anew by start.
 type Database struct {
 	fleet   *Fleet
 	id      string
@@ -28,39 +17,54 @@
 	zone    string
 
 	up           bool
-	unresponsive bool // while it is not up its machine is dark, rather than bouncing
+	unresponsive bool // while it is not up its machine does not respond, rather than refuse connections
 	ended        bool // for good
-	generation   int
+	generation   int  // of the run of its process
+	startUs      int64
 	busy         int // slots in use
 	queue        []job
 	connections  []*databaseConnection
 
-	primary         bool
-	term            uint64
-	log             []*entry
-	applied         int
-	frozenBy        uint64
-	frozenAt        int
-	receivesNothing bool
-	lagFactor       float64 // times the usual
-	pushedPositions map[string]int64
+	logState
+	announcementState
+	databaseFaults
+}
+
+// logState is a database's log and its part in the replication of its group.
+type logState struct {
+	primary  bool
+	term     uint64
+	log      []*entry
+	applied  int    // length of the log that reads show
+	frozenBy uint64 // term that froze its replication, 0 if it is not frozen
+	frozenAt int    // length of the log at that time
 
-	receivedByReplica        map[string]int // followers' received numbers, by identity
+	pushedPositions          map[string]int64 // of a primary: when the log was last offered, by replica
+	receivedByReplica        map[string]int   // of a primary: length of the log received, by replica
 	syncWaits                []syncWait
-	reachesNewPrimarySinceUs int64 // since when it reaches one that was promoted above it
-	truncatingUntilUs        int64 // busy until, after it was cut back
-	lostReplyProbability     float64
-	lostReplyKind            int
-	failureProbability       float64
-	extraServiceUs           int64
-	draining                 bool
-	drainAcknowledgedUs      int64 // when its leaving was acknowledged, 0 if it was not
-	call                     uint64
-	target                   *Control
-	startUs                  int64
-	calling                  bool
-	changedDuringCall        bool // something changed during a call
-	goneSent                 bool
+	reachesNewPrimarySinceUs int64 // since when a primary reaches one of a newer term
+	truncatingUntilUs        int64 // a database that truncates its log does nothing else
+}
+
+// announcementState is how far control processes know of a database.
+type announcementState struct {
+	draining            bool
+	drainAcknowledgedUs int64    // when a control process acknowledged that, 0 if none did
+	call                uint64   // number of the newest announcement
+	target              *Control // that is announced to
+	calling             bool
+	changedDuringCall   bool
+	goneSent            bool // the last announcement was sent
+}
+
+// databaseFaults are the faults of a database now.
+type databaseFaults struct {
+	receivesNothing      bool
+	lagFactor            float64 // of the usual time until an entry is applied
+	lostReplyProbability float64
+	lostReplyKind        int // 0: the reply never comes, else the connection is reset
+	failureProbability   float64
+	extraServiceUs       int64
 }
 
 type job struct {
@@ -68,35 +72,37 @@
 	run        func()
 }
 
-type syncWait struct {
-	position int
-	done     func()
-}
-
-// group is one service of databases.
+// group is one primary and its replicas, served as one.
 type group struct {
 	name         string
-	databases    []*Database // all that are there, and those that will be back
+	databases    []*Database // without those that ended for good
 	syncReplicas int
 	limit        int
 	promotedUs   int64     // when the newest promotion took effect, 0 for none
 	primary      *Database // of the newest term
 	acknowledged []acknowledgedEntry
-	lost         map[*entry]bool // acknowledged commits seen missing, told once
-	newestTerm   uint64          // newest term
+	lost         map[*entry]bool // acknowledged commits that were seen missing and reported
+	newestTerm   uint64
 }
 
+// slots is how many statements a database runs at once.
 const slots = 4
 
+// maxQueue bounds the statements that wait for a slot; more are rejected.
+const maxQueue = 32
+
+// newDatabase makes a database that is not started yet.
 func (f *Fleet) newDatabase(g *group, id, addr, zone string) *Database {
-	d := &Database{fleet: f, id: id, address: addr, ip: hostOf(addr), group: g, zone: zone, lagFactor: 1, term: 1, receivedByReplica: map[string]int{}, pushedPositions: map[string]int64{}}
+	d := &Database{fleet: f, id: id, address: addr, ip: hostOf(addr), group: g, zone: zone, databaseFaults: databaseFaults{lagFactor: 1},
+		logState: logState{term: 1, receivedByReplica: map[string]int{}, pushedPositions: map[string]int64{}}}
 	f.network.zones[d.ip] = zone
 	g.databases = append(g.databases, d)
 	f.databases[id] = d
 	return d
 }
 
-// start begins a run of the process: holds are forgotten.
+// start begins a run of the process. What is not in the log is lost, also that
+// replication was frozen.
 func (d *Database) start() {
 	f := d.fleet
 	d.generation++
@@ -114,7 +120,8 @@
 	f.After(f.Between(0, 100_000), func() { d.announceLoop(gen) })
 }
 
-// crash ends the process; its log stays. silent: its machine goes dark.
+// crash ends the process; its log stays. An unresponsive machine sends nothing any
+// more, not even the end of its connections.
 func (d *Database) crash(unresponsive bool) {
 	if !d.up {
 		return
@@ -130,6 +137,7 @@
 	d.connections = nil
 }
 
+// later does something after a time, if this run of the process still goes on then.
 func (d *Database) later(us int64, do func()) {
 	gen := d.generation
 	d.fleet.After(us, func() {
@@ -139,32 +147,17 @@
 	})
 }
 
-// position is what the database shows: the newest that it applied.
-func (d *Database) position() ports.Position {
-	n := d.applied
-	if d.primary {
-		n = len(d.log)
-	}
-	return d.positionAt(n)
-}
-
-func (d *Database) positionAt(n int) ports.Position {
-	if n == 0 {
-		return ports.Position{Term: 1}
-	}
-	return d.log[n-1].position
-}
-
+// status is what a database reports to control processes.
 func (d *Database) status() ports.DatabaseStatus {
 	return ports.DatabaseStatus{Primary: d.primary, Term: d.term, Received: d.positionAt(len(d.log)), FrozenTerm: d.frozenBy, BusyConnections: d.busy, OpenTransactions: len(d.connections)}
 }
 
-// work takes a slot for a time, then does something. Where the line is full it
-// says so, unless the work may not be bounced.
+// work takes a slot for a time, then does something. It returns false where the queue
+// is full, unless force is set.
 func (d *Database) work(us int64, force bool, f func()) bool {
 	us += d.extraServiceUs
 	if d.busy >= slots || d.truncatingUntilUs > d.fleet.Now {
-		if len(d.queue) >= 32 && !force {
+		if len(d.queue) >= maxQueue && !force {
 			return false
 		}
 		d.queue = append(d.queue, job{us, f})
@@ -177,6 +170,7 @@
 	return true
 }
 
+// run does a job in a free slot.
 func (d *Database) run(j job) {
 	d.busy++
 	d.later(j.durationUs, func() {
@@ -186,6 +180,7 @@
 	})
 }
 
+// pump starts queued jobs in free slots.
 func (d *Database) pump() {
 	for d.busy < slots && len(d.queue) > 0 && d.truncatingUntilUs <= d.fleet.Now {
 		j := d.queue[0]
@@ -194,205 +189,8 @@
 	}
 }
 
-// Copying of the log.
-
-// loop has a database look after its place in its group.
-func (d *Database) loop(gen int) {
-	if !d.up || d.generation != gen {
-		return
-	}
-	f := d.fleet
-	if d.primary {
-		d.offerAll()
-		d.stepDownForDraining()
-	}
-	f.After(f.Between(60_000, 90_000), func() { d.loop(gen) })
-}
-
-// stepDownForDraining has a primary follow once it has reached one above it for a second.
-func (d *Database) stepDownForDraining() {
-	f := d.fleet
-	p := d.group.primary
-	if p == nil || p == d || p.term <= d.term || !p.up || !f.network.connected(d.ip, p.ip) {
-		d.reachesNewPrimarySinceUs = 0
-		return
-	}
-	if d.reachesNewPrimarySinceUs == 0 {
-		d.reachesNewPrimarySinceUs = f.Now
-	}
-	if f.Now-d.reachesNewPrimarySinceUs >= 1_000_000 {
-		d.stepDown()
-	}
-}
-
-func (d *Database) stepDown() {
-	d.primary, d.reachesNewPrimarySinceUs, d.applied = false, 0, len(d.log)
-	ws := d.syncWaits
-	d.syncWaits = nil
-	for _, w := range ws {
-		w.done() // ends as not confirmed: see confirmed
-	}
-	d.fleet.logf("%s follows", d.id)
-	d.announce()
-}
-
-func (d *Database) offerAll() {
-	for _, o := range d.group.databases {
-		if o != d && o.up && (d.receivedByReplica[o.id] < len(d.log) || o.term < d.term || len(o.log) != len(d.log)) && d.fleet.Now-d.pushedPositions[o.id] > 50_000 {
-			d.offer(o)
-		}
-	}
-}
-
-// offer sends a follower the log as it stands.
-func (d *Database) offer(o *Database) {
-	f := d.fleet
-	log, term, gen, from := d.log[:len(d.log):len(d.log)], d.term, o.generation, d.generation
-	if !f.network.connected(d.ip, o.ip) {
-		return
-	}
-	d.pushedPositions[o.id] = f.Now
-	f.network.arrive(d.ip, o.ip, f.network.delay(d.ip, o.ip), func() {
-		if !o.up || o.generation != gen || o.ended || !f.network.connected(d.ip, o.ip) {
-			return
-		}
-		if !o.receive(log, term) {
-			return
-		}
-		n := len(log)
-		f.network.arrive(o.ip, d.ip, f.network.delay(o.ip, d.ip), func() {
-			if d.up && d.generation == from && d.primary && d.term == term && f.network.connected(d.ip, o.ip) {
-				d.receivedByReplica[o.id] = max(d.receivedByReplica[o.id], n)
-				d.confirm()
-			}
-		})
-	})
-}
-
-// receive takes a primary's log; false says that it does not.
-func (d *Database) receive(log []*entry, term uint64) bool {
-	if d.primary || term < d.term || d.receivesNothing || d.frozenBy > 0 && d.fleet.Plan.Mutation != FreezeIgnored {
-		return false
-	}
-	d.term = term
-	n := min(len(d.log), len(log))
-	if n > 0 && d.log[n-1] != log[n-1] {
-		for n > 0 && d.log[n-1] != log[n-1] {
-			n--
-		}
-	}
-	if n < len(d.log) {
-		if n == len(log) && d.log[n].position.Term == term {
-			return true // an older offer of the same log
-		}
-		d.truncate(n)
-	}
-	if len(log) > len(d.log) {
-		d.log = append(d.log[:len(d.log):len(d.log)], log[len(d.log):]...)
-		d.applyLater(len(d.log))
-	}
-	return true
-}
-
-func (d *Database) truncate(n int) {
-	d.fleet.logf("%s is cut back from %v to %d", d.id, d.positionAt(len(d.log)), n)
-	d.log = slices.Clone(d.log[:n])
-	d.applied = min(d.applied, n)
-	d.truncatingUntilUs = d.fleet.Now + d.fleet.Between(100_000, 500_000)
-	d.later(d.truncatingUntilUs-d.fleet.Now, d.pump)
-}
-
-func (d *Database) applyLater(n int) {
-	want := d.log[n-1]
-	us := int64(float64(d.fleet.Between(5_000, 40_000)) * d.lagFactor)
-	d.later(us, func() {
-		if n <= len(d.log) && d.log[n-1] == want {
-			d.applied = max(d.applied, n)
-		}
-	})
-}
-
-// append makes a commit.
-func (d *Database) append(commit *Statement, writes []*Statement) *entry {
-	f := d.fleet
-	e := &entry{position: ports.Position{Term: d.term, Number: int64(len(d.log) + 1)}, commit: commit, writes: writes, atUs: f.Now, primary: d, late: d.group.newestTerm > d.term}
-	d.log = append(d.log, e)
-	f.oracle.committed(e)
-	for _, o := range d.group.databases {
-		if o != d && o.up && f.Plan.Mutation != SyncDropped {
-			d.offer(o)
-		}
-	}
-	return e
-}
-
-// confirmed calls back once enough followers have received a commit; ok is false
-// where the lead was lost before.
-func (d *Database) confirmed(e *entry, f func(ok bool)) {
-	n := int(e.position.Number)
-	if d.group.syncReplicas == 0 || d.fleet.Plan.Mutation == SyncDropped {
-		f(true)
-		return
-	}
-	d.syncWaits = append(d.syncWaits, syncWait{n, func() { f(d.primary && d.acknowledgedByReplica(n)) }})
-}
-
-func (d *Database) acknowledgedByReplica(n int) bool {
-	k := 0
-	for _, o := range d.group.databases {
-		if o != d && d.receivedByReplica[o.id] >= n {
-			k++
-		}
-	}
-	return k >= d.group.syncReplicas
-}
-
-func (d *Database) confirm() {
-	var done []syncWait
-	d.syncWaits = slices.DeleteFunc(d.syncWaits, func(w syncWait) bool {
-		ok := d.acknowledgedByReplica(w.position)
-		if ok {
-			done = append(done, w)
-		}
-		return ok
-	})
-	for _, w := range done {
-		w.done()
-	}
-}
-
-// promote has a database lead the next term with what it has received.
-func (d *Database) promote() {
-	g, f := d.group, d.fleet
-	if d.primary && d.term == g.newestTerm {
-		return
-	}
-	g.newestTerm++
-	old := g.primary
-	if f.Plan.Mutation == FreezeIgnored && d.frozenBy > 0 && d.frozenAt < len(d.log) {
-		d.log = slices.Clone(d.log[:d.frozenAt])
-	}
-	d.term, d.primary, d.frozenBy = g.newestTerm, true, 0
-	d.applied = len(d.log)
-	d.receivedByReplica, d.pushedPositions = map[string]int{}, map[string]int64{}
-	g.primary, g.promotedUs = d, f.Now
-	if f.promotionUnfreezesGroup {
-		for _, o := range g.databases {
-			o.frozenBy = 0
-		}
-	}
-	o := "none"
-	if old != nil {
-		o = old.id
-	}
-	f.logf("%s: %s leads term %d at %v; %s led before", g.name, d.id, d.term, d.positionAt(len(d.log)), o)
-	f.oracle.promoted(d)
-	d.announce()
-}
-
-// Connections.
-
-// command runs Status, Hold, Resume and StepDown.
+// command runs a command of a control process: status, freeze and resume replication,
+// step down.
 func (d *Database) command(o ports.Op, done func(ports.DatabaseStatus, ports.Code)) {
 	if !d.work(1_000, false, func() {
 		code := ports.Done
@@ -404,7 +202,7 @@
 				code = ports.Malformed
 			default:
 				d.frozenBy, d.frozenAt = max(d.frozenBy, o.Term), len(d.log)
-				d.fleet.logf("%s is held at %d, having %v", d.id, d.frozenBy, d.positionAt(len(d.log)))
+				d.fleet.logf("%s is frozen by term %d, having %v", d.id, d.frozenBy, d.positionAt(len(d.log)))
 			}
 		case ports.ResumeReplication:
 			d.frozenBy = 0
@@ -419,8 +217,6 @@
 	}
 }
 
-// Announcements.
-
 func (d *Database) String() string {
 	return fmt.Sprintf("%s(%d, %v)", d.id, d.term, d.positionAt(len(d.log)))
 }
--- a/emulator/fleetsimulation/moves.go
+++ b/emulator/fleetsimulation/moves.go
@@ -14,25 +14,26 @@
 	"stoneford/schema"
 )
 
-// moves is what operators ask of groups' sites, and what was seen of that.
+// moves has operators move groups between sites, and checks what is seen of it (rules
+// MOVE, GATE and FLOOR).
 type moves struct {
 	fleet          *Fleet
-	agreed         map[string]uint64    // newest table that a group's move was seen agreed by
-	terms          map[string]uint64    // newest in which a group was seen open
+	agreed         map[string]uint64    // newest table by which a group's move was agreed
+	terms          map[string]uint64    // newest in which a group's leadership was serving
 	floors         map[string][]floor   // of each group, by rising table
 	phases         map[string][2]uint64 // newest register revision seen of a move, and its phase
 	seen           map[ports.MovePhase]int
 	requestedMoves int
-	forgetful      int64 // from when on the first node hears of no table, where that is planted
+	forgetful      int64 // from when on the first node hears of no table, with a mutation that does this
 }
 
-// floor is a leadership that needs a table: nothing older may serve from then on.
+// floor is a leadership that needs a routing table: no older one may serve from then on.
 type floor struct {
 	table uint64
-	at    int64 // when it was first seen agreed
+	at    int64 // when it was first seen committed
 	term  uint64
-	// stayed: the group only took the floor on, at the primary it had. No site was
-	// switched, and a node that heard nothing may still write there.
+	// stayed: the leadership only took on the floor and kept its primary. No site was
+	// switched, and a node that did not hear of it may still write there.
 	stayed bool
 }
 
@@ -84,8 +85,7 @@
 	m.terms[g.name] = max(m.terms[g.name], l.Term)
 }
 
-// gate is called when a move was seen agreed: whoever has a lease works by its
-// table.
+// gate is called when a move was seen agreed: whoever has a lease works by its table.
 func (m *moves) gate(g *group, table uint64) {
 	m.agreed[g.name] = max(m.agreed[g.name], table)
 	for _, n := range m.fleet.nodes {
@@ -95,14 +95,14 @@
 	}
 }
 
-// ended is called when a caller hears that a statement was done: nothing that
-// left for a database after the switch may have done so under an older table.
+// ended is called when a caller hears that a statement was done: what was forwarded to a
+// database after the switch must have been forwarded under its table or a newer one.
 func (m *moves) ended(statement *Statement) {
 	if !statement.forwarded || statement.route.kind != ports.CurrentRead && !statement.writes && statement.kind != ports.Commit {
 		return
 	}
 	if statement.kind == ports.Commit && !statement.attempt.wrote(statement.transaction) {
-		return // the end of a transaction that only read, each read held against this by itself
+		return // the end of a transaction that only read; each read was checked by itself
 	}
 	for _, fl := range m.floors[statement.route.group] {
 		if fl.stayed {
@@ -115,8 +115,8 @@
 	}
 }
 
-// acknowledged is called for each acknowledged commit: one of a later term than the
-// switch began in left under its table.
+// acknowledged is called for each acknowledged commit: one of the term of the switch or a
+// later one must have been forwarded under the switch's table or a newer one.
 func (m *moves) acknowledged(statement *Statement, e *entry) {
 	for _, fl := range m.floors[statement.route.group] {
 		if fl.stayed {
@@ -145,7 +145,7 @@
 	next()
 }
 
-// request has one group moved to a zone or region, and some moves taken back.
+// request moves one group to a zone or region; some moves are cancelled again.
 func (m *moves) request() {
 	f := m.fleet
 	g := f.groups[f.Random.IntN(len(f.groups))]
@@ -181,7 +181,7 @@
 // site is the zone of a group's primary.
 func (g *group) site() string { return g.primary.zone }
 
-// mutate takes from a return what a plant has a node not hear.
+// mutate removes from a poll response what a mutation keeps from a node.
 func (m *moves) mutate(to string, r *schema.PollResponse) {
 	f := m.fleet
 	if f.nodeAt[to] == f.nodes[0] && f.Now >= m.forgetful {
@@ -203,7 +203,7 @@
 	}
 }
 
-// mutatePoll has a voter say of all what only some do.
+// mutatePoll has a control process report that all processes work by the newest table.
 func (f *Fleet) mutatePoll(e *schema.Envelope) {
 	if l := e.GetPoll(); l != nil && (f.Plan.Mutation == GateSkipped || f.Plan.Mutation == FloorIgnored) && l.Kind == "control" {
 		l.ConvergedTable = cmp.Or(l.ConvergedTable, 1) << 40
--- a/emulator/fleetsimulation/network.go
+++ b/emulator/fleetsimulation/network.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// network carries whatever goes between hosts. Ways are ordered, as TCP's are;
-// a way that is cut holds what was put on it until it is mended.
+// network carries whatever goes between hosts. What goes from one host to another
+// arrives in order, as over TCP; a partition delays it until the partition ends.
 type network struct {
 	scheduler     scheduler
 	zones         map[string]string  // of each host
-	lossy         map[string]float64 // by zone: share of what is lost at the first sending
+	lossy         map[string]float64 // by zone: probability that something is lost at its first transmission
 	partitions    map[[2]string]int
-	lastArrivalUs map[[2]string]int64 // newest arrival on a way
+	lastArrivalUs map[[2]string]int64 // newest arrival, by sender and receiver
 	pending       []pendingDelivery
-	lastFaultUs   map[string]int64 // when a host was last troubled by a cut or loss
+	lastFaultUs   map[string]int64 // when a host was last partitioned or lossy
 }
 
 type pendingDelivery struct {
@@ -39,7 +39,7 @@
 // connected says whether both directions work.
 func (n *network) connected(a, b string) bool { return n.reaches(a, b) && n.reaches(b, a) }
 
-// partition breaks one direction once more; mend takes one such cut back.
+// partition breaks one direction once more; repair undoes one such partition.
 func (n *network) partition(from, to string) {
 	if from != to {
 		n.partitions[[2]string{from, to}]++
@@ -58,7 +58,7 @@
 	delete(n.partitions, k)
 	n.pending = slices.DeleteFunc(n.pending, func(h pendingDelivery) bool {
 		if h.from == from && h.to == to {
-			// Sent again when its sender's timer rings next.
+			// It is retransmitted when its sender's timer rings next.
 			n.arrive(from, to, n.scheduler.Between(1_000, 600_000), h.deliver)
 			return true
 		}
@@ -66,7 +66,7 @@
 	})
 }
 
-// faulty says whether any way from or to a host is cut or loses.
+// faulty says whether any direction from or to a host is partitioned or lossy.
 func (n *network) faulty(host string) bool {
 	for k := range n.partitions {
 		if k[0] == host || k[1] == host {
@@ -84,7 +84,7 @@
 	return d + n.scheduler.Between(0, d/10+50)
 }
 
-// arrive has f run after a delay, and not before what is on the way already.
+// arrive has f run after a delay, and not before what was sent earlier.
 func (n *network) arrive(from, to string, d int64, f func()) {
 	k := [2]string{from, to}
 	at := max(n.scheduler.Now+d, n.lastArrivalUs[k]+1)
@@ -92,13 +92,13 @@
 	n.scheduler.After(at-n.scheduler.Now, f)
 }
 
-// loses draws whether something is lost at its first sending.
+// loses draws whether something is lost at its first transmission.
 func (n *network) loses(from, to string) bool {
 	return n.scheduler.Chance(max(n.lossy[n.zones[from]], n.lossy[n.zones[to]]))
 }
 
-// carry takes bytes of a stream: they arrive in order, however late. A cut holds
-// them up.
+// carry carries bytes of a stream: they arrive in order, however late. A partition
+// delays them.
 func (n *network) carry(from, to string, f func()) {
 	if !n.reaches(from, to) {
 		n.pending = append(n.pending, pendingDelivery{from, to, n.scheduler.Now, f})
--- a/emulator/fleetsimulation/operations.go
+++ b/emulator/fleetsimulation/operations.go
@@ -8,32 +8,34 @@
 	"stoneford/internal/ports"
 )
 
+// operation is what a caller wants to have done; it is attempted as a unit.
 type operation struct {
 	caller     *caller
 	atUs       int64
 	attempts   int
 	triedNodes []*Node
 	plan       []plannedStatement
-	readOnly   bool // it only reads
-	counted    bool
+	readOnly   bool
+	counted    bool // its end counts as a success or a failure
 	finished   bool
 	session    *Session
 }
 
+// plannedStatement is one step of an operation.
 type plannedStatement struct {
 	kind       ports.StatementKind
 	text       string
-	writes     bool // of a prepared name
+	writes     bool // also of a prepared statement
 	restUs     int64
 	endSession bool
 }
 
-// attempt is one try of an operation.
+// attempt is one attempt of an operation.
 type attempt struct {
 	op         *operation
 	statements []*Statement
-	promised   string
-	sent       bool // its commit or its single write was sent
+	promised   string // the rejection by which its caller knows that nothing of it took effect
+	sent       bool   // its commit or its single write was sent
 }
 
 // wrote says whether a transaction of the attempt has a write that a database ran.
@@ -41,7 +43,7 @@
 	return slices.ContainsFunc(t.statements, func(s *Statement) bool { return s.transaction == x && s.writes && len(s.results) > 0 })
 }
 
-// end ends an operation, well or not.
+// end ends an operation, successfully or not.
 func (o *operation) end(ok bool) {
 	if o.finished {
 		return
@@ -140,6 +142,7 @@
 	o.run(t, s, append(preparation, o.plan...), nil)
 }
 
+// preparedName is the name under which callers prepare a read or a write.
 func preparedName(writes bool) string {
 	if writes {
 		return "put"
--- a/emulator/fleetsimulation/oracle.go
+++ b/emulator/fleetsimulation/oracle.go
@@ -55,7 +55,7 @@
 	observations         int
 }
 
-// acknowledgedEntry is a commit that a caller was told of.
+// acknowledgedEntry is a commit that was acknowledged to a caller.
 type acknowledgedEntry struct {
 	acknowledgedUs int64
 	entry          *entry
--- a/emulator/fleetsimulation/process.go
+++ b/emulator/fleetsimulation/process.go
@@ -1,7 +1,7 @@
 package fleetsimulation
 
-// process is the standing of one process and its clock; gen tells one run of it
-// from the next.
+// process is the state of one process and of its clock. The generation tells one run of
+// it from the next.
 type process struct {
 	fleet       *Fleet
 	name        string
@@ -10,15 +10,15 @@
 	frozen      bool
 	draining    bool
 	generation  int
-	clockRate   float64 // of its clock
-	startedUs   int64   // true time its run began
-	slowUs      int64   // a slow machine: what each event takes, 0 if it is not
-	freeAtUs    int64   // when the work under way ends
+	clockRate   float64 // of its clock, 1 for the true one
+	startedUs   int64   // true time at which its run began
+	slowUs      int64   // mean time that each event takes on a slow machine, 0 on a usual one
+	freeAtUs    int64   // when the event under way is done
 	queue       []func()
 	scheduled   bool
-	pending     []pendingEvent // what came while it was frozen
-	wakeAtUs    int64          // true time its alarm rings, 0 if none is set
-	lastFaultUs int64          // when it was last not plain
+	pending     []pendingEvent // events that arrived while it was frozen
+	wakeAtUs    int64          // true time at which its timer fires, 0 if none is set
+	lastFaultUs int64          // when it was last not healthy
 }
 
 type pendingEvent struct {
@@ -32,12 +32,12 @@
 	p.startedUs = p.fleet.Now
 }
 
-// now is the process's own monotonic time; it starts at a second.
+// now is the process's own monotonic time; each run starts at a second.
 func (p *process) now() int64 {
 	return 1_000_000 + int64(float64(p.fleet.Now-p.startedUs)*p.clockRate)
 }
 
-// until is how long it is, truly, until the process's clock shows a time.
+// until is how much true time passes until the process's clock shows a time.
 func (p *process) until(local int64) int64 {
 	d := local - p.now()
 	if d <= 0 {
@@ -46,9 +46,9 @@
 	return int64(float64(d)/p.clockRate) + 1
 }
 
-// enter has a process take something in that came from src: at once, or after
-// what came before it. What came in while it was frozen is taken in afterwards,
-// in order for each source but otherwise in any.
+// enter has a process handle an event from a source: at once, or after those that
+// arrived before it. What arrives while the process is frozen is handled afterwards, in
+// order for each source but otherwise in any.
 func (p *process) enter(src string, do func()) {
 	switch {
 	case !p.up:
@@ -102,7 +102,8 @@
 	p.fleet.After(at-p.fleet.Now, run)
 }
 
-// freeze stops a process; thaw lets it go on with all that came meanwhile.
+// freeze stops a process, as SIGSTOP does; thaw lets it go on with all that arrived
+// meanwhile.
 func (p *process) freeze() { p.frozen = true }
 
 func (p *process) thaw() {
@@ -136,8 +137,8 @@
 	}
 }
 
-// alarm has ring called when the process's clock shows a time, if it is not
-// called earlier anyway.
+// alarm has ring called when the process's clock shows a time, if it is not called
+// earlier anyway.
 func (p *process) alarm(local int64, ring func()) {
 	if local >= 1<<62 {
 		return
@@ -157,7 +158,7 @@
 	})
 }
 
-// healthy says that nothing ails a process now.
+// healthy says that a process has no fault now.
 func (p *process) healthy() bool {
 	return p.up && !p.frozen && !p.draining && p.slowUs == 0 && !p.fleet.network.faulty(p.ip)
 }
--- a/emulator/fleetsimulation/readiness.go
+++ b/emulator/fleetsimulation/readiness.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// pickNode is the platform's choice of a node for a new connection.
+// pickNode chooses a node for a new connection, as the platform's load balancer does: a
+// ready one in the caller's zone, unless less than half of those are ready.
 func (f *Fleet) pickNode(zone string, tried []*Node) *Node {
 	in := func(z string) (ready, all []*Node) {
 		for _, n := range f.nodes {
@@ -37,7 +38,8 @@
 	return ns[f.Random.IntN(len(ns))]
 }
 
-// probe asks every node whether it is ready, each second.
+// probe checks every second which nodes are ready. A node counts as not ready after two
+// missed checks.
 func (f *Fleet) probe() {
 	for _, n := range f.nodes {
 		if n.up && !n.frozen && n.core.Ready(n.now()) {
--- a/emulator/fleetsimulation/replacement.go
+++ b/emulator/fleetsimulation/replacement.go
@@ -72,34 +72,34 @@
 		r.next()
 		return
 	}
-	r.inPlace = f.Chance(0.4)
-	if !r.inPlace {
+	r.sameAddress = f.Chance(0.4)
+	if !r.sameAddress {
 		f.addDatabase(g, d.zone).start()
 	}
 	f.later(1_000_000, 2_500_000, r.drain)
 }
 
 const (
-	// drainReserve is how long a database serves on after the draining period that
+	// drainReserveUs is how long a database serves on after the draining period that
 	// its control processes were promised.
 	drainReserveUs = 400_000
 	// unacknowledgedDrainUs is how long a database waits for the acknowledgement of
 	// its draining before it ends without it.
 	unacknowledgedDrainUs = 6_000_000
 	releasePollIntervalUs = 100_000
-	// restartInPlaceDelayUs is how long after its end a database's successor starts
+	// successorDelayUs is how long after its end a database's successor starts
 	// at its address.
-	restartInPlaceDelayUs = 900_000
+	successorDelayUs = 900_000
 )
 
 // databaseRelease is the replacement of one database.
 type databaseRelease struct {
-	fleet    *Fleet
-	group    *group
-	database *Database
-	inPlace  bool // the successor takes the address and the log
-	startUs  int64
-	next     func() // releases the next one
+	fleet       *Fleet
+	group       *group
+	database    *Database
+	sameAddress bool // the successor takes the address and the log
+	startUs     int64
+	next        func() // releases the next one
 }
 
 // drain announces that the database drains, and waits for the end of that.
@@ -121,9 +121,9 @@
 		r.next()
 	case r.drained():
 		r.database.endForGood()
-		r.fleet.After(restartInPlaceDelayUs, func() {
-			if r.inPlace && r.database.ended {
-				r.startInPlace()
+		r.fleet.After(successorDelayUs, func() {
+			if r.sameAddress && r.database.ended {
+				r.startSuccessor()
 			}
 			r.next()
 		})
@@ -140,8 +140,8 @@
 	return r.fleet.Now-r.startUs > unacknowledgedDrainUs
 }
 
-// startInPlace starts the successor at the database's address on its log.
-func (r *databaseRelease) startInPlace() {
+// startSuccessor starts the successor at the database's address on its log.
+func (r *databaseRelease) startSuccessor() {
 	successor := r.fleet.addDatabase(r.group, r.database.zone)
 	successor.address, successor.ip = r.database.address, r.database.ip
 	successor.inheritLog(r.database)
--- a/emulator/fleetsimulation/scheduler.go
+++ b/emulator/fleetsimulation/scheduler.go
@@ -2,8 +2,8 @@
 
 import "stoneford/emulator/virtualtime"
 
-// randomStream sets the random numbers of this simulation apart from those of
-// others with the same seed.
+// randomStream makes the random numbers of this simulation others than those of
+// another simulation with the same seed.
 const randomStream = 0xf1ee7
 
 // scheduler is the fleet's clock and its source of randomness.
--- a/emulator/fleetsimulation/sessions.go
+++ b/emulator/fleetsimulation/sessions.go
@@ -14,7 +14,7 @@
 	node        *Node
 	generation  int
 	id          uint64
-	open        bool // nothing ended it yet
+	open        bool // neither side has ended it
 	ready       bool
 	state       ports.TransactionState
 	values      map[string]string
@@ -23,9 +23,10 @@
 	minPosition *entry
 }
 
+// pendingRequest is a request that a session waits for.
 type pendingRequest struct {
-	statement *Statement // nil while it opens
-	atUs      int64      // it arrived at the node
+	statement *Statement // nil while the session opens
+	atUs      int64      // when it arrived at the node, 0 before that
 	end       func(r ports.Reply, lost bool)
 }
 
@@ -56,8 +57,10 @@
 	return s
 }
 
+// source names the session's stream of events at its node.
 func (s *Session) source() string { return fmt.Sprint("session", s.id) }
 
+// send sends a statement to the node; end hears its reply, or that the session was lost.
 func (s *Session) send(statement *Statement, end func(ports.Reply, bool)) {
 	f, n := s.fleet, s.node
 	a := &pendingRequest{statement: statement, end: end}
@@ -73,7 +76,8 @@
 	})
 }
 
-// replied brings a reply of the node's to the caller.
+// replied brings a node's reply to the caller. A node that is healthy rejects what it
+// did not forward in time (rule HELD).
 func (s *Session) replied(r ports.Reply, closed bool) {
 	f := s.fleet
 	if a := s.request; a != nil && a.atUs > 0 && len(r.Body) == 0 && r.Code.NoEffect() {
@@ -102,7 +106,7 @@
 	})
 }
 
-// shut is the node closing a session that asked nothing.
+// shut closes a session that has no request open from the node's side.
 func (s *Session) shut() {
 	s.fleet.After(toCallerDelayUs, s.connectionBroke)
 }
--- a/emulator/fleetsimulation/statement.go
+++ b/emulator/fleetsimulation/statement.go
@@ -57,7 +57,7 @@
 	return s.required
 }
 
-// acknowledgesWrites says whether the end of a statement tells its caller that
+// acknowledgesWrites says whether the end of a statement confirms to its caller that
 // something was written: a single write, or the commit of a transaction that wrote.
 func (s *Statement) acknowledgesWrites() bool {
 	if s.transaction == nil && s.writes {
--- a/emulator/simulation/fleet.go
+++ b/emulator/simulation/fleet.go
@@ -16,8 +16,8 @@
 	"stoneford/schema"
 )
 
-// randomStream sets the random numbers of this simulation apart from those of
-// others with the same seed.
+// randomStream makes the random numbers of this simulation others than those of
+// another simulation with the same seed.
 const randomStream = 0x5eed
 
 // Plan is what a simulated fleet is made of and what it has to bear.
