--- /dev/null
+++ b/emulator/fleetsimulation/connections.go
@@ -0,0 +1,145 @@
+package fleetsimulation
+
+import (
+	"slices"
+
+	"stoneford/internal/ports"
+)
+
+// databaseConnection is one connection at its database. It runs operations in order,
+// one at a time.
+type databaseConnection struct {
+	database    *Database
+	stream      *stream // to its node; nil on a connection of a control process
+	open        bool
+	values      map[string]string
+	prepared    map[string]shape
+	state       ports.TransactionState
+	transaction *databaseTransaction
+	queue       []ports.Op
+	running     bool
+	closing     bool // closed at the other end; what arrived before that is still run
+}
+
+// shape is what a prepared name stands for.
+type shape struct {
+	text   string
+	writes bool
+}
+
+// databaseTransaction is the transaction that is open on a connection.
+type databaseTransaction struct {
+	begin    *Statement
+	mayWrite bool
+	term     uint64
+	writes   []*Statement
+}
+
+// accept opens a connection, unless another database is meant or too many are open.
+func (d *Database) accept(group, id string, s *stream) (ports.Code, *databaseConnection) {
+	switch {
+	case group != d.group.name || id != "" && id != d.id:
+		return ports.WrongInstance, nil
+	case len(d.connections) >= d.group.limit:
+		return ports.TooManyConnections, nil
+	}
+	c := &databaseConnection{database: d, stream: s, open: true, values: map[string]string{}, prepared: map[string]shape{}}
+	d.connections = append(d.connections, c)
+	d.fleet.oracle.connections++
+	return ports.Done, c
+}
+
+// hangUp closes a connection once what arrived before has run.
+func (c *databaseConnection) hangUp() {
+	c.closing = true
+	if !c.running && len(c.queue) == 0 {
+		c.drop()
+	}
+}
+
+// drop closes a connection at once; its transaction is rolled back.
+func (c *databaseConnection) drop() {
+	if !c.open {
+		return
+	}
+	c.open, c.transaction, c.queue = false, nil, nil
+	c.database.connections = slices.DeleteFunc(c.database.connections, func(o *databaseConnection) bool { return o == c })
+}
+
+// push takes operations that a node sent.
+func (c *databaseConnection) push(ops []ports.Op, n *Node) {
+	for _, o := range ops {
+		if !o.Internal {
+			c.database.fleet.oracle.statementArrived(c.database, n, o)
+		}
+	}
+	c.queue = append(c.queue, ops...)
+	c.next()
+}
+
+// next runs the next operation, if none runs.
+func (c *databaseConnection) next() {
+	if c.running || !c.open {
+		return
+	}
+	if len(c.queue) == 0 {
+		if c.closing {
+			c.drop()
+		}
+		return
+	}
+	o := c.queue[0]
+	c.queue = c.queue[1:]
+	c.running = true
+	gen := c.database.generation
+	c.exec(o, func(a ports.Response) {
+		if !c.database.up || c.database.generation != gen {
+			return
+		}
+		c.running = false
+		if !c.open {
+			return
+		}
+		a.State, a.Position = c.state, c.database.position()
+		if c.stream != nil {
+			c.reply(o, a)
+		}
+		c.next()
+	})
+}
+
+// reply sends a response, unless a fault loses it.
+func (c *databaseConnection) reply(o ports.Op, a ports.Response) {
+	d := c.database
+	if !o.Internal && o.Statement.Kind != ports.Begin && o.Statement.Kind != ports.BeginRead && d.fleet.Chance(d.lostReplyProbability) {
+		if d.lostReplyKind == 0 {
+			return // it never comes
+		}
+		s := c.stream
+		c.drop()
+		d.fleet.network.carry(d.ip, s.node.ip, func() { s.lost(true, "reset") })
+		return
+	}
+	c.stream.answer(a)
+}
+
+// errorResponse is the response to a statement that failed.
+func errorResponse(code ports.Code, text string) ports.Response {
+	return ports.Response{Code: code, Text: text, Body: []byte("error " + text)}
+}
+
+// await responds once a commit is confirmed by enough replicas. If it never is, nobody can
+// know its outcome: the connection breaks.
+func (c *databaseConnection) await(e *entry, body []byte, done func(ports.Response)) {
+	d := c.database
+	d.confirmed(e, func(ok bool) {
+		if ok {
+			done(ports.Response{Stamped: true, Body: body})
+			return
+		}
+		if s := c.stream; s != nil {
+			c.drop()
+			d.fleet.network.carry(d.ip, s.node.ip, func() { s.lost(true, "reset") })
+		}
+	})
+}
--- a/emulator/fleetsimulation/draining_test.go
+++ b/emulator/fleetsimulation/draining_test.go
@@ -10,7 +10,7 @@
 
 const drainingSeeds = uint64(30)
 
-// busyFleet is a world that serves.
+// busyFleet is a fleet that serves.
 func busyFleet(p Plan) *Fleet {
 	f := NewFleet(p)
 	f.Run(4_000_000)
@@ -19,30 +19,30 @@
 	return f
 }
 
-// followers are a group's, in any order.
+// followers are a group's replicas, in random order.
 func (f *Fleet) followers(g *group) []*Database {
 	fs := slices.DeleteFunc(slices.Clone(g.databases), func(d *Database) bool { return d == g.primary })
 	f.Random.Shuffle(len(fs), func(i, j int) { fs[i], fs[j] = fs[j], fs[i] })
 	return fs
 }
 
-// drainReplicas plays a world in which databases of one group leave, and its primary
-// is lost for good some time after. what starts the leaves; it gets the followers.
-func drainReplicas(t *testing.T, what func(f *Fleet, g *group, followers []*Database)) {
+// drainReplicas runs fleets in which databases of one group drain, and its primary is
+// lost for good some time after. drain starts that; it gets the replicas.
+func drainReplicas(t *testing.T, drain func(f *Fleet, g *group, followers []*Database)) {
 	t.Helper()
 	var mu sync.Mutex
 	acknowledged, promotions := 0, 0
 	runSeeds(drainingSeeds, seedtest.First(), func(seed uint64) {
 		f := busyFleet(plan(seed))
 		g := f.groups[f.Random.IntN(len(f.groups))]
-		what(f, g, f.followers(g))
-		// The primary's loss, at each moment of a leave that takes some 10 s.
+		drain(f, g, f.followers(g))
+		// The primary is lost at each moment of a draining that takes some 10 s.
 		f.After(int64(seed)*11_000_000/int64(drainingSeeds)+f.Between(0, 200_000), func() {
 			d := g.primary
 			f.logf("%s is lost for good", d.id)
 			d.crash(f.Chance(0.5))
 			for _, n := range f.nodes {
-				if n.up && f.Chance(0.3) { // so nobody tells what it acknowledged
+				if n.up && f.Chance(0.3) { // so that nobody reports what it acknowledged
 					f.killNode(n, true)
 					f.later(300_000, 2_000_000, func() { f.restartNode(n) })
 				}
@@ -53,14 +53,14 @@
 		f.Finish()
 		mu.Lock()
 		defer mu.Unlock()
-		told(t, f)
+		checkRun(t, f)
 		acknowledged, promotions = acknowledged+f.oracle.Acked, promotions+f.oracle.Promotions
 	})
 	t.Logf("%d seeds: %d writes acknowledged, %d promotions", drainingSeeds, acknowledged, promotions)
 }
 
-// slowFollower has a follower receive nothing, now and then, for a while.
-func (f *Fleet) slowFollower(d *Database) {
+// lagNowAndThen has a replica receive nothing, now and then, for a while.
+func (f *Fleet) lagNowAndThen(d *Database) {
 	for range 3 {
 		f.later(0, 10_000_000, func() {
 			d.receivesNothing = true
@@ -69,17 +69,18 @@
 	}
 }
 
-// TestReplicaDrains: the loss of the primary at each moment of a replica's leave
-// loses nothing acknowledged, though the replica counted until it was gone.
+// TestReplicaDrains: the loss of the primary at each moment of a replica's draining
+// loses nothing acknowledged, though the replica's receipts counted until its end.
 func TestReplicaDrains(t *testing.T) {
 	drainReplicas(t, func(f *Fleet, g *group, fs []*Database) {
 		f.release(g, fs[:1])
-		f.slowFollower(fs[1])
+		f.lagNowAndThen(fs[1])
 	})
 }
 
-// lastUpToDateReplica has the replica that stays receive nothing for the last moments of the
-// one that leaves, and loses the primary right after it.
+// lastUpToDateReplica runs a fleet in which one replica drains while the other one
+// receives nothing, so that at the end the draining one may be the only one up to date;
+// the primary is lost right after its end.
 func lastUpToDateReplica(p Plan) *Fleet {
 	f := busyFleet(p)
 	g := f.groups[f.Random.IntN(len(f.groups))]
@@ -114,20 +115,20 @@
 	return f
 }
 
-// TestLastUpToDateReplicaDrains: a replica that leaves takes nothing along that
-// was acknowledged and stands nowhere else.
+// TestLastUpToDateReplicaDrains: with a draining replica nothing is lost that was
+// acknowledged and that no other replica has.
 func TestLastUpToDateReplicaDrains(t *testing.T) {
 	var mu sync.Mutex
 	runSeeds(drainingSeeds, seedtest.First(), func(seed uint64) {
 		f := lastUpToDateReplica(plan(seed))
 		mu.Lock()
 		defer mu.Unlock()
-		told(t, f)
+		checkRun(t, f)
 	})
 }
 
-// TestMutationDrainingReplicasReceive: where replicas that leave are not held, the group
-// waits for ever for what one took along, or lacks it.
+// TestMutationDrainingReplicasReceive: where the replication to draining replicas is not
+// frozen, the group waits for ever for what one of them had, or loses it.
 func TestMutationDrainingReplicasReceive(t *testing.T) {
 	var mu sync.Mutex
 	red := uint64(0)
@@ -147,7 +148,7 @@
 	}
 }
 
-// TestTwoReplicasDrain: the same for two leaves in one group.
+// TestTwoReplicasDrain: as TestReplicaDrains, with two replicas of one group.
 func TestTwoReplicasDrain(t *testing.T) {
 	drainReplicas(t, func(f *Fleet, g *group, fs []*Database) {
 		f.release(g, fs[:1])
@@ -155,8 +156,8 @@
 	})
 }
 
-// TestReleaseOfAllAndALoss: the same while all databases of a group are replaced
-// one after another.
+// TestReleaseOfAllAndALoss: as TestReplicaDrains, while all databases of a group are
+// replaced one after another.
 func TestReleaseOfAllAndALoss(t *testing.T) {
 	drainReplicas(t, func(f *Fleet, g *group, fs []*Database) { f.release(g, append(fs, g.primary)) })
 }
--- a/emulator/fleetsimulation/faults.go
+++ b/emulator/fleetsimulation/faults.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Heal mends the network and brings every process back.
+// Heal ends all faults: it repairs the network and starts every process that is down.
 func (f *Fleet) Heal() {
 	f.healCount++
 	for _, k := range sortedPartitions(f.network.partitions) {
@@ -37,15 +37,23 @@
 	}
 }
 
-// fault is one kind of trouble. It ends by itself, at the latest when the fleet
-// is healed.
+// fault is one kind of fault. It ends by itself, at the latest when the fleet is healed.
 type fault struct {
 	name string
-	do   func(f *Fleet) bool // false: it cannot come about now
+	// inject causes the fault, and returns false where it cannot be caused now.
+	inject func(f *Fleet) bool
 }
 
-// faults are all kinds. What has to be borne at once is one control process, and
-// of each group one database; any number of pool nodes.
+// maxReplicaLag is by how many entries a replica may be behind for its group to tolerate
+// the loss of another database.
+const maxReplicaLag = 30
+
+// maxInjectionAttempts bounds the kinds that are tried for one random fault.
+const maxInjectionAttempts = 5
+
+// faults are all kinds. What the fleet has to tolerate at once is the loss of one control
+// process and, of each group, of one database; and of any number of pool nodes. The order
+// is part of what a seed replays.
 var faults = []fault{
 	{"node killed", (*Fleet).killRandomNode},
 	{"nodes killed at once", (*Fleet).killSomeNodes},
@@ -93,8 +101,10 @@
 	{"all controls killed", (*Fleet).killAllControls},
 }
 
+// later does something after a random time.
 func (f *Fleet) later(lo, hi int64, do func()) { f.After(f.Between(lo, hi), do) }
 
+// anyNode is a node without a fault; nil if the one drawn has one.
 func (f *Fleet) anyNode() *Node {
 	n := f.nodes[f.Random.IntN(len(f.nodes))]
 	if !n.up || n.frozen || n.draining || n.slowUs > 0 {
@@ -103,14 +113,15 @@
 	return n
 }
 
+// restartNode starts a node if it is down.
 func (f *Fleet) restartNode(n *Node) {
 	if !n.up {
 		f.startNode(n)
 	}
 }
 
-// anyControl is a control process that may be lost: all are well, and have been
-// for a while.
+// anyControl is a control process that may be lost: all are healthy and have been for a
+// while. It is nil if none may be.
 func (f *Fleet) anyControl() *Control {
 	for _, c := range f.controls {
 		if !c.healthy() || f.Now-c.lastFaultUs < contactTimeoutUs && f.Now > 6_000_000 {
@@ -120,13 +131,14 @@
 	return f.controls[f.Random.IntN(len(f.controls))]
 }
 
+// restartControl starts a control process if it is down.
 func (f *Fleet) restartControl(c *Control) {
 	if !c.up {
 		f.startControl(c)
 	}
 }
 
-// anyGroup is one that may lose a database.
+// anyGroup is a group that may lose a database; nil if the one drawn may not.
 func (f *Fleet) anyGroup() *group {
 	g := f.groups[f.Random.IntN(len(f.groups))]
 	p := g.primary
@@ -134,13 +146,14 @@
 		return nil
 	}
 	for _, d := range g.databases {
-		if !d.up || d.receivesNothing || d.draining || d.frozenBy > 0 || d.term != p.term || d != p && (d.primary || len(p.log)-len(d.log) > 30) || f.network.faulty(d.ip) {
+		if !d.up || d.receivesNothing || d.draining || d.frozenBy > 0 || d.term != p.term || d != p && (d.primary || len(p.log)-len(d.log) > maxReplicaLag) || f.network.faulty(d.ip) {
 			return nil
 		}
 	}
 	return g
 }
 
+// anyFollower is a replica of a group.
 func (f *Fleet) anyFollower(g *group) *Database {
 	for {
 		if d := g.databases[f.Random.IntN(len(g.databases))]; d != g.primary {
@@ -149,11 +162,11 @@
 	}
 }
 
-// injectFault has one kind of fault come about, if it can.
+// injectFault causes one kind of fault, if that can be done now.
 func (f *Fleet) injectFault(k fault) bool {
 	at := len(f.Log)
 	f.logf("FAULT %s", k.name)
-	if !k.do(f) {
+	if !k.inject(f) {
 		f.Log = f.Log[:min(at, len(f.Log))]
 		return false
 	}
@@ -161,13 +174,13 @@
 	return true
 }
 
-// RandomFaults brings faults about until a time, one every mean or so. Of names
-// only those are brought, if there are any.
+// RandomFaults causes faults until a time, at a mean interval, of the kinds that are named
+// or, without names, of all. Times are in microseconds.
 func (f *Fleet) RandomFaults(until, mean int64, names ...string) {
-	ks := faults
+	kinds := faults
 	if len(names) > 0 {
-		ks = slices.DeleteFunc(slices.Clone(faults), func(k fault) bool { return !slices.Contains(names, k.name) })
-		if len(ks) != len(names) {
+		kinds = slices.DeleteFunc(slices.Clone(faults), func(k fault) bool { return !slices.Contains(names, k.name) })
+		if len(kinds) != len(names) {
 			panic("no such fault")
 		}
 	}
@@ -176,8 +189,8 @@
 		if f.Now >= until {
 			return
 		}
-		for range 5 {
-			if f.injectFault(ks[f.Random.IntN(len(ks))]) {
+		for range maxInjectionAttempts {
+			if f.injectFault(kinds[f.Random.IntN(len(kinds))]) {
 				break
 			}
 		}
--- a/emulator/fleetsimulation/faults_load.go
+++ b/emulator/fleetsimulation/faults_load.go
@@ -9,7 +9,8 @@
 	return true
 }
 
-// resetConnections resets connections of pool nodes to databases, and of callers to pool nodes.
+// resetConnections resets connections of pool nodes to databases, and of callers to
+// pool nodes.
 func (f *Fleet) resetConnections() bool {
 	p := 0.2 + f.Random.Float64()*0.8
 	for _, s := range f.streams {
@@ -23,15 +24,21 @@
 	for _, n := range f.nodes {
 		for _, id := range sortedKeys(n.sessions) {
 			if s := n.sessions[id]; f.Chance(p) {
-				n.enter(s.source(), func() {
-					if n.sessions[id] == s {
-						delete(n.sessions, id)
-						n.step(sessiontable.SessionClosed{Session: id})
-					}
-				})
-				f.After(toCallerDelayUs, s.connectionBroke)
+				s.reset()
 			}
 		}
 	}
 	return true
 }
+
+// reset resets a session's connection; both sides hear of it.
+func (s *Session) reset() {
+	n := s.node
+	n.enter(s.source(), func() {
+		if n.sessions[s.id] == s {
+			delete(n.sessions, s.id)
+			n.step(sessiontable.SessionClosed{Session: s.id})
+		}
+	})
+	s.fleet.After(toCallerDelayUs, s.connectionBroke)
+}
--- a/emulator/fleetsimulation/faults_network.go
+++ b/emulator/fleetsimulation/faults_network.go
@@ -8,7 +8,7 @@
 	if slices.ContainsFunc(f.controls, func(c *Control) bool { return c.ip == ip }) && f.anyControl() == nil {
 		return false
 	}
-	f.isolate(ip, f.hosts(), f.Random.IntN(3), f.Between(300_000, 5_000_000))
+	f.isolate(ip, f.hosts(), f.anyDirection(), f.Between(300_000, 5_000_000))
 	return true
 }
 
@@ -18,7 +18,7 @@
 		return false
 	}
 	z := zoneNames[f.Random.IntN(3)]
-	how, us := f.Random.IntN(3), f.Between(300_000, 4_000_000)
+	stopped, us := f.anyDirection(), f.Between(300_000, 4_000_000)
 	var in, out []string
 	for _, h := range f.hosts() {
 		if f.network.zones[h] == z {
@@ -28,7 +28,7 @@
 		}
 	}
 	for _, h := range in {
-		f.isolate(h, out, how, us)
+		f.isolate(h, out, stopped, us)
 	}
 	return true
 }
@@ -39,14 +39,14 @@
 	if f.anyControl() == nil {
 		return false
 	}
-	how, us := f.Random.IntN(3), f.Between(300_000, 4_000_000)
+	stopped, us := f.anyDirection(), f.Between(300_000, 4_000_000)
 	if f.Chance(0.3) { // each from each
 		for _, c := range f.controls {
-			f.isolate(c.ip, f.controlHosts(), how, us)
+			f.isolate(c.ip, f.controlHosts(), stopped, us)
 		}
 		return true
 	}
-	f.isolate(f.controls[f.Random.IntN(len(f.controls))].ip, f.controlHosts(), how, us)
+	f.isolate(f.controls[f.Random.IntN(len(f.controls))].ip, f.controlHosts(), stopped, us)
 	return true
 }
 
@@ -99,12 +99,12 @@
 		return false
 	}
 	us := f.Between(300_000, 5_000_000)
-	f.isolate(g.primary.ip, f.controlHosts(), 0, us)
+	f.isolate(g.primary.ip, f.controlHosts(), bothWays, us)
 	for i, n := range f.nodes {
-		if i < 3 || f.Chance(0.5) { // those beside a control process stay with it
-			f.isolate(g.primary.ip, []string{n.ip}, 0, us)
+		if i < 3 || f.Chance(0.5) { // those on a host of a control process stay with it
+			f.isolate(g.primary.ip, []string{n.ip}, bothWays, us)
 		} else {
-			f.isolate(n.ip, f.controlHosts(), 0, us)
+			f.isolate(n.ip, f.controlHosts(), bothWays, us)
 		}
 	}
 	return true
@@ -125,6 +125,7 @@
 	return true
 }
 
+// controlHosts are the hosts of control processes.
 func (f *Fleet) controlHosts() []string {
 	var hs []string
 	for _, c := range f.controls {
@@ -133,7 +134,7 @@
 	return hs
 }
 
-// hosts are all but callers.
+// hosts are all hosts but the callers'.
 func (f *Fleet) hosts() []string {
 	var hs []string
 	for _, n := range f.nodes {
@@ -154,15 +155,27 @@
 	return append(hs, providerHost, "operators")
 }
 
-// isolate cuts a host off from others for a while: 0 both ways, 1 from it, 2 to
-// it.
-func (f *Fleet) isolate(host string, others []string, how int, us int64) {
+// direction is which way a partition stops between a host and others.
+type direction int
+
+const (
+	bothWays direction = iota
+	outgoing           // what the host sends
+	incoming           // what the host would receive
+	directions
+)
+
+// anyDirection draws one.
+func (f *Fleet) anyDirection() direction { return direction(f.Random.IntN(int(directions))) }
+
+// isolate partitions a host off from others for a time, in microseconds.
+func (f *Fleet) isolate(host string, others []string, stopped direction, us int64) {
 	others = slices.Clone(others)
 	for _, o := range others {
-		if how != 2 {
+		if stopped != incoming {
 			f.network.partition(host, o)
 		}
-		if how != 1 {
+		if stopped != outgoing {
 			f.network.partition(o, host)
 		}
 	}
@@ -172,21 +185,22 @@
 			return
 		}
 		for _, o := range others {
-			if how != 2 {
+			if stopped != incoming {
 				f.network.repair(host, o)
 			}
-			if how != 1 {
+			if stopped != outgoing {
 				f.network.repair(o, host)
 			}
 		}
 	})
 }
 
+// partitionPrimary partitions the primary of a group off from some hosts.
 func (f *Fleet) partitionPrimary(from func(g *group) []string) bool {
 	g := f.anyGroup()
 	if g == nil {
 		return false
 	}
-	f.isolate(g.primary.ip, from(g), f.Random.IntN(3), f.Between(300_000, 5_000_000))
+	f.isolate(g.primary.ip, from(g), f.anyDirection(), f.Between(300_000, 5_000_000))
 	return true
 }
--- a/emulator/fleetsimulation/fleet_test.go
+++ b/emulator/fleetsimulation/fleet_test.go
@@ -12,8 +12,9 @@
 	return Plan{Seed: seed, Nodes: 4 + int(seed%8), Groups: 2 + int(seed%2), Callers: 36, CallerIntervalUs: 150_000, ConflictProbability: 0.002, ClockRateSpread: 0.04}
 }
 
-// told fails the test with what broke, and prints the run if that is wanted.
-func told(t *testing.T, f *Fleet) {
+// checkRun fails the test with the violations of a run, and prints the run if the flag
+// -tell is set.
+func checkRun(t *testing.T, f *Fleet) {
 	t.Helper()
 	if len(f.Violations()) > 0 {
 		t.Errorf("seed %d:\n%s", f.Plan.Seed, strings.Join(f.Violations(), "\n"))
@@ -28,7 +29,7 @@
 	f.startCallers()
 	f.Run(f.Now + 5_000_000)
 	f.Finish()
-	told(t, f)
+	checkRun(t, f)
 	t.Logf("%d operations, %d well; %d calm, %d well; acked %d, reads %d, codes %v, connects %d", f.operationCount, f.successfulOperations, f.calmOperations, f.calmSuccesses, f.oracle.Acked, f.oracle.Reads, f.oracle.Codes, f.oracle.connections)
 }
 
@@ -58,7 +59,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		ops, ok, acknowledged, promotions = ops+f.operationCount, ok+f.successfulOperations, acknowledged+f.oracle.Acked, promotions+f.oracle.Promotions
-		told(t, f)
+		checkRun(t, f)
 	})
 	t.Logf("%d seeds: %d operations, %.4f served, %d writes acknowledged, %d promotions", n, ops, float64(ok)/float64(max(ops, 1)), acknowledged, promotions)
 }
@@ -74,7 +75,7 @@
 				if f.faultCounts[k.name] == 0 {
 					t.Errorf("seed %d: it never came about", f.Plan.Seed)
 				}
-				told(t, f)
+				checkRun(t, f)
 			}
 		})
 	}
--- a/emulator/fleetsimulation/moves_test.go
+++ b/emulator/fleetsimulation/moves_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	f.Finish()
-	told(t, f)
+	checkRun(t, f)
 	if n := f.moves.seen[ports.MoveSwitched]; n != 3 {
 		t.Errorf("%d of 3 moves were seen switched", n)
 	}
@@ -99,7 +99,7 @@
 		for p, k := range f.moves.seen {
 			seen[p] += k
 		}
-		told(t, f)
+		checkRun(t, f)
 	})
 	t.Logf("%d seeds: %d moves asked for, %v; %d operations, %.4f served, %d writes acknowledged", n, requested, seen, ops, float64(ok)/float64(max(ops, 1)), acknowledged)
 	if seen[ports.MoveSwitched] == 0 || seen[ports.MoveCancelled] == 0 {
--- a/emulator/fleetsimulation/mutations_test.go
+++ b/emulator/fleetsimulation/mutations_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// checkMutation runs a few seeds of a world with a plant in it and wants one of the
-// rules named to be seen broken in one of them.
+// checkMutation runs a few seeds with a mutation and expects that one of the named rules
+// is seen broken in one of them.
 func checkMutation(t *testing.T, p Mutation, mean int64, rules string, names ...string) {
 	t.Parallel()
 	for seed := uint64(0); seed < 24; seed++ {
--- a/emulator/fleetsimulation/operators.go
+++ b/emulator/fleetsimulation/operators.go
@@ -14,7 +14,7 @@
 	revision       uint64
 	base           uint64
 	table          ports.RoutingTable
-	refused        string // why it can never be in force, once somebody was told so
+	refused        string // why it can never be in force, once its sender heard so
 	inForce        bool
 	acknowledgedUs int64
 	checked        bool
--- a/emulator/fleetsimulation/core_test.go
+++ b/emulator/fleetsimulation/overlapping_losses_test.go
@@ -16,9 +16,9 @@
 	return p
 }
 
-// overlapping has two control processes cut off from the others, a third one lost
-// about when the cut ends, and a part of the nodes killed then. The lost one comes
-// back after a long time, so that the core is settled without it for a while.
+// overlapping partitions two control processes off from the others, loses a third one
+// about when the partition ends, and kills some of the nodes then. The lost one comes
+// back after a long time, so that the core is stable without it for a while.
 func (f *Fleet) overlapping() {
 	hit := slices.Clone(f.controls)
 	f.Random.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
@@ -27,8 +27,8 @@
 		others = append(others, c.ip)
 	}
 	us := f.Between(800_000, 4_000_000)
-	f.isolate(hit[0].ip, others, 0, us)
-	f.isolate(hit[1].ip, others, f.Random.IntN(3), us)
+	f.isolate(hit[0].ip, others, bothWays, us)
+	f.isolate(hit[1].ip, others, f.anyDirection(), us)
 	for i := range 1 + f.Random.IntN(2) {
 		c := hit[2+i]
 		f.After(us+f.Between(-300_000, 500_000), func() { f.killControl(c, f.Chance(0.5)) })
@@ -63,9 +63,9 @@
 }
 
 // TestOverlappingLosses: changes of the routing table come all the time while the
-// troubles of the core overlap, beyond what has to be served through but with no disk
-// lost. Nothing that was acknowledged is lost or shown older, and what is in touch
-// works by it in time.
+// faults of the core overlap, beyond what the fleet has to serve through but with no
+// disk lost. Nothing that was acknowledged is lost or read stale, and every process in
+// contact works by it in time.
 func TestOverlappingLosses(t *testing.T) {
 	n := seedtest.Count(12 / slower)
 	changes := 0
@@ -75,7 +75,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		changes += len(f.operators.acknowledged)
-		told(t, f)
+		checkRun(t, f)
 	})
 	t.Logf("%d seeds: %d changes acknowledged", n, changes)
 }
--- a/emulator/fleetsimulation/primary_roles_test.go
+++ b/emulator/fleetsimulation/primary_roles_test.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	replacedWithin = 9_000_000 // a primary that is lost together with the holder of its duty
+	replacedWithin = 9_000_000 // microseconds until a primary that is lost together with its role's owner is replaced
 	ownerSeeds     = 24
 )
 
-// leadership is the newest that any control process knows as agreed.
+// leadership is the newest that any control process knows as committed.
 func (f *Fleet) leadership(g *group) (*schema.Leadership, uint64) {
 	best := learner.CommittedValue{}
 	for _, c := range f.controls {
@@ -27,14 +27,15 @@
 	return learner.DecodeLeadership(best), best.Revision
 }
 
+// owner is the control process that owns a group's primary role.
 func (f *Fleet) owner(g *group) *Control {
 	l, _ := f.leadership(g)
 	i := slices.IndexFunc(f.controls, func(c *Control) bool { return c.name == l.RoleOwner })
 	return f.controls[max(i, 0)]
 }
 
-// TestPrimaryAndRoleOwnerLost: a primary that is lost at the same moment as the
-// holder of its group's duty is replaced in time.
+// TestPrimaryAndRoleOwnerLost: a primary that is lost at the same moment as the owner of
+// its group's primary role is replaced in time.
 func TestPrimaryAndRoleOwnerLost(t *testing.T) {
 	var mu sync.Mutex
 	worst, sum := int64(0), int64(0)
@@ -49,7 +50,7 @@
 		case 1:
 			c.freeze()
 		default:
-			f.isolate(c.ip, f.hosts(), int(seed/3)%3, 12_000_000)
+			f.isolate(c.ip, f.hosts(), direction(seed/3)%directions, 12_000_000)
 		}
 		d.crash(seed%2 == 0)
 		for f.Now < at+20_000_000 {
@@ -63,7 +64,7 @@
 		f.Finish()
 		mu.Lock()
 		defer mu.Unlock()
-		told(t, f)
+		checkRun(t, f)
 		worst, sum = max(worst, took), sum+took
 		if took > replacedWithin {
 			t.Errorf("seed %d: replaced after %d ms", seed, took/1000)
@@ -72,56 +73,67 @@
 	t.Logf("%d seeds: replaced after %d ms on average, %d at the most", n, sum/n/1000, worst/1000)
 }
 
-// TestRoleOwnerUnderFaults: the holder is frozen, cut one way or both, slowed, killed
-// or stopped at each phase of a change of primary, and the next one too.
+// TestRoleOwnerUnderFaults: the owner is frozen, partitioned in one direction or both,
+// slowed, killed or stopped in each phase of a change of primary, and the next owner too.
 func TestRoleOwnerUnderFaults(t *testing.T) {
 	var mu sync.Mutex
 	calls, commands, late, promotions := 0, 0, 0, 0
 	runSeeds(ownerSeeds, seedtest.First(), func(seed uint64) {
 		f := busyFleet(plan(seed))
-		for round := range uint64(3) {
+		for change := range uint64(3) {
 			g := f.groups[f.Random.IntN(len(f.groups))]
-			d := g.primary
-			if f.Chance(0.4) {
-				f.release(g, []*Database{d})
-			} else {
-				d.crash(f.Chance(0.5))
-				f.later(2_000_000, 6_000_000, func() { f.restartDatabase(d) })
-			}
-			phase := ports.Phase((seed + round) % 4)
-			for until := f.Now + 4_000_000; f.Now < until; {
-				f.Run(f.Now + 2_000)
-				if l, _ := f.leadership(g); ports.Phase(l.Phase) == phase && (phase != ports.PhaseServing || l.Primary != d.id) {
-					break
-				}
-			}
+			phase := ports.Phase((seed + change) % 4)
+			f.changePrimaryUntil(g, phase)
 			f.Run(f.Now + f.Between(0, 60_000))
-			c := f.owner(g)
-			f.logf("%s, which holds the duty of %s, is troubled in phase %d", c.name, g.name, phase)
-			us := f.Between(500_000, 4_000_000)
-			switch (seed + 2*round) % 6 {
-			case 0:
-				c.freeze()
-				f.After(us, c.thaw)
-			case 1:
-				f.killControl(c, f.Chance(0.5))
-				f.After(us, func() { f.restartControl(c) })
-			case 2, 3:
-				f.isolate(c.ip, f.hosts(), f.Random.IntN(3), us)
-			case 4:
-				c.slowUs, c.syncUs = f.Between(0, 8_000), f.Between(0, 300_000)
-				f.After(us, func() { c.slowUs, c.syncUs = 0, 0 })
-			default:
-				f.stopControl(c)
-				f.After(700_000, func() { f.restartControl(c) })
-			}
+			f.disturbOwner(g, phase, (seed+2*change)%6)
 			f.Run(f.Now + 6_000_000)
 		}
 		f.Finish()
 		mu.Lock()
 		defer mu.Unlock()
-		told(t, f)
+		checkRun(t, f)
 		calls, commands, late, promotions = calls+f.primaryRoles.Calls, commands+f.primaryRoles.Commands, late+f.primaryRoles.Late, promotions+f.oracle.Promotions
 	})
 	t.Logf("%d seeds: %d calls to the platform, %d of them late from a frozen process, %d commands, %d promotions", ownerSeeds, calls, late, commands, promotions)
 }
+
+// changePrimaryUntil has a group's primary released or lost, and runs the fleet until the
+// change of primary is in a phase.
+func (f *Fleet) changePrimaryUntil(g *group, phase ports.Phase) {
+	d := g.primary
+	if f.Chance(0.4) {
+		f.release(g, []*Database{d})
+	} else {
+		d.crash(f.Chance(0.5))
+		f.later(2_000_000, 6_000_000, func() { f.restartDatabase(d) })
+	}
+	for until := f.Now + 4_000_000; f.Now < until; {
+		f.Run(f.Now + 2_000)
+		if l, _ := f.leadership(g); ports.Phase(l.Phase) == phase && (phase != ports.PhaseServing || l.Primary != d.id) {
+			return
+		}
+	}
+}
+
+// disturbOwner gives the owner of a group's primary role one of six faults.
+func (f *Fleet) disturbOwner(g *group, phase ports.Phase, kind uint64) {
+	c := f.owner(g)
+	f.logf("%s, which owns the primary role of %s, has a fault in phase %d", c.name, g.name, phase)
+	us := f.Between(500_000, 4_000_000)
+	switch kind {
+	case 0:
+		c.freeze()
+		f.After(us, c.thaw)
+	case 1:
+		f.killControl(c, f.Chance(0.5))
+		f.After(us, func() { f.restartControl(c) })
+	case 2, 3:
+		f.isolate(c.ip, f.hosts(), f.anyDirection(), us)
+	case 4:
+		c.slowUs, c.syncUs = f.Between(0, 8_000), f.Between(0, 300_000)
+		f.After(us, func() { c.slowUs, c.syncUs = 0, 0 })
+	default:
+		f.stopControl(c)
+		f.After(700_000, func() { f.restartControl(c) })
+	}
+}
--- a/emulator/fleetsimulation/statements.go
+++ b/emulator/fleetsimulation/statements.go
@@ -2,125 +2,10 @@
 
 import (
 	"maps"
-	"slices"
 
 	"stoneford/internal/ports"
 )
 
-type databaseConnection struct {
-	database    *Database
-	stream      *stream // nil: of a control process
-	open        bool
-	values      map[string]string
-	prepared    map[string]shape
-	state       ports.TransactionState
-	transaction *databaseTransaction
-	queue       []ports.Op
-	running     bool
-	closing     bool // closed at the far end: what came before is still run
-}
-
-type shape struct {
-	text   string
-	writes bool
-}
-
-type databaseTransaction struct {
-	begin    *Statement
-	mayWrite bool
-	term     uint64
-	writes   []*Statement
-}
-
-func (d *Database) accept(group, id string, s *stream) (ports.Code, *databaseConnection) {
-	switch {
-	case group != d.group.name || id != "" && id != d.id:
-		return ports.WrongInstance, nil
-	case len(d.connections) >= d.group.limit:
-		return ports.TooManyConnections, nil
-	}
-	c := &databaseConnection{database: d, stream: s, open: true, values: map[string]string{}, prepared: map[string]shape{}}
-	d.connections = append(d.connections, c)
-	d.fleet.oracle.connections++
-	return ports.Done, c
-}
-
-// hangUp closes a connection once what came before has run.
-func (c *databaseConnection) hangUp() {
-	c.closing = true
-	if !c.running && len(c.queue) == 0 {
-		c.drop()
-	}
-}
-
-// drop closes a connection at once; its transaction is rolled back.
-func (c *databaseConnection) drop() {
-	if !c.open {
-		return
-	}
-	c.open, c.transaction, c.queue = false, nil, nil
-	c.database.connections = slices.DeleteFunc(c.database.connections, func(o *databaseConnection) bool { return o == c })
-}
-
-func (c *databaseConnection) push(ops []ports.Op, n *Node) {
-	for _, o := range ops {
-		if !o.Internal {
-			c.database.fleet.oracle.statementArrived(c.database, n, o)
-		}
-	}
-	c.queue = append(c.queue, ops...)
-	c.next()
-}
-
-func (c *databaseConnection) next() {
-	if c.running || !c.open {
-		return
-	}
-	if len(c.queue) == 0 {
-		if c.closing {
-			c.drop()
-		}
-		return
-	}
-	o := c.queue[0]
-	c.queue = c.queue[1:]
-	c.running = true
-	gen := c.database.generation
-	c.exec(o, func(a ports.Response) {
-		if !c.database.up || c.database.generation != gen {
-			return
-		}
-		c.running = false
-		if !c.open {
-			return
-		}
-		a.State, a.Position = c.state, c.database.position()
-		if c.stream != nil {
-			c.reply(o, a)
-		}
-		c.next()
-	})
-}
-
-// reply sends an answer, unless it is to be lost.
-func (c *databaseConnection) reply(o ports.Op, a ports.Response) {
-	d := c.database
-	if !o.Internal && o.Statement.Kind != ports.Begin && o.Statement.Kind != ports.BeginRead && d.fleet.Chance(d.lostReplyProbability) {
-		if d.lostReplyKind == 0 {
-			return // never comes
-		}
-		s := c.stream
-		c.drop()
-		d.fleet.network.carry(d.ip, s.node.ip, func() { s.lost(true, "reset") })
-		return
-	}
-	c.stream.answer(a)
-}
-
-func errorResponse(code ports.Code, text string) ports.Response {
-	return ports.Response{Code: code, Text: text, Body: []byte("error " + text)}
-}
-
 // lostLead says whether a transaction that may write is open on a database that is
 // not the primary of its term any more.
 func (c *databaseConnection) lostLead() bool {
@@ -248,6 +133,7 @@
 	}
 }
 
+// execStatement runs a read, a write or a prepared statement in the slot it got.
 func (c *databaseConnection) execStatement(o ports.Op, statement *Statement, writes bool, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
 	switch {
@@ -297,25 +183,11 @@
 	}
 }
 
-func (c *databaseConnection) await(e *entry, body []byte, done func(ports.Response)) {
-	d := c.database
-	d.confirmed(e, func(ok bool) {
-		if ok {
-			done(ports.Response{Stamped: true, Body: body})
-			return
-		}
-		// Nobody can tell: it breaks off.
-		if s := c.stream; s != nil {
-			c.drop()
-			d.fleet.network.carry(d.ip, s.node.ip, func() { s.lost(true, "reset") })
-		}
-	})
-}
-
+// execCommit commits the open transaction.
 func (c *databaseConnection) execCommit(statement *Statement, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
 	x := c.transaction
-	if x == nil { // dropped meanwhile
+	if x == nil { // it was dropped meanwhile
 		done(errorResponse(ports.RolledBack, "gone"))
 		return
 	}
@@ -337,6 +209,10 @@
 	c.await(d.append(statement, x.writes), body, done)
 }
 
+// internalTimeUs is how long a database takes for an operation on its connection.
+const internalTimeUs = 30
+
+// execInternal runs an operation of the node itself, which changes only the connection.
 func (c *databaseConnection) execInternal(o ports.Op, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
 	statement := o.Statement
@@ -344,7 +220,7 @@
 	if o.Name != "" {
 		name = o.Name
 	}
-	f.After(30, func() {
+	f.After(internalTimeUs, func() {
 		ok := ports.Response{Body: []byte("complete -")}
 		if c.state == ports.TransactionFailed && statement.Kind != ports.Rollback {
 			done(errorResponse(ports.Malformed, "only its end is taken"))
@@ -365,7 +241,7 @@
 		case ports.Rollback:
 			c.transaction, c.state = nil, ports.Idle
 		default:
-			f.oracle.violation("%s was sent an own statement of kind %d", d.id, statement.Kind)
+			f.oracle.violation("%s was sent an internal statement of kind %d", d.id, statement.Kind)
 		}
 		done(ok)
 	})
--- a/emulator/fleetsimulation/storm_test.go
+++ b/emulator/fleetsimulation/storm_test.go
@@ -9,8 +9,8 @@
 	"stoneford/internal/ports"
 )
 
-// storm makes changes one after the other, each on top of the one acknowledged
-// before, and calls each with how many were.
+// storm submits changes one after the other, each based on the one acknowledged before,
+// and reports after each acknowledgement how many there were.
 func (f *Fleet) storm(changes int, acknowledged func(n int)) {
 	n := 0
 	var next func()
@@ -30,7 +30,8 @@
 	next()
 }
 
-// powerLost takes the power from all machines; those named lose their disks.
+// powerLost ends all processes as a power cut does; the control processes that are named
+// lose their disks.
 func (f *Fleet) powerLost(wiped ...*Control) {
 	for _, c := range f.controls {
 		f.killControl(c, true)
@@ -46,7 +47,7 @@
 }
 
 // stormFaults strike in the middle of a storm, or right after an acknowledgement
-// of one of its changes. Each is borne.
+// of one of its changes. The fleet tolerates each.
 var stormFaults = []struct {
 	name string
 	do   func(f *Fleet)
@@ -75,23 +76,24 @@
 	{"frozen and then it decides", func(f *Fleet) {
 		f.controlReturnsThenDecides(func(c *Control) { c.freeze() }, func(c *Control) { c.thaw() })
 	}},
-	{"cut off and then it decides", func(f *Fleet) {
-		f.controlReturnsThenDecides(func(c *Control) { f.isolate(c.ip, f.controlHosts(), 0, stormAwayUs) }, func(*Control) {})
+	{"partitioned and then it decides", func(f *Fleet) {
+		f.controlReturnsThenDecides(func(c *Control) { f.isolate(c.ip, f.controlHosts(), bothWays, stormAwayUs) }, func(*Control) {})
 	}},
 	{"wiped and then it decides", func(f *Fleet) {
 		f.controlReturnsThenDecides(func(c *Control) { f.killControl(c, true); c.disk = nil }, func(c *Control) { f.restartControl(c) })
 	}},
 }
 
+// stormAwayUs is how long a control process is away from a storm.
 const stormAwayUs = 10_000_000
 
-// controlReturnsThenDecides has a control process away for most of a storm; once it is back
-// and had its time to catch up, another one is lost.
-func (f *Fleet) controlReturnsThenDecides(draining, back func(c *Control)) {
+// controlReturnsThenDecides has a control process away for most of a storm. Once it is
+// back and had time to catch up, another one is lost, so that its vote decides.
+func (f *Fleet) controlReturnsThenDecides(disturb, restore func(c *Control)) {
 	i := f.Random.IntN(3)
 	c, other := f.controls[i], f.controls[(i+1+f.Random.IntN(2))%3]
-	draining(c)
-	f.After(stormAwayUs, func() { back(c) })
+	disturb(c)
+	f.After(stormAwayUs, func() { restore(c) })
 	f.After(stormAwayUs+contactTimeoutUs+f.Between(100_000, 500_000), func() {
 		f.killControl(other, true)
 		f.later(2_000_000, 4_000_000, func() { f.restartControl(other) })
@@ -139,7 +141,7 @@
 			total, least := 0, changes
 			for seed := first; seed < first+n; seed++ {
 				f, acknowledged := stormed(plan(uint64(i)*1000+seed), changes, k.do)
-				told(t, f)
+				checkRun(t, f)
 				total, least = total+acknowledged, min(least, acknowledged)
 				if acknowledged < changes*9/10 {
 					t.Errorf("seed %d: %d of %d changes were acknowledged", seed, acknowledged, changes)
@@ -150,8 +152,8 @@
 	}
 }
 
-// TestMutationStorm: control processes whose words leave before they are synced
-// are seen when the power is lost in a storm.
+// TestMutationStorm: control processes that send before their log is synced are seen when
+// the power is lost in a storm.
 func TestMutationStorm(t *testing.T) {
 	t.Parallel()
 	const tries = 6
