--- a/emulator/fleetsimulation/faults_databases.go
+++ b/emulator/fleetsimulation/faults_databases.go
@@ -120,10 +120,10 @@
 		p.crash(f.Chance(0.5))
 		f.later(2_000_000, 6_000_000, func() { f.restartDatabase(p) })
 	} else {
-		f.isolate(p.ip, f.controlHosts(), bothWays, f.Between(2_000_000, 5_000_000))
+		f.isolate(p.ip, f.controlHosts(), bothDirections, f.Between(2_000_000, 5_000_000))
 		for _, n := range f.nodes {
 			if f.Chance(0.7) {
-				f.isolate(p.ip, []string{n.ip}, bothWays, f.Between(2_000_000, 5_000_000))
+				f.isolate(p.ip, []string{n.ip}, bothDirections, f.Between(2_000_000, 5_000_000))
 			}
 		}
 	}
--- a/emulator/fleetsimulation/faults_network.go
+++ b/emulator/fleetsimulation/faults_network.go
@@ -99,12 +99,12 @@
 		return false
 	}
 	us := f.Between(300_000, 5_000_000)
-	f.isolate(g.primary.ip, f.controlHosts(), bothWays, us)
+	f.isolate(g.primary.ip, f.controlHosts(), bothDirections, us)
 	for i, n := range f.nodes {
 		if i < 3 || f.Chance(0.5) { // those on a host of a control process stay with it
-			f.isolate(g.primary.ip, []string{n.ip}, bothWays, us)
+			f.isolate(g.primary.ip, []string{n.ip}, bothDirections, us)
 		} else {
-			f.isolate(n.ip, f.controlHosts(), bothWays, us)
+			f.isolate(n.ip, f.controlHosts(), bothDirections, us)
 		}
 	}
 	return true
@@ -159,7 +159,7 @@
 type direction int
 
 const (
-	bothWays direction = iota
+	bothDirections direction = iota
 	outgoing           // what the host sends
 	incoming           // what the host would receive
 	directions
--- a/emulator/fleetsimulation/fleet.go
+++ b/emulator/fleetsimulation/fleet.go
@@ -58,7 +58,7 @@
 	faultCounts                 map[string]int // by kind
 }
 
-// calmCounts counts operations, those in the calm at the end of a run apart.
+// calmCounts counts operations, and separately those in the calm at the end of a run.
 type calmCounts struct {
 	lastOperationUs      int64 // when callers stop
 	calmFromUs           int64
--- a/emulator/fleetsimulation/overlapping_losses_test.go
+++ b/emulator/fleetsimulation/overlapping_losses_test.go
@@ -27,7 +27,7 @@
 		others = append(others, c.ip)
 	}
 	us := f.Between(800_000, 4_000_000)
-	f.isolate(hit[0].ip, others, bothWays, us)
+	f.isolate(hit[0].ip, others, bothDirections, us)
 	f.isolate(hit[1].ip, others, f.anyDirection(), us)
 	for i := range 1 + f.Random.IntN(2) {
 		c := hit[2+i]
--- a/emulator/fleetsimulation/process.go
+++ b/emulator/fleetsimulation/process.go
@@ -1,6 +1,6 @@
 package fleetsimulation
 
-// process is the state of one process and of its clock. The generation tells one run of
+// process is the state of one process and of its clock. The generation distinguishes one run of
 // it from the next.
 type process struct {
 	fleet       *Fleet
--- a/emulator/fleetsimulation/storm_test.go
+++ b/emulator/fleetsimulation/storm_test.go
@@ -30,7 +30,7 @@
 	next()
 }
 
-// powerLost ends all processes as a power cut does; the control processes that are named
+// powerLost ends all processes as a power failure does; the control processes that are named
 // lose their disks.
 func (f *Fleet) powerLost(wiped ...*Control) {
 	for _, c := range f.controls {
@@ -77,7 +77,7 @@
 		f.controlReturnsThenDecides(func(c *Control) { c.freeze() }, func(c *Control) { c.thaw() })
 	}},
 	{"partitioned and then it decides", func(f *Fleet) {
-		f.controlReturnsThenDecides(func(c *Control) { f.isolate(c.ip, f.controlHosts(), bothWays, stormAwayUs) }, func(*Control) {})
+		f.controlReturnsThenDecides(func(c *Control) { f.isolate(c.ip, f.controlHosts(), bothDirections, stormAwayUs) }, func(*Control) {})
 	}},
 	{"wiped and then it decides", func(f *Fleet) {
 		f.controlReturnsThenDecides(func(c *Control) { f.killControl(c, true); c.disk = nil }, func(c *Control) { f.restartControl(c) })
--- /dev/null
+++ b/emulator/simulation/fault_kinds.go
@@ -0,0 +1,306 @@
+package simulation
+
+// faultTarget is what a random fault may strike: one database, one pool node and one
+// control process, each drawn anew for every fault.
+type faultTarget struct {
+	group    string
+	database *Database
+	node     int
+	control  int
+}
+
+// faultCondition says whether a target may be struck: the fleet has to tolerate the loss
+// of one control process and, of each group, of one database at a time.
+type faultCondition func(f *Fleet, t faultTarget) bool
+
+func redundantGroup(f *Fleet, t faultTarget) bool { return f.groupHasRedundancy(t.group) }
+
+func allControlsHealthy(f *Fleet, _ faultTarget) bool { return f.controlsHealthy() }
+
+func nodeServes(f *Fleet, t faultTarget) bool { return f.Nodes[t.node].serves() }
+
+// always is the condition of faults that the fleet tolerates at any time, or that have a
+// condition of their own.
+func always(*Fleet, faultTarget) bool { return true }
+
+// faultKind is one kind of random fault.
+type faultKind struct {
+	allowed faultCondition
+	inject  func(f *Fleet, t faultTarget)
+}
+
+// faultKinds are drawn from with equal probability; some stand here more than once. The
+// order is part of what a seed replays.
+var faultKinds = []faultKind{
+	{redundantGroup, (*Fleet).crashDatabase},
+	{redundantGroup, (*Fleet).wipeDatabase},
+	{redundantGroup, (*Fleet).silenceDatabase},
+	{redundantGroup, (*Fleet).freezeDatabase},
+	{redundantGroup, (*Fleet).isolateDatabase},
+	{redundantGroup, (*Fleet).loseResponses},
+	{redundantGroup, (*Fleet).slowDatabase},
+	{redundantGroup, (*Fleet).silenceDatabaseBesideLaggingReplica},
+	{redundantGroup, (*Fleet).drainDatabase},
+	{allControlsHealthy, (*Fleet).endControl},
+	{allControlsHealthy, (*Fleet).loseControlDisk},
+	{allControlsHealthy, (*Fleet).freezeOneControl},
+	{nodeServes, (*Fleet).killOneNode},
+	{nodeServes, (*Fleet).freezeOneNode},
+	{nodeServes, (*Fleet).freezeOneNode},
+	{nodeServes, (*Fleet).stopOneNode},
+	{always, (*Fleet).isolateProcess},
+	{always, (*Fleet).degradeNetwork},
+	{always, (*Fleet).raceOperators},
+	{always, (*Fleet).raceOperators},
+	{always, (*Fleet).crowd},
+	{always, (*Fleet).moveSomeCallers},
+	{always, (*Fleet).moveSomeCallers},
+	{always, (*Fleet).slowNode},
+	{always, (*Fleet).slowControl},
+	{always, (*Fleet).loseMachine},
+	{always, (*Fleet).loseMachine},
+	{always, (*Fleet).joinMachine},
+	{always, (*Fleet).restartAllNodes},
+	{always, (*Fleet).restartAllControls},
+	{always, (*Fleet).replaceGroup},
+	{always, (*Fleet).loseAllPrimaries},
+	{always, (*Fleet).disturbPlatform},
+	{always, (*Fleet).bookMaintenance},
+	{always, (*Fleet).bookMaintenance},
+	{always, (*Fleet).bookMaintenance},
+}
+
+// randomFault draws a target and a kind, and injects that fault if it is allowed now.
+func (f *Fleet) randomFault() {
+	t := faultTarget{group: f.Plan.Groups[f.Random.IntN(len(f.Plan.Groups))]}
+	t.database = f.Databases[f.Configuration.Groups[t.group].Members[f.Random.IntN(3)]]
+	if p := f.Primary(t.group); p != nil && f.Chance(0.5) {
+		t.database = p
+	}
+	t.node, t.control = f.Random.IntN(len(f.Nodes)), f.Random.IntN(3)
+	if kind := faultKinds[f.Random.IntN(len(faultKinds))]; kind.allowed(f, t) {
+		kind.inject(f, t)
+	}
+}
+
+// later does something after a random time.
+func (f *Fleet) later(lo, hi int64, do func()) { f.After(f.Between(lo, hi), do) }
+
+func (f *Fleet) crashDatabase(t faultTarget) {
+	name := t.database.name
+	f.logf("fault: kill %s", name)
+	f.KillDatabase(name)
+	f.later(500_000, 6_000_000, func() { f.StartDatabase(name) })
+}
+
+func (f *Fleet) wipeDatabase(t faultTarget) {
+	name := t.database.name
+	f.logf("fault: lose %s for good", name)
+	f.KillDatabase(name)
+	f.later(500_000, 6_000_000, func() { f.LoseDatabase(name) })
+}
+
+// silenceDatabase has a database take requests and respond to none.
+func (f *Fleet) silenceDatabase(t faultTarget) {
+	f.logf("fault: %s does not respond", t.database.name)
+	t.database.unresponsive = true
+	f.later(500_000, 6_000_000, func() { t.database.unresponsive = false })
+}
+
+func (f *Fleet) freezeDatabase(t faultTarget) {
+	name := t.database.name
+	f.logf("fault: freeze %s", name)
+	f.FreezeDatabase(name)
+	f.later(300_000, 6_000_000, func() { f.ResumeDatabase(name) })
+}
+
+func (f *Fleet) isolateDatabase(t faultTarget) {
+	f.logf("fault: isolate %s", t.database.name)
+	f.Isolate(t.database.address, f.Chance(0.5))
+	f.later(500_000, 5_000_000, f.Network.Repair)
+}
+
+func (f *Fleet) loseResponses(t faultTarget) {
+	f.logf("fault: %s loses responses", t.database.name)
+	t.database.lostResponses = 1 + f.Random.IntN(5)
+}
+
+func (f *Fleet) slowDatabase(t faultTarget) {
+	f.logf("fault: %s is slow", t.database.name)
+	t.database.extraServiceUs = f.Between(5_000, 400_000)
+	f.later(500_000, 4_000_000, func() { t.database.extraServiceUs = 0 })
+}
+
+// silenceDatabaseBesideLaggingReplica has another database of the group receive nothing
+// just before this one stops responding.
+func (f *Fleet) silenceDatabaseBesideLaggingReplica(t faultTarget) {
+	f.logf("fault: %s does not respond and a replica receives nothing", t.database.name)
+	for _, m := range f.Configuration.Groups[t.group].Members {
+		if o := f.Databases[m]; o != t.database {
+			o.receivesNothing = true
+			f.later(100_000, 3_000_000, func() { o.receivesNothing = false })
+			break
+		}
+	}
+	f.later(0, 1_000_000, func() { t.database.unresponsive = true })
+	f.later(2_000_000, 6_000_000, func() { t.database.unresponsive = false })
+}
+
+func (f *Fleet) drainDatabase(t faultTarget) {
+	f.logf("fault: %s drains for a while", t.database.name)
+	t.database.state.Draining = true
+	f.later(2_000_000, 10_000_000, func() { t.database.state.Draining = false })
+}
+
+// endControl stops a control process with its grace, or kills it.
+func (f *Fleet) endControl(t faultTarget) {
+	if f.Chance(0.5) {
+		f.logf("fault: stop %s", f.Controls[t.control].boot.Name)
+		f.StopControl(t.control)
+	} else {
+		f.logf("fault: kill %s", f.Controls[t.control].boot.Name)
+		f.KillControl(t.control)
+	}
+	f.later(1_100_000, 6_000_000, func() { f.StartControl(t.control) })
+}
+
+func (f *Fleet) loseControlDisk(t faultTarget) {
+	f.logf("fault: lose the disk of %s", f.Controls[t.control].boot.Name)
+	f.LoseDisk(t.control)
+	f.later(300_000, 6_000_000, func() { f.StartControl(t.control) })
+}
+
+func (f *Fleet) freezeOneControl(t faultTarget) {
+	f.logf("fault: freeze %s", f.Controls[t.control].boot.Name)
+	f.FreezeControl(t.control)
+	f.later(300_000, 8_000_000, func() { f.ResumeControl(t.control) })
+}
+
+func (f *Fleet) killOneNode(t faultTarget) {
+	f.logf("fault: kill %s", f.Nodes[t.node].boot.Name)
+	f.KillNode(t.node)
+	f.later(300_000, 6_000_000, func() { f.restartNode(t.node) })
+}
+
+func (f *Fleet) freezeOneNode(t faultTarget) {
+	f.logf("fault: freeze %s", f.Nodes[t.node].boot.Name)
+	f.FreezeNode(t.node)
+	f.later(300_000, 8_000_000, func() { f.ResumeNode(t.node) })
+}
+
+func (f *Fleet) stopOneNode(t faultTarget) {
+	f.logf("fault: stop %s", f.Nodes[t.node].boot.Name)
+	f.StopNode(t.node)
+	f.later(4_000_000, 9_000_000, func() { f.restartNode(t.node) })
+}
+
+// isolateProcess partitions a pool node off or, if all are healthy, a control process.
+func (f *Fleet) isolateProcess(t faultTarget) {
+	address := f.Nodes[t.node].boot.Listen
+	if f.controlsHealthy() && f.Chance(0.5) {
+		address = f.Controls[t.control].boot.Listen
+	}
+	f.logf("fault: isolate %s", address)
+	f.Isolate(address, f.Chance(0.5))
+	f.later(300_000, 6_000_000, f.Network.Repair)
+}
+
+func (f *Fleet) degradeNetwork(faultTarget) {
+	f.logf("fault: the network loses and duplicates envelopes")
+	f.Network.LossProbability, f.Network.DuplicateProbability = 0.1, 0.1
+	f.later(500_000, 5_000_000, func() { f.Network.LossProbability, f.Network.DuplicateProbability = 0, 0 })
+}
+
+func (f *Fleet) raceOperators(faultTarget) { f.Operators() }
+
+func (f *Fleet) crowd(faultTarget) {
+	f.logf("fault: a crowd")
+	f.Crowd(4, f.Between(2_000_000, 5_000_000))
+}
+
+// moveSomeCallers has all callers of a zone, or some of every zone, go on in another.
+func (f *Fleet) moveSomeCallers(faultTarget) {
+	zone, fraction := "", 0.4
+	if f.Chance(0.5) {
+		zone, fraction = f.Plan.Zones[f.Random.IntN(len(f.Plan.Zones))], 1
+	}
+	f.logf("fault: callers move to other zones (%s)", zone)
+	f.MoveCallers(zone, fraction)
+}
+
+func (f *Fleet) slowNode(t faultTarget) {
+	n := f.Nodes[t.node]
+	f.logf("fault: %s has a slow machine", n.boot.Name)
+	n.slowUs = f.Between(5_000, 80_000)
+	f.later(1_000_000, 6_000_000, func() { n.slowUs = 0 })
+}
+
+func (f *Fleet) slowControl(t faultTarget) {
+	if !f.controlsHealthy() {
+		return
+	}
+	c := f.Controls[t.control]
+	f.logf("fault: %s has a slow machine and disk", c.boot.Name)
+	c.slowUs, c.syncUs = f.Between(0, 40_000), f.Between(5_000, 200_000)
+	f.later(1_000_000, 6_000_000, func() { c.slowUs, c.syncUs = 0, 0 })
+}
+
+func (f *Fleet) loseMachine(t faultTarget) { f.machineLost(t.control) }
+
+// maxJoinedMachines bounds the machines that join a fleet.
+const maxJoinedMachines = 3
+
+func (f *Fleet) joinMachine(faultTarget) {
+	if len(f.Nodes) < f.Plan.Machines+maxJoinedMachines {
+		f.logf("fault: a machine joins")
+		f.Join()
+	}
+}
+
+func (f *Fleet) restartAllNodes(faultTarget) {
+	if !f.rolling {
+		f.logf("fault: every node is restarted in turn")
+		f.rolling = true
+		f.rollNodes(0)
+	}
+}
+
+func (f *Fleet) restartAllControls(faultTarget) {
+	if !f.rolling {
+		f.logf("fault: every control process is restarted in turn")
+		f.rolling = true
+		f.rollControls(0)
+	}
+}
+
+func (f *Fleet) replaceGroup(t faultTarget) {
+	f.logf("fault: %s is replaced database by database", t.group)
+	f.replaceAll(t.group, 0)
+}
+
+// loseAllPrimaries has the primary of every group that tolerates it crash, or not respond.
+func (f *Fleet) loseAllPrimaries(faultTarget) {
+	f.logf("fault: every primary is lost at once")
+	for _, g := range f.Plan.Groups {
+		if !f.groupHasRedundancy(g) {
+			continue
+		}
+		p := f.Primary(g)
+		if f.Chance(0.5) {
+			f.KillDatabase(p.name)
+			f.later(2_000_000, 6_000_000, func() { f.StartDatabase(p.name) })
+		} else {
+			p.unresponsive = true
+			f.later(2_000_000, 6_000_000, func() { p.unresponsive = false })
+		}
+	}
+}
+
+// disturbPlatform has the platform be slow and ignore some of its orders.
+func (f *Fleet) disturbPlatform(faultTarget) {
+	f.logf("fault: the platform is slow and ignores some orders")
+	f.MaxPlatformUs, f.PlatformFailureProbability = f.Between(100_000, 3_000_000), 0.5
+	f.later(2_000_000, 6_000_000, func() { f.MaxPlatformUs, f.PlatformFailureProbability = defaultMaxPlatformUs, 0 })
+}
+
+func (f *Fleet) bookMaintenance(t faultTarget) { f.randomBooking(t.group) }
--- a/emulator/simulation/faults.go
+++ b/emulator/simulation/faults.go
@@ -53,10 +53,20 @@
 // StartNode starts it again.
 func (f *Fleet) StartNode(i int) { f.Nodes[i].draining = false; f.startNode(f.Nodes[i]) }
 
+// restartNode starts a pool node if it is down.
+func (f *Fleet) restartNode(i int) {
+	if !f.Nodes[i].up {
+		f.StartNode(i)
+	}
+}
+
+// serves says whether a pool node takes callers.
+func (n *nodeProcess) serves() bool { return n.up && !n.frozen && !n.draining }
+
 // StopNode stops a pool node with its grace, then ends it.
 func (f *Fleet) StopNode(i int) {
 	n := f.Nodes[i]
-	if !n.up || n.frozen || n.draining {
+	if !n.serves() {
 		return
 	}
 	n.draining = true
@@ -239,7 +249,7 @@
 // Heal mends the network and brings every process back.
 func (f *Fleet) Heal() {
 	f.Network.Repair()
-	f.Network.LossProbability, f.Network.DuplicateProbability, f.MaxPlatformUs, f.PlatformFailureProbability = 0, 0, 5_000, 0
+	f.Network.LossProbability, f.Network.DuplicateProbability, f.MaxPlatformUs, f.PlatformFailureProbability = 0, 0, defaultMaxPlatformUs, 0
 	for i, c := range f.Controls {
 		if !c.up {
 			f.StartControl(i)
--- a/emulator/simulation/fleet.go
+++ b/emulator/simulation/fleet.go
@@ -16,6 +16,9 @@
 	"stoneford/schema"
 )
 
+// defaultMaxPlatformUs is the longest that the platform takes without a fault.
+const defaultMaxPlatformUs = 5_000
+
 // randomStream makes the random numbers of this simulation others than those of
 // another simulation with the same seed.
 const randomStream = 0x5eed
@@ -142,7 +145,7 @@
 	p.TickIntervalUs, p.StepIntervalUs = cmp.Or(p.TickIntervalUs, 50_000), cmp.Or(p.StepIntervalUs, 10_000)
 	f := &Fleet{Scheduler: w, Configuration: &schema.Configuration{}, owner: map[string]string{}, texts: map[string][]byte{}, classNames: map[string]map[string]string{}, zones: map[string]string{},
 		Network: newObservedNetwork(w, p.Observe), Databases: map[string]*Database{}, databaseAt: map[string]*Database{}, pendingReturns: map[uint64]func(control.ConfigurationResult){}, pendingNotifications: map[uint64]func(control.CommandResult){},
-		platformEpochs: map[string]uint64{}, platformTargets: map[string]string{}, applied: map[string]uint64{}, lastTag: map[string]string{}, lastRead: map[string]string{}, firstConfigurations: map[string]*schema.Value{}, MaxPlatformUs: 5_000}
+		platformEpochs: map[string]uint64{}, platformTargets: map[string]string{}, applied: map[string]uint64{}, lastTag: map[string]string{}, lastRead: map[string]string{}, firstConfigurations: map[string]*schema.Value{}, MaxPlatformUs: defaultMaxPlatformUs}
 	parts := append([]PartnerPlan{{Partner: p.Partner, Groups: p.Groups}}, p.MorePartners...)
 	p.Groups = nil
 	for i, partner := range parts {
