--- a/emulator/simulation/databases.go
+++ b/emulator/simulation/databases.go
@@ -130,138 +130,198 @@
 	d.fleet.After(d.serversFreeAtUs[i]-d.fleet.Now, later)
 }
 
-// call reaches a database from a place. at runs there; end is told the reply,
-// or nil, and whether the call may have reached the database.
-func (f *Fleet) call(from, addr string, timeUs int64, at func(db *Database, reply func(any)), end func(v any, left bool)) {
-	ended := false
-	finish := func(v any, left bool) {
-		if !ended {
-			ended = true
-			end(v, left)
-		}
+// A call to a database that is not there is refused after refusedCallUs; a caller notices
+// the end of a database's process within resetIntervalUs, since its connections are reset.
+const (
+	refusedCallUs   = 100
+	resetIntervalUs = 20_000
+)
+
+// databaseCall is one call of a process to a database.
+type databaseCall struct {
+	fleet      *Fleet
+	from       string
+	address    string
+	database   *Database // at the address when the call was made; nil if there was none
+	generation int       // of the run that the call reached
+	ended      bool
+	run        func(db *Database, reply func(any))
+	end        func(response any, sent bool)
+}
+
+// call calls a database. run handles the call there; end receives the response, or nil,
+// and whether the call may have reached the database.
+func (f *Fleet) call(from, address string, timeoutUs int64, run func(db *Database, reply func(any)), end func(response any, sent bool)) {
+	c := &databaseCall{fleet: f, from: from, address: address, database: f.databaseAt[address], run: run, end: end}
+	f.After(f.Network.Delay(from, address), c.arrive)
+	f.After(timeoutUs, func() { c.finish(nil, true) })
+}
+
+func (c *databaseCall) finish(response any, sent bool) {
+	if !c.ended {
+		c.ended = true
+		c.end(response, sent)
 	}
-	db := f.databaseAt[addr]
-	f.After(f.Network.Delay(from, addr), func() {
-		switch {
-		case db == nil || !db.up:
-			f.After(100, func() { finish(nil, false) }) // bounced
-			return
-		case !f.Network.Reaches(from, addr):
-			return // times out
-		}
-		gen := db.generation
-		reply := func(v any) {
-			f.After(f.Network.Delay(addr, from), func() {
-				if f.Network.Reaches(addr, from) && !db.unresponsive {
-					finish(v, true)
-				}
-			})
-		}
-		var run func()
-		run = func() {
-			switch {
-			case !db.up || db.generation != gen:
-			case db.frozen:
-				db.pending = append(db.pending, run)
-			case db.unresponsive:
-				// Taken and, for all anyone can tell, run.
-				at(db, func(any) {})
-			default:
-				at(db, reply)
-			}
-		}
-		run()
-		// A process that dies resets its connections.
-		var poll func()
-		poll = func() {
-			if ended {
-				return
-			}
-			if !db.up || db.generation != gen {
-				finish(nil, true)
-				return
-			}
-			f.After(20_000, poll)
+}
+
+// arrive takes the call at the database's address. Behind a partition it times out.
+func (c *databaseCall) arrive() {
+	db := c.database
+	switch {
+	case db == nil || !db.up:
+		c.fleet.After(refusedCallUs, func() { c.finish(nil, false) })
+		return
+	case !c.fleet.Network.Reaches(c.from, c.address):
+		return
+	}
+	c.generation = db.generation
+	c.handle()
+	c.fleet.After(resetIntervalUs, c.watch)
+}
+
+// handle runs the call, once the database is not frozen. One that does not respond runs
+// it all the same.
+func (c *databaseCall) handle() {
+	db := c.database
+	switch {
+	case !db.up || db.generation != c.generation:
+	case db.frozen:
+		db.pending = append(db.pending, c.handle)
+	case db.unresponsive:
+		c.run(db, func(any) {})
+	default:
+		c.run(db, c.reply)
+	}
+}
+
+func (c *databaseCall) reply(response any) {
+	f := c.fleet
+	f.After(f.Network.Delay(c.address, c.from), func() {
+		if f.Network.Reaches(c.address, c.from) && !c.database.unresponsive {
+			c.finish(response, true)
 		}
-		f.After(20_000, poll)
 	})
-	f.After(timeUs, func() { finish(nil, true) })
 }
 
-// follow takes the primary's log, as the stand-in's server does.
-func (d *Database) follow(gen int) {
+// watch ends the call once the database's process has ended.
+func (c *databaseCall) watch() {
+	if c.ended {
+		return
+	}
+	if !c.database.up || c.database.generation != c.generation {
+		c.finish(nil, true)
+		return
+	}
+	c.fleet.After(resetIntervalUs, c.watch)
+}
+
+// maxLogBatch bounds the entries that a replica fetches at once.
+const maxLogBatch = 500
+
+// Intervals after which a replica fetches again, in microseconds: at once where the two
+// logs diverged, soon after entries, and later the less it can hope for.
+const (
+	followAfterEntriesUs   = 500
+	followAfterNothingUs   = 2_000
+	followWithoutPrimaryUs = 5_000
+	followAfterRefusalUs   = 10_000
+	followUnreachableUs    = 20_000
+)
+
+// follow fetches the primary's log, as the emulated database's server does, for as long
+// as this run of the process goes on.
+func (d *Database) follow(generation int) {
 	f := d.fleet
-	if !d.up || d.generation != gen {
+	if !d.up || d.generation != generation {
 		return
 	}
 	if d.frozen {
-		d.pending = append(d.pending, func() { d.follow(gen) })
+		d.pending = append(d.pending, func() { d.follow(generation) })
 		return
 	}
-	retry := func(us int64) { f.After(us, func() { d.follow(gen) }) }
-	p := f.databaseAt[d.state.Following]
-	if p == nil || d.receivesNothing || d.unresponsive {
-		retry(5_000)
+	primary := f.databaseAt[d.state.Following]
+	if primary == nil || d.receivesNothing || d.unresponsive {
+		d.followLater(generation, followWithoutPrimaryUs)
 		return
 	}
-	epoch := d.state.Epoch
 	if d.requestedFrom < 0 || d.requestedFrom > d.state.Received() {
 		d.requestedFrom = d.state.Received()
 	}
-	after, ae := d.requestedFrom, d.state.EpochAt(d.requestedFrom)
-	f.After(f.Network.Delay(d.address, p.address), func() {
-		if !p.responds() || !f.Network.Reaches(d.address, p.address) || !f.Network.Reaches(p.address, d.address) {
-			retry(20_000)
+	epoch, after, afterEpoch := d.state.Epoch, d.requestedFrom, d.state.EpochAt(d.requestedFrom)
+	f.After(f.Network.Delay(d.address, primary.address), func() {
+		if !primary.responds() || !f.Network.Reaches(d.address, primary.address) || !f.Network.Reaches(primary.address, d.address) {
+			d.followLater(generation, followUnreachableUs)
 			return
 		}
-		es, back, ok := p.state.LogFor(epoch, after, ae, 500)
-		f.After(f.Network.Delay(p.address, d.address), func() {
-			if !d.up || d.generation != gen {
-				return
-			}
-			if d.frozen {
-				d.pending = append(d.pending, func() { d.follow(gen) })
-				return
-			}
-			switch {
-			case !ok || d.state.Epoch != epoch || d.receivesNothing:
-				d.requestedFrom = -1
-				retry(10_000)
-			case back >= 0:
-				d.requestedFrom = back
-				retry(0)
-			default:
-				if _, ok := d.state.AppendLog(epoch, after, es); ok {
-					d.apply(gen, es, after)
-					d.changed()
-				}
-				d.requestedFrom = -1
-				if len(es) > 0 {
-					retry(500)
-				} else {
-					retry(2_000)
-				}
-			}
+		entries, back, ok := primary.state.LogFor(epoch, after, afterEpoch, maxLogBatch)
+		f.After(f.Network.Delay(primary.address, d.address), func() {
+			d.receive(generation, logBatch{epoch: epoch, after: after, entries: entries, back: back, ok: ok})
 		})
 	})
 }
 
-func (d *Database) apply(gen int, es []databasereplica.LogEntry, after int64) {
-	for i, e := range es {
-		pos := after + int64(i) + 1
-		d.fleet.After(max(0, e.AtUs+d.lagUs-d.fleet.Now), func() { d.applyTo(gen, pos) })
+func (d *Database) followLater(generation int, us int64) {
+	d.fleet.After(us, func() { d.follow(generation) })
+}
+
+// logBatch is a primary's response to a replica that fetches its log.
+type logBatch struct {
+	epoch   uint64
+	after   int64 // position behind which the entries come
+	entries []databasereplica.LogEntry
+	back    int64 // where to fetch from instead, -1 if the logs agree
+	ok      bool
+}
+
+// receive appends what a primary sent to the log.
+func (d *Database) receive(generation int, b logBatch) {
+	if !d.up || d.generation != generation {
+		return
+	}
+	if d.frozen {
+		d.pending = append(d.pending, func() { d.follow(generation) })
+		return
+	}
+	switch {
+	case !b.ok || d.state.Epoch != b.epoch || d.receivesNothing:
+		d.requestedFrom = -1
+		d.followLater(generation, followAfterRefusalUs)
+	case b.back >= 0:
+		d.requestedFrom = b.back
+		d.followLater(generation, 0)
+	default:
+		if _, ok := d.state.AppendLog(b.epoch, b.after, b.entries); ok {
+			d.apply(generation, b.entries, b.after)
+			d.changed()
+		}
+		d.requestedFrom = -1
+		if len(b.entries) > 0 {
+			d.followLater(generation, followAfterEntriesUs)
+		} else {
+			d.followLater(generation, followAfterNothingUs)
+		}
+	}
+}
+
+// apply has entries be applied after the replica's lag.
+func (d *Database) apply(generation int, entries []databasereplica.LogEntry, after int64) {
+	for i, e := range entries {
+		position := after + int64(i) + 1
+		d.fleet.After(max(0, e.AtUs+d.lagUs-d.fleet.Now), func() { d.applyTo(generation, position) })
 	}
 }
 
-func (d *Database) applyTo(gen int, pos int64) {
+// applyTo applies the log up to a position, later while the database is frozen or applies
+// nothing.
+func (d *Database) applyTo(generation int, position int64) {
 	switch {
-	case !d.up || d.generation != gen:
+	case !d.up || d.generation != generation:
 	case d.frozen:
-		d.pending = append(d.pending, func() { d.applyTo(gen, pos) })
+		d.pending = append(d.pending, func() { d.applyTo(generation, position) })
 	case d.appliesNothing:
-		d.fleet.After(10_000, func() { d.applyTo(gen, pos) })
+		d.fleet.After(10_000, func() { d.applyTo(generation, position) })
 	default:
-		d.state.Apply(pos)
+		d.state.Apply(position)
 		d.changed()
 	}
 }
--- a/emulator/simulation/sessions.go
+++ b/emulator/simulation/sessions.go
@@ -10,13 +10,7 @@
 	"stoneford/result"
 )
 
-// RetryAfterRejection is how it went on after a first bounce that said when to come back.
-type RetryAfterRejection struct {
-	RetryAfterUs int64 // when to come back
-	TookUs       int64 // until what was then done was sent, -1 if it never was
-	Attempts     int
-}
-
+// session is one caller's session and what the caller knows of it.
 type session struct {
 	fleet        *Fleet
 	name         string
@@ -24,7 +18,7 @@
 	route        string
 	group        string
 	zone         string
-	moved        bool // it is in another zone now and has not noticed
+	moved        bool // to another zone, which it has not noticed
 	node         *nodeProcess
 	generation   int
 	id           string
@@ -32,13 +26,14 @@
 	preparedRow  string // what its prepared name shows
 	token        querytable.Token
 	setsNoValues bool  // sets no values of its own
-	endsAtUs     int64 // it goes then, 0 for never
+	endsAtUs     int64 // when it ends, 0 for never
 }
 
-// class is the partner's class of a kind.
+// class is the partner's name of the class of a kind.
 func (s *session) class(kind string) string { return s.fleet.classNames[s.partner][kind] }
 
-// think is a session's pause now: shorter at a day's noon and in a crowd.
+// think draws the time until a session's next action: less at a day's noon and in a
+// crowd.
 func (s *session) think() int64 {
 	t := s.fleet.Plan.ThinkUs
 	if s.endsAtUs > 0 {
@@ -50,6 +45,7 @@
 	return s.fleet.Between(t/2, t*3/2)
 }
 
+// loop does one thing after the other, until the session's end.
 func (s *session) loop() {
 	if s.fleet.halted || s.endsAtUs > 0 && s.fleet.Now > s.endsAtUs {
 		return
@@ -71,6 +67,7 @@
 	}
 }
 
+// statements are statements without parameters.
 func statements(ts ...string) []querytable.Statement {
 	var ss []querytable.Statement
 	for _, t := range ts {
@@ -79,32 +76,55 @@
 	return ss
 }
 
-// open has the session on a node of its zone that looks ready, else on any; the
-// platform knows of a dead or frozen one a little late, so mostly it lives.
+// open opens the session on a node of its zone that looks ready, else on any. The
+// platform hears of a node's end a little late; here it knows, so that most calls find
+// their node up.
 func (s *session) open(then func(bool)) {
 	f := s.fleet
-	var ns, near []*nodeProcess
-	for _, n := range f.Nodes {
+	candidates := s.readyNodes()
+	if len(candidates) == 0 {
+		then(false)
+		return
+	}
+	s.node = candidates[f.Random.IntN(len(candidates))]
+	s.generation = s.node.generation
+	f.lastID++
+	s.id = fmt.Sprintf("%s/%d", s.name, f.lastID)
+	e := s.openEvent()
+	n, generation := s.node, s.generation
+	f.After(f.callerDelay(), func() {
+		if !n.up || n.generation != generation {
+			s.id = ""
+			then(false)
+			return
+		}
+		f.toNode(n, generation, func() { f.stepTable(n, s.group, e) })
+		then(true)
+	})
+}
+
+// readyNodes are the nodes that look ready: those of the session's zone if there are any.
+func (s *session) readyNodes() []*nodeProcess {
+	var ready, near []*nodeProcess
+	for _, n := range s.fleet.Nodes {
 		if n.up && !n.frozen && !n.stopping() && n.tables[s.group] != nil {
-			ns = append(ns, n)
+			ready = append(ready, n)
 			if n.boot.Zone == s.zone {
 				near = append(near, n)
 			}
 		}
 	}
 	if len(near) > 0 {
-		ns = near
+		return near
 	}
-	if len(ns) == 0 {
-		then(false)
-		return
-	}
-	s.node = ns[f.Random.IntN(len(ns))]
-	s.generation = s.node.generation
-	f.lastID++
-	s.id = fmt.Sprintf("%s/%d", s.name, f.lastID)
+	return ready
+}
+
+// openEvent opens the session with its token, and with values and a prepared name of its
+// own.
+func (s *session) openEvent() querytable.OpenSession {
 	e := querytable.OpenSession{Session: s.id, Token: s.token}
-	if f.Plan.Mutation == TokenForgotten {
+	if s.fleet.Plan.Mutation == TokenForgotten {
 		e.Token = querytable.Token{}
 	}
 	s.ownValue, s.preparedRow = "", ""
@@ -117,16 +137,7 @@
 			e.Prepared["mine"] = "value other"
 		}
 	}
-	n, g := s.node, s.generation
-	f.After(f.Between(f.Network.MinDelayUs, f.Network.MaxDelayUs), func() {
-		if !n.up || n.generation != g {
-			s.id = ""
-			then(false)
-			return
-		}
-		f.toNode(n, g, func() { f.stepTable(n, s.group, e) })
-		then(true)
-	})
+	return e
 }
 
 // change gives the session another value.
@@ -151,25 +162,22 @@
 	})
 }
 
-// callerTimeoutUs is how long a caller waits for any return.
-const callerTimeoutUs = 12_000_000
-
-// end has a session that moved give its node up: half of them say so there.
+// end has a session that moved give up its node; half of them close it there.
 func (s *session) end() {
 	if !s.moved {
 		return
 	}
 	s.moved = false
-	f, n, g, id := s.fleet, s.node, s.generation, s.id
+	f, n, generation, id := s.fleet, s.node, s.generation, s.id
 	s.id = ""
 	if id != "" && f.Chance(0.5) {
-		f.After(f.Between(f.Network.MinDelayUs, f.Network.MaxDelayUs), func() {
-			f.toNode(n, g, func() { f.stepTable(n, s.group, querytable.CloseSession{Session: id}) })
+		f.After(f.callerDelay(), func() {
+			f.toNode(n, generation, func() { f.stepTable(n, s.group, querytable.CloseSession{Session: id}) })
 		})
 	}
 }
 
-// send sends one query once.
+// send sends one query once, opening the session first where it is not open.
 func (s *session) send(q querytable.Query, then func(querytable.Reply)) {
 	f := s.fleet
 	s.end()
@@ -197,114 +205,8 @@
 	})
 }
 
-// put brings an event to the session's node and waits for its return; a caller
-// that never hears back does not know.
-func (s *session) put(n *nodeProcess, id uint64, e any, then func(querytable.Reply)) {
-	f, g := s.fleet, s.generation
-	ended := false
-	f.waiting++
-	end := func(r querytable.Reply) {
-		if !ended {
-			ended = true
-			f.waiting--
-			then(r)
-		}
-	}
-	lost := querytable.Reply{Code: -1, Outcome: result.Uncertain}
-	f.After(f.Between(f.Network.MinDelayUs, f.Network.MaxDelayUs), func() {
-		if !n.up || n.generation != g {
-			// Nothing was there to take it.
-			end(querytable.Reply{Code: result.UnknownSession, Outcome: result.NoEffect})
-			return
-		}
-		at := f.Now
-		f.toNode(n, g, func() {
-			n.waiters[id] = func(r querytable.Reply) {
-				back := func() {
-					took := f.Now - at
-					if r.Outcome != result.Done && n.lastFaultUs < at {
-						f.Oracle.RejectionDelays[r.Code] = append(f.Oracle.RejectionDelays[r.Code], took)
-						if took > maxGiveUpUs || r.Code.Retryable() && took > maxRejectionUs {
-							f.Violation("%s held a query for %d us and gave it up with %d", n.boot.Name, took, r.Code)
-						}
-					}
-					f.After(f.Between(f.Network.MinDelayUs, f.Network.MaxDelayUs), func() { end(r) })
-				}
-				if f.Plan.Mutation == DelayedRejections && r.Code.Retryable() {
-					f.After(4_500_000, back)
-					return
-				}
-				back()
-			}
-			f.stepTable(n, s.group, e)
-		})
-		var poll func()
-		poll = func() {
-			if !ended && (!n.up || n.generation != g) {
-				end(lost)
-			}
-			if !ended {
-				f.After(50_000, poll)
-			}
-		}
-		f.After(50_000, poll)
-	})
-	f.After(callerTimeoutUs, func() { end(lost) })
-}
-
-func again(r querytable.Reply) bool {
-	return r.Code.Retryable() || r.Code == result.UnknownSession || r.Code == result.TransactionLost
-}
-
-const callerPatienceUs = 5_000_000
-
-func (s *session) sample(kind string, t0 int64, n int, r querytable.Reply) {
-	s.fleet.Oracle.Samples = append(s.fleet.Oracle.Samples, Sample{Kind: kind, AtUs: t0, DurationUs: s.fleet.Now - t0, Outcome: r.Outcome, Code: r.Code, Attempts: n, Database: r.Database, Replica: r.FromReplica, Group: s.group})
-}
-
-func (s *session) tag() string { s.fleet.lastID++; return "t" + strconv.FormatUint(s.fleet.lastID, 10) }
-
-func (s *session) writeEnded(tag string, o result.Outcome, rows ...string) {
-	s.fleet.Oracle.RecordWrite(checker.Write{Route: s.route, Tag: tag, Rows: rows, Outcome: o, AtUs: s.fleet.Now})
-	if o == result.Done {
-		s.fleet.lastTag[s.route] = tag
-	}
-}
-
-// attempt tries something again for as long as its caller has patience.
-func (s *session) attempt(kind string, done func(), once func(end func(querytable.Reply))) {
-	t0, n := s.fleet.Now, 0
-	first, notified, sent := result.OK, RetryAfterRejection{}, int64(0)
-	var try func()
-	try = func() {
-		n++
-		at := s.fleet.Now
-		once(func(r querytable.Reply) {
-			switch {
-			case first != result.OK:
-			case r.Code.Retryable() && r.RetryAfterUs > 0:
-				first, notified.RetryAfterUs, sent = r.Code, r.RetryAfterUs, s.fleet.Now
-			}
-			if again(r) && s.fleet.Now-t0 < callerPatienceUs && !s.fleet.halted {
-				s.fleet.After(r.RetryAfterUs, try)
-				return
-			}
-			if first != result.OK && !s.fleet.halted {
-				notified.Attempts, notified.TookUs = n, -1
-				if r.Outcome == result.Done {
-					notified.TookUs = at - sent
-				}
-				s.fleet.Oracle.RetriesAfterRejection[first] = append(s.fleet.Oracle.RetriesAfterRejection[first], notified)
-			}
-			s.sample(kind, t0, n, r)
-			done()
-		})
-	}
-	try()
-}
-
-// reserve is a single statement; now and then the caller asks again by the same
-// id, and must be told the same without a second effect.
+// reserve is a single write. Now and then the caller sends it again under the same id,
+// and must get the same reply without a second effect.
 func (s *session) reserve(done func()) {
 	s.attempt("reservation", done, func(end func(querytable.Reply)) {
 		tag := s.tag()
@@ -315,9 +217,9 @@
 				end(r)
 				return
 			}
-			s.send(q, func(o querytable.Reply) {
-				if o.Outcome == result.Done && o.Position != r.Position {
-					s.fleet.Violation("%s: asked again, %s is told at %d and was at %d", s.route, tag, o.Position, r.Position)
+			s.send(q, func(repeated querytable.Reply) {
+				if repeated.Outcome == result.Done && repeated.Position != r.Position {
+					s.fleet.Violation("%s: sent again, %s is reported at %d and was at %d", s.route, tag, repeated.Position, r.Position)
 				}
 				end(r)
 			})
@@ -325,95 +227,27 @@
 	})
 }
 
-// transaction takes stock in up to a dozen queries and writes its tag; some are
-// rolled back and some left as they are.
-func (s *session) transaction(done func()) {
-	s.attempt("transaction", done, func(end func(querytable.Reply)) {
-		f, tag := s.fleet, s.tag()
-		var rows []string
-		steps := []querytable.Query{{Class: s.class("current"), Begin: true}}
-		for range 1 + f.Random.IntN(f.Random.IntN(10)+1) {
-			key := strconv.Itoa(f.Random.IntN(50))
-			rows = append(rows, "stock/"+key)
-			st := querytable.Statement{Prepared: "mine"}
-			if s.setsNoValues {
-				st = querytable.Statement{Text: "value mark"}
-			}
-			steps = append(steps, querytable.Query{Class: s.class("current"), Statements: []querytable.Statement{{Text: "add stock ? -1", Params: []string{key}}, st}})
-		}
-		rows = append(rows, checker.OwnRow(s.name))
-		last := querytable.Query{Class: s.class("current"), Commit: true, Statements: statements("add ledger "+tag+" 1", "add own "+s.name+" 1")}
-		ends := f.Random.Float64()
-		if ends < 0.05 {
-			last.Commit, last.Rollback = false, true
-		}
-		steps = append(steps, last)
-		statement, seen := s.current()
-		steps[0].Statements = statements(statement, "value mark")
-		var step func(i int)
-		step = func(i int) {
-			if i > 0 && s.moved || i == len(steps)-1 && ends > 1-f.Plan.AbandonProbability {
-				// It goes and does not come back: nothing may be kept.
-				s.id = ""
-				s.writeEnded(tag, result.NoEffect, rows...)
-				if s.moved {
-					end(querytable.Reply{Code: result.TransactionLost, Outcome: result.NoEffect})
-				} else {
-					end(querytable.Reply{Outcome: result.Done})
-				}
-				return
-			}
-			s.send(steps[i], func(r querytable.Reply) {
-				if r.Outcome == result.Done && i < len(steps)-1 {
-					want := s.ownValue
-					if i > 0 {
-						want = s.preparedRow
-					}
-					if len(r.Rows) != 2 || r.Rows[1][0][0] != want {
-						f.Violation("%s: step %d showed the values of another: %v, not %s", s.route, i, r.Rows, want)
-					}
-					if i == 0 {
-						s.received(checker.Current, r, seen)
-					}
-					f.After(f.Between(0, 2_000), func() { step(i + 1) })
-					return
-				}
-				out := r.Outcome
-				if last.Rollback {
-					out = result.NoEffect
-				}
-				s.writeEnded(tag, out, rows...)
-				end(r)
-			})
-		}
-		step(0)
-	})
-}
-
-// current is a statement that reads the ticks, the session's own row, the
-// newest tag that another wrote and some stock, and what must show in it.
+// current is a statement that reads the ticks, the session's own row, the newest tag that
+// another session wrote and some stock, and what these rows have to show.
 func (s *session) current() (string, []checker.ObservedRow) {
 	rows := []string{checker.TickRow, checker.OwnRow(s.name), "stock/" + strconv.Itoa(s.fleet.Random.IntN(50))}
-	if t := s.fleet.lastTag[s.route]; t != "" {
-		rows = append(rows, checker.TagRow(t))
+	if tag := s.fleet.lastTag[s.route]; tag != "" {
+		rows = append(rows, checker.TagRow(tag))
 	}
 	return checker.ReadStatement(rows), s.fleet.Oracle.ReadExpectation(s.route, rows...)
 }
 
+// read reads rows in a class.
 func (s *session) read(kind string, q querytable.Query, done func()) {
 	s.attempt(kind, done, func(end func(querytable.Reply)) {
-		statement, seen := s.current()
+		statement, shown := s.current()
 		q.Name, q.Statements = s.tag(), statements(statement)
 		s.fleet.lastRead[s.route] = q.Name
 		s.send(q, func(r querytable.Reply) {
 			if r.Outcome == result.Done {
-				s.received(kind, r, seen)
+				s.received(kind, r, shown)
 			}
 			end(r)
 		})
 	})
 }
-
-func (s *session) received(kind string, r querytable.Reply, seen []checker.ObservedRow) {
-	s.fleet.Oracle.RecordRead(checker.Read{Route: s.route, Kind: kind, Rows: seen, AtUs: s.fleet.Now, Database: fmt.Sprintf("on %s by %s at %d", r.Database, s.node.boot.Name, s.fleet.Now)}, r.Rows[0])
-}
