--- /dev/null
+++ b/emulator/fleetsimulation/replacement.go
@@ -0,0 +1,149 @@
+package fleetsimulation
+
+import "slices"
+
+func (f *Fleet) restartDatabase(d *Database) {
+	if !d.up && !d.ended {
+		d.start()
+		f.logf("%s is back at %v", d.id, d.positionAt(len(d.log)))
+	}
+}
+
+// restartUnderNewIdentity has a database come back with its log under another
+// identity, at its address or another.
+func (f *Fleet) restartUnderNewIdentity(d *Database, sameAddress bool) {
+	if d.up || d.ended {
+		return
+	}
+	successor := f.addDatabase(d.group, d.zone)
+	if sameAddress {
+		successor.address, successor.ip = d.address, d.ip
+	}
+	successor.inheritLog(d)
+	d.ended, d.unresponsive = true, false
+	f.forget(d)
+	f.logf("%s is back as %s at %v", d.id, successor.id, successor.positionAt(len(successor.log)))
+	successor.start()
+}
+
+// inheritLog has a database take over the log and the role of one that is down.
+func (d *Database) inheritLog(from *Database) {
+	d.log, d.term = from.log, from.term
+	d.primary = from.primary && from.group.newestTerm == from.term
+	if d.primary {
+		from.group.primary = d
+	}
+}
+
+// forget removes a database from its address and from its group.
+func (f *Fleet) forget(d *Database) {
+	if f.databaseAt[d.address] == d {
+		delete(f.databaseAt, d.address)
+	}
+	d.group.databases = slices.DeleteFunc(d.group.databases, func(o *Database) bool { return o == d })
+}
+
+// replaceLost starts an empty database instead of one that is gone for good.
+func (f *Fleet) replaceLost(d *Database) {
+	if d.up || d.ended {
+		return
+	}
+	f.remove(d)
+	f.addDatabase(d.group, d.zone).start()
+}
+
+// release replaces databases of a group one after the other, as the platform does
+// for planned work: each drains, ends, and another one takes its place.
+func (f *Fleet) release(g *group, databases []*Database) {
+	f.releasesRunning++
+	f.releaseNext(g, databases)
+}
+
+func (f *Fleet) releaseNext(g *group, databases []*Database) {
+	if len(databases) == 0 {
+		f.releasesRunning--
+		return
+	}
+	d := databases[0]
+	r := &databaseRelease{fleet: f, group: g, database: d, next: func() {
+		f.later(300_000, 1_500_000, func() { f.releaseNext(g, databases[1:]) })
+	}}
+	if !d.up || d.ended || d.draining {
+		r.next()
+		return
+	}
+	r.sameAddress = f.Chance(0.4)
+	if !r.sameAddress {
+		f.addDatabase(g, d.zone).start()
+	}
+	f.later(1_000_000, 2_500_000, r.drain)
+}
+
+const (
+	// drainReserveUs is how long a database serves on after the draining period that
+	// its control processes were promised.
+	drainReserveUs = 400_000
+	// unacknowledgedDrainUs is how long a database waits for the acknowledgement of
+	// its draining before it ends without it.
+	unacknowledgedDrainUs = 6_000_000
+	releasePollIntervalUs = 100_000
+	// successorDelayUs is how long after its end a database's successor starts
+	// at its address.
+	successorDelayUs = 900_000
+)
+
+// databaseRelease is the replacement of one database.
+type databaseRelease struct {
+	fleet       *Fleet
+	group       *group
+	database    *Database
+	sameAddress bool // the successor takes the address and the log
+	startUs     int64
+	next        func() // releases the next one
+}
+
+// drain announces that the database drains, and waits for the end of that.
+func (r *databaseRelease) drain() {
+	if !r.database.up {
+		r.next()
+		return
+	}
+	r.fleet.logf("%s drains", r.database.id)
+	r.database.draining = true
+	r.database.announce()
+	r.startUs = r.fleet.Now
+	r.fleet.After(releasePollIntervalUs, r.awaitDrained)
+}
+
+func (r *databaseRelease) awaitDrained() {
+	switch {
+	case r.database.ended || !r.database.up:
+		r.next()
+	case r.drained():
+		r.database.endForGood()
+		r.fleet.After(successorDelayUs, func() {
+			if r.sameAddress && r.database.ended {
+				r.startSuccessor()
+			}
+			r.next()
+		})
+	default:
+		r.fleet.After(releasePollIntervalUs, r.awaitDrained)
+	}
+}
+
+// drained says whether the database has drained for as long as it has to.
+func (r *databaseRelease) drained() bool {
+	if acknowledged := r.database.drainAcknowledgedUs; acknowledged > 0 {
+		return r.fleet.Now-acknowledged > drainTimeoutUs+drainReserveUs
+	}
+	return r.fleet.Now-r.startUs > unacknowledgedDrainUs
+}
+
+// startSuccessor starts the successor at the database's address on its log.
+func (r *databaseRelease) startSuccessor() {
+	successor := r.fleet.addDatabase(r.group, r.database.zone)
+	successor.address, successor.ip = r.database.address, r.database.ip
+	successor.inheritLog(r.database)
+	successor.start()
+}
