--- a/emulator/fleetsimulation/moves_test.go
+++ b/emulator/fleetsimulation/moves_test.go
@@ -6,6 +6,7 @@
 	"sync"
 	"testing"
 
+	"stoneford/emulator/seedtest"
 	"stoneford/internal/ports"
 )
 
@@ -54,7 +55,7 @@
 		}
 	}
 	f.Finish()
-	told(t, f)
+	checkRun(t, f)
 	if n := f.moves.seen[ports.MoveSwitched]; n != 3 {
 		t.Errorf("%d of 3 moves were seen switched", n)
 	}
@@ -86,14 +87,11 @@
 
 // TestMovesUnderFaults: nothing that must never happen happens.
 func TestMovesUnderFaults(t *testing.T) {
-	n := uint64(40)
-	if *seeds > 0 {
-		n = *seeds
-	}
+	n := seedtest.Count(40)
 	var mu sync.Mutex
 	ops, ok, acknowledged, requested := 0, 0, 0, 0
 	seen := map[ports.MovePhase]int{}
-	runSeeds(n, *from, func(seed uint64) {
+	runSeeds(n, seedtest.First(), func(seed uint64) {
 		f := moving(plan(seed), 2_500_000)
 		mu.Lock()
 		defer mu.Unlock()
@@ -101,7 +99,7 @@
 		for p, k := range f.moves.seen {
 			seen[p] += k
 		}
-		told(t, f)
+		checkRun(t, f)
 	})
 	t.Logf("%d seeds: %d moves asked for, %v; %d operations, %.4f served, %d writes acknowledged", n, requested, seen, ops, float64(ok)/float64(max(ops, 1)), acknowledged)
 	if seen[ports.MoveSwitched] == 0 || seen[ports.MoveCancelled] == 0 {
--- a/emulator/fleetsimulation/nodes.go
+++ b/emulator/fleetsimulation/nodes.go
@@ -100,17 +100,30 @@
 	f.After(25_000, poll)
 }
 
-func (n *Node) step(events ...any) {
-	f := n.fleet
+func (n *Node) step(events ...sessiontable.Event) {
 	for _, e := range events {
-		effects := n.core.Step(n.now(), e)
-		for _, d := range effects.Table {
-			n.perform(d)
-		}
-		for _, s := range effects.Send {
-			f.sendEnvelope(n.ip, s)
-		}
+		n.performAll(n.core.Step(n.now(), e))
+	}
+	n.stepped()
+}
+
+func (n *Node) receive(e *schema.Envelope) {
+	n.performAll(n.core.Receive(n.now(), e))
+	n.stepped()
+}
+
+func (n *Node) performAll(effects sessionpool.Effects) {
+	for _, d := range effects.Table {
+		n.perform(d)
+	}
+	for _, s := range effects.Send {
+		n.fleet.sendEnvelope(n.ip, s)
 	}
+}
+
+// stepped checks the revision in force after a step, and sets the timer.
+func (n *Node) stepped() {
+	f := n.fleet
 	if r := n.core.Revision(); r != n.newestRevision {
 		if r < n.newestRevision {
 			f.oracle.violation("%s went back from revision %d to %d", n.name, n.newestRevision, r)
@@ -196,10 +209,10 @@
 		}
 	case f.network.loses(from, to) && f.Chance(0.3):
 	default:
-		if f.Chance(f.duplicateShare) {
+		if f.Chance(f.duplicateProbability) {
 			f.network.carry(from, to, deliver)
 		}
-		if f.Chance(f.duplicateShare) {
+		if f.Chance(f.duplicateProbability) {
 			f.After(f.Between(10_000, 900_000), deliver) // late and out of order
 			return
 		}
@@ -232,7 +245,7 @@
 		gen := n.generation
 		n.enter(e.From, func() {
 			if n.generation == gen {
-				n.step(e)
+				n.receive(e)
 			}
 		})
 	}
@@ -324,7 +337,7 @@
 		}
 		own = append(own, o)
 	}
-	sent, taken := f.Now, false
+	sent, received := f.Now, false
 	var deliver func()
 	deliver = func() {
 		if s.database == nil || s.connection == nil {
@@ -332,7 +345,7 @@
 		}
 		switch {
 		case s.database.up && s.database.generation == s.databaseGeneration:
-			taken = true
+			received = true
 			if s.connection.open {
 				s.connection.push(own, n)
 			} else {
@@ -343,13 +356,13 @@
 				f.After(100_000, deliver)
 			}
 		default:
-			taken = true
+			received = true
 			f.network.carry(s.ip, n.ip, func() { s.lost(true, "reset") })
 		}
 	}
 	f.network.carry(n.ip, s.ip, deliver)
 	f.After(unackedBytesTimeoutUs, func() {
-		if !taken && s.atNode {
+		if !received && s.atNode {
 			s.lost(false, "timed out")
 		}
 	})
@@ -410,7 +423,7 @@
 		return !s.atNode && (s.connection == nil || !s.connection.open)
 	})
 	for _, s := range f.streams {
-		if f.network.bothWays(s.node.ip, s.ip) && (s.database == nil || s.database.up || !s.database.unresponsive) && s.node.up && s.node.generation == s.gen {
+		if f.network.connected(s.node.ip, s.ip) && (s.database == nil || s.database.up || !s.database.unresponsive) && s.node.up && s.node.generation == s.gen {
 			s.badFrom = 0
 			continue
 		}
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -215,7 +215,7 @@
 		c.getConfiguration(now, e)
 	case DatabaseReply:
 		if g := c.groups[e.Group]; g != nil {
-			g.decider.HandleReply(now, e.ID, e.Failed, e.Status)
+			g.decider.HandleReply(e.ID, e.Failed, e.Status)
 		}
 	case Command:
 		c.handleCommand(now, e)
@@ -529,7 +529,7 @@
 	for _, ch := range effects.Changes {
 		c.propose(now, ch, func(now int64, o paxos.Outcome) {
 			for _, k := range c.roles.HandleOutcome(now, o).Acquired {
-				c.logf(result.RoleTaken, "%s", k)
+				c.logf(result.RoleOwnerChanged, "%s", k)
 			}
 		})
 	}
--- a/internal/coordinator/cluster_test.go
+++ b/internal/coordinator/cluster_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"stoneford/emulator/simulation"
+	"stoneford/emulator/virtualtime"
 	"stoneford/internal/learner"
 	"stoneford/internal/ports"
 	"stoneford/internal/wal"
@@ -18,6 +19,9 @@
 	"stoneford/schema"
 )
 
+// randomStream is the random stream of the clusters of these tests.
+const randomStream = 0x5eed
+
 // member is one control process of a cluster with its disk.
 type member struct {
 	boot        ports.ProcessConfig
@@ -35,7 +39,7 @@
 
 type cluster struct {
 	t           *testing.T
-	environment *simulation.Scheduler
+	environment *virtualtime.Scheduler
 	network     *simulation.Network
 	members     map[string]*member
 	order       []string
@@ -44,7 +48,7 @@
 
 // newCluster has so many control processes, of which the first are the seeds.
 func newCluster(t *testing.T, seed uint64, n, seeds, lost int) *cluster {
-	c := &cluster{t: t, environment: simulation.NewScheduler(seed), members: map[string]*member{}}
+	c := &cluster{t: t, environment: virtualtime.NewScheduler(seed, randomStream), members: map[string]*member{}}
 	c.network = simulation.NewNetwork(c.environment)
 	c.network.MaxDelayUs = 12_000
 	c.network.Receive = func(to string, e *schema.Envelope) { c.step(to, Message{e}) }
@@ -225,7 +229,7 @@
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			c := newCluster(t, seed, 6, 3, 2)
-			c.network.LossShare, c.network.DuplicateShare = 0.03, 0.03
+			c.network.LossProbability, c.network.DuplicateProbability = 0.03, 0.03
 			c.startAtRandom()
 			if seed%2 == 1 {
 				c.restartAtRandom()
--- a/internal/coordinator/group.go
+++ b/internal/coordinator/group.go
@@ -152,7 +152,7 @@
 }
 
 // handleGroupEffect carries out what a group's decider asks for.
-func (c *Core) handleGroupEffect(now int64, name string, g *group, effect any) {
+func (c *Core) handleGroupEffect(now int64, name string, g *group, effect fenced.Effect) {
 	switch e := effect.(type) {
 	case fenced.DatabaseCall:
 		c.do(DatabaseCall{Group: name, Call: e})
--- a/internal/coordinator/restore.go
+++ b/internal/coordinator/restore.go
@@ -4,6 +4,7 @@
 	"context"
 	"crypto/rand"
 	"encoding/binary"
+	"errors"
 	"path/filepath"
 	"time"
 
@@ -60,7 +61,7 @@
 	var entries []*schema.WALEntry
 	keep := func(entry *schema.WALEntry) { entries = append(entries, entry) }
 	voterLog, err := wal.Open(folder, keep)
-	if wal.ErrCorrupt.Has(err) {
+	if errors.Is(err, wal.ErrCorrupt) {
 		if err := quarantine(folder, err); err != nil {
 			return nil, err
 		}
--- a/internal/sessionpool/core.go
+++ b/internal/sessionpool/core.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 	"strings"
+	"time"
 
 	"stoneford/internal/invariant"
 	"stoneford/internal/learner"
@@ -29,25 +30,35 @@
 	checks        invariant.Checks
 }
 
-// readyGraceUs is how long after its lease a node still calls itself ready: cut off
-// from the voters it can serve no current read, while others can.
-const readyGraceUs = 400_000
-
-// drainMarginUs is how much sooner than it has to a node leaves a database alone
-// that leaves: it may have heard of it later than whoever acknowledged it.
-const drainMarginUs = 800_000
-
-// routingMarginUs is taken off the time that a change has to be in force everywhere.
-const routingMarginUs = 100_000
+const (
+	// readyGrace is how long after its lease a node still reports itself ready.
+	// Partitioned from the voters it can run no current read, while other nodes can; a
+	// longer one keeps callers on it, a shorter one turns short outages into load on
+	// the others.
+	readyGrace = 400 * time.Millisecond
+	// drainMarginUs is how much sooner than required a node stops using a database that
+	// drains, since the node may have learned of it later than whoever acknowledged it.
+	drainMarginUs = 800_000
+	// routingMarginUs is subtracted from the time within which a change has to be in
+	// force everywhere.
+	routingMarginUs = 100_000
+)
 
-// routingGraceUs is how long after its lease a node may route by its table: what the
-// lease vouches for is as old as the look that brought it, and a change that was
-// acknowledged after that look binds a while later. This clock may run slow by a
-// tenth.
+// routingGraceUs is how long after its lease a node may route by its table, in µs. What
+// a lease confirms is as old as the poll that brought it, and a change that was
+// acknowledged after that poll has to be in force a while later. This node's clock may
+// run slow by a tenth.
 func routingGraceUs(applyUs int64) int64 {
 	return max(applyUs*10/11-learner.LeaseDurationUs-routingMarginUs, 0)
 }
 
+// drainTimeoutUs is how long a database that drains still gets new statements, in µs.
+func drainTimeoutUs(gracefulDrainUs int64) int64 {
+	return gracefulDrainUs - min(gracefulDrainUs/4, drainMarginUs)
+}
+
+func fromMicroseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+
 // Effects of one step.
 type Effects struct {
 	Send  []statemachine.Send
@@ -58,11 +69,11 @@
 func NewCore(boot ports.ProcessConfig, run, seed uint64, options sessiontable.Options) *Core {
 	// A copy that refuses a beginning may run the statement behind it on its own.
 	options.SeparateBegin = true
-	if d := boot.Bounds.GracefulDrainUs; d > 0 {
-		options.DrainTimeoutUs = cmp.Or(options.DrainTimeoutUs, d-min(d/4, drainMarginUs))
+	if us := boot.Bounds.GracefulDrainUs; us > 0 {
+		options.DrainTimeout = cmp.Or(options.DrainTimeout, fromMicroseconds(drainTimeoutUs(us)))
 	}
-	options.ReadyGraceUs = cmp.Or(options.ReadyGraceUs, readyGraceUs)
-	options.RoutingGraceUs = cmp.Or(options.RoutingGraceUs, routingGraceUs(boot.Bounds.ApplyUs))
+	options.ReadyGrace = cmp.Or(options.ReadyGrace, readyGrace)
+	options.RoutingGrace = cmp.Or(options.RoutingGrace, fromMicroseconds(routingGraceUs(boot.Bounds.ApplyUs)))
 	return &Core{Table: sessiontable.New(seed, boot.Zone, options), view: learner.New(learner.Config{
 		Self: boot.PoolNodeAddress(), Contacts: boot.SeedVoterAddresses(), Zone: boot.Zone, Name: boot.Name, Kind: "pool", Run: run,
 	})}
@@ -71,39 +82,48 @@
 // Due is when Step has something to do next even if nothing happens.
 func (c *Core) Due() int64 { return min(c.Table.Due(), c.view.Due()) }
 
-// Step takes events of the table's, and voters' envelopes, then does what is
-// due.
-func (c *Core) Step(now int64, events ...any) Effects {
+// Step hands events to the session table, and then does what is due.
+func (c *Core) Step(now int64, events ...sessiontable.Event) Effects {
 	var effects Effects
 	for _, event := range events {
-		switch event := event.(type) {
-		case *schema.Envelope:
-			if b, ok := event.Body.(*schema.Envelope_PollResponse); ok {
-				c.view.Step(now, event.From, b.PollResponse)
-				c.applyLearned(now, &effects)
-			}
-			continue
-		case sessiontable.Drain:
+		if _, ok := event.(sessiontable.Drain); ok {
 			c.draining = true
 			c.view.RequestPoll()
 		}
 		c.stepTable(now, &effects, event)
 	}
+	c.doDue(now, &effects)
+	return effects
+}
+
+// Receive takes an envelope from another process, and then does what is due. Only
+// voters' poll responses concern a pool node; any other envelope is dropped.
+func (c *Core) Receive(now int64, envelope *schema.Envelope) Effects {
+	var effects Effects
+	if body, ok := envelope.Body.(*schema.Envelope_PollResponse); ok {
+		c.view.Step(now, envelope.From, body.PollResponse)
+		c.applyLearned(now, &effects)
+	}
+	c.doDue(now, &effects)
+	return effects
+}
+
+// doDue ticks the session table and polls the voters if it is time.
+func (c *Core) doDue(now int64, effects *Effects) {
 	if now >= c.Table.Due() {
-		c.stepTable(now, &effects, sessiontable.Tick{})
+		c.stepTable(now, effects, sessiontable.Tick{})
 	}
 	if c.Table.Changed() {
 		c.view.RequestPoll()
 	}
 	if now >= c.view.Due() {
 		effects.Send = c.view.Tick(now, func() learner.Report { return c.report(now) })
-		c.logContact(now, &effects)
-		c.logViolations(&effects)
+		c.logContact(now, effects)
+		c.logViolations(effects)
 	}
-	return effects
 }
 
-func (c *Core) stepTable(now int64, effects *Effects, event any) {
+func (c *Core) stepTable(now int64, effects *Effects, event sessiontable.Event) {
 	for _, effect := range c.Table.Step(now, event) {
 		if _, ok := effect.(sessiontable.RenewLease); ok {
 			c.view.RequestPoll()
