--- a/internal/coordinator/callers_test.go
+++ b/internal/coordinator/callers_test.go
@@ -33,39 +33,39 @@
 	return &testCallers{cluster: c, pending: map[uint64]*testCall{}, collected: map[string]int{}}
 }
 
-func (k *testCallers) send(to string, build func(id uint64) Event) *testCall {
-	k.lastID++
-	a := &testCall{to: to, sentAt: k.cluster.environment.Now}
-	event := build(k.lastID)
-	if k.mutation != nil {
-		if answer := k.mutation(to, event); answer != nil {
-			a.answer, a.endedAt = answer, k.cluster.environment.Now
+func (callers *testCallers) send(to string, build func(id uint64) Event) *testCall {
+	callers.lastID++
+	a := &testCall{to: to, sentAt: callers.cluster.environment.Now}
+	event := build(callers.lastID)
+	if callers.mutation != nil {
+		if answer := callers.mutation(to, event); answer != nil {
+			a.answer, a.endedAt = answer, callers.cluster.environment.Now
 			return a
 		}
 	}
-	k.pending[k.lastID] = a
-	k.cluster.step(to, event)
-	k.collect()
+	callers.pending[callers.lastID] = a
+	callers.cluster.step(to, event)
+	callers.collect()
 	return a
 }
 
-func (k *testCallers) change(to string, t ports.TableChange) *testCall {
-	return k.send(to, func(id uint64) Event { return ChangeTable{ID: id, Change: t} })
+func (callers *testCallers) change(to string, t ports.TableChange) *testCall {
+	return callers.send(to, func(id uint64) Event { return ChangeTable{ID: id, Change: t} })
 }
 
-func (k *testCallers) fetch(to string) *testCall {
-	return k.send(to, func(id uint64) Event { return FetchTable{ID: id} })
+func (callers *testCallers) fetch(to string) *testCall {
+	return callers.send(to, func(id uint64) Event { return FetchTable{ID: id} })
 }
 
-func (k *testCallers) announce(to string, i ports.Instance) *testCall {
-	return k.send(to, func(id uint64) Event { return Announce{ID: id, Instance: i} })
+func (callers *testCallers) announce(to string, i ports.Instance) *testCall {
+	return callers.send(to, func(id uint64) Event { return Announce{ID: id, Instance: i} })
 }
 
 // collect takes the answers that the members gave since the last call.
-func (k *testCallers) collect() {
-	for _, m := range k.cluster.order {
-		does := k.cluster.members[m].done
-		for _, d := range does[min(k.collected[m], len(does)):] {
+func (callers *testCallers) collect() {
+	for _, m := range callers.cluster.addresses {
+		does := callers.cluster.members[m].effects
+		for _, d := range does[min(callers.collected[m], len(does)):] {
 			var id uint64
 			switch d := d.(type) {
 			case ChangeTableDone:
@@ -77,61 +77,61 @@
 			case MoveDone:
 				id = d.ID
 			}
-			if a := k.pending[id]; a != nil && a.to == m {
-				a.answer, a.endedAt = d, k.cluster.environment.Now
-				delete(k.pending, id)
+			if a := callers.pending[id]; a != nil && a.to == m {
+				a.answer, a.endedAt = d, callers.cluster.environment.Now
+				delete(callers.pending, id)
 			}
 		}
-		k.collected[m] = len(does)
+		callers.collected[m] = len(does)
 	}
 }
 
 // connectionsBroken ends the calls to a member that was killed; nobody answered them.
-func (k *testCallers) connectionsBroken(to string) {
-	for id, a := range k.pending {
+func (callers *testCallers) connectionsBroken(to string) {
+	for id, a := range callers.pending {
 		if a.to == to {
-			a.endedAt = k.cluster.environment.Now
-			delete(k.pending, id)
+			a.endedAt = callers.cluster.environment.Now
+			delete(callers.pending, id)
 		}
 	}
 }
 
-func (k *testCallers) run(us int64) {
-	for until := k.cluster.environment.Now + us; k.cluster.environment.Now < until; {
-		k.cluster.run(min(5_000, until-k.cluster.environment.Now))
-		k.collect()
+func (callers *testCallers) run(us int64) {
+	for until := callers.cluster.environment.Now + us; callers.cluster.environment.Now < until; {
+		callers.cluster.run(min(5_000, until-callers.cluster.environment.Now))
+		callers.collect()
 	}
 }
 
 // wait runs until a call is answered, for a time at most.
-func (k *testCallers) wait(a *testCall, us int64) Effect {
-	for until := k.cluster.environment.Now + us; a.endedAt == 0 && k.cluster.environment.Now < until; {
-		k.run(5_000)
+func (callers *testCallers) wait(a *testCall, us int64) Effect {
+	for until := callers.cluster.environment.Now + us; a.endedAt == 0 && callers.cluster.environment.Now < until; {
+		callers.run(5_000)
 	}
 	return a.answer
 }
 
-// outcome is what became of an order, Unavailable where nobody answered.
+// outcome is what became of a change, Unavailable where nobody answered.
 func (a *testCall) outcome() ports.Outcome {
 	c, _ := a.answer.(ChangeTableDone)
 	return c.Result.Outcome
 }
 
-// changeUntilDecided sends an order from member to member, as operators do, until somebody
+// changeUntilDecided sends a change from member to member, as operators do, until somebody
 // gives a clear answer.
-func (k *testCallers) changeUntilDecided(t ports.TableChange, to ...string) ports.Outcome {
+func (callers *testCallers) changeUntilDecided(t ports.TableChange, to ...string) ports.Outcome {
 	for i := range 12 {
-		a := k.change(to[i%len(to)], t)
-		k.wait(a, 1_000_000)
+		a := callers.change(to[i%len(to)], t)
+		callers.wait(a, 1_000_000)
 		if o := a.outcome(); o != ports.Unavailable {
 			return o
 		}
-		k.run(200_000)
+		callers.run(200_000)
 	}
 	return ports.Unavailable
 }
 
-// tableChange is an order that adds a route, or for the first revision makes the
+// tableChange is a change that adds a route, or for the first revision makes the
 // table; content distinguishes it from others under the same numbers.
 func tableChange(base, revision uint64, content string) ports.TableChange {
 	name := fmt.Sprintf("%d on %d: %s", revision, base, content)
@@ -142,36 +142,36 @@
 	return ports.TableChange{BaseRevision: base, Revision: revision, Digest: name, Routes: []ports.Route{route}}
 }
 
-// formedClusterWithTable is a cluster of three that has formed and taken revision 1.
-func formedClusterWithTable(t *testing.T, seed uint64) (*cluster, *testCallers) {
+// clusterWithTable is a cluster of three that has formed and taken revision 1.
+func clusterWithTable(t *testing.T, seed uint64) (*cluster, *testCallers) {
 	c := newCluster(t, seed, 3, 3, 1)
-	k := newCallers(c)
-	for _, a := range c.order {
+	callers := newCallers(c)
+	for _, a := range c.addresses {
 		c.start(a)
 	}
-	k.run(3_000_000)
-	if o := k.changeUntilDecided(tableChange(0, 1, "first"), c.order...); o != ports.Committed {
-		t.Fatalf("seed %d: the first order ended as %d", seed, o)
+	callers.run(3_000_000)
+	if o := callers.changeUntilDecided(tableChange(0, 1, "first"), c.addresses...); o != ports.Committed {
+		t.Fatalf("seed %d: the first change ended as %d", seed, o)
 	}
-	k.run(1_000_000)
-	return c, k
+	callers.run(1_000_000)
+	return c, callers
 }
 
 // newest is the table that a majority holds, read through a member.
-func (k *testCallers) newest(to string) ports.RoutingTable {
+func (callers *testCallers) newest(to string) ports.RoutingTable {
 	for range 10 {
-		a := k.fetch(to)
-		k.wait(a, 1_000_000)
+		a := callers.fetch(to)
+		callers.wait(a, 1_000_000)
 		if f, _ := a.answer.(FetchTableDone); f.OK {
 			return f.Table
 		}
-		k.run(200_000)
+		callers.run(200_000)
 	}
 	return ports.RoutingTable{}
 }
 
-// has says that a table holds the route that an order added.
-func has(t ports.RoutingTable, o ports.TableChange) bool {
+// hasRoute says that a table holds the route that a change added.
+func hasRoute(t ports.RoutingTable, o ports.TableChange) bool {
 	return slices.ContainsFunc(t.Routes, func(r ports.Route) bool { return r.Host == o.Routes[0].Host })
 }
 
@@ -181,7 +181,7 @@
 	return t
 }
 
-// decideAlone is what a member would say of an order that asked nobody.
+// decideAlone is what a member would say of a change that asked nobody.
 func decideAlone(t ports.RoutingTable, o ports.TableChange) ports.ChangeResult {
 	if routingtable.OrderStatus(t, o) == routingtable.Applied {
 		return ports.ChangeResult{Outcome: ports.Committed, Revision: t.Revision}
--- a/internal/coordinator/changes_test.go
+++ b/internal/coordinator/changes_test.go
@@ -10,12 +10,12 @@
 	"stoneford/schema"
 )
 
-// uncertainOutcomes are the causes for which an change's first attempt has no reply, or
+// uncertainOutcomes are the causes for which a change's first attempt has no reply, or
 // none that its sender gets. Each leaves a fault at the member that tried, and
 // repairs it some time after.
 var uncertainOutcomes = []struct {
 	name string
-	// bring sends the order to a member so that it ends that way.
+	// bring sends the change to a member so that it ends that way.
 	bring func(x *changeCase, o ports.TableChange)
 }{
 	{"the answer is lost", func(x *changeCase, o ports.TableChange) { x.callers.change(x.first, o); x.callers.run(500_000) }},
@@ -41,11 +41,11 @@
 	}},
 	{"power is lost everywhere", func(x *changeCase, o ports.TableChange) {
 		x.until(o, sentAccept)
-		for _, m := range x.order {
+		for _, m := range x.addresses {
 			x.kill(m, false)
 			x.callers.connectionsBroken(m)
 		}
-		for _, m := range x.order {
+		for _, m := range x.addresses {
 			x.start(m)
 		}
 	}},
@@ -68,12 +68,12 @@
 }
 
 func newChangeCase(t *testing.T, seed uint64) *changeCase {
-	c, k := formedClusterWithTable(t, seed)
-	i := int(seed) % len(c.order)
-	return &changeCase{cluster: c, callers: k, first: c.order[i], others: slices.Delete(slices.Clone(c.order), i, i+1), base: 1}
+	c, callers := clusterWithTable(t, seed)
+	i := int(seed) % len(c.addresses)
+	return &changeCase{cluster: c, callers: callers, first: c.addresses[i], others: slices.Delete(slices.Clone(c.addresses), i, i+1), base: 1}
 }
 
-// until sends the order to the first member and runs until that has sent what the
+// until sends the change to the first member and runs until that has sent what the
 // moment names. Where one accept leaves only, the others' are lost.
 func (x *changeCase) until(o ports.TableChange, moment int) {
 	seen := false
@@ -122,7 +122,7 @@
 // partitionFor partitions a member from the others for a time.
 func (x *changeCase) partitionFor(a string, us int64) {
 	set := func(broken bool) {
-		for _, o := range x.order {
+		for _, o := range x.addresses {
 			if o != a {
 				x.network.SetPartition(a, o, broken)
 				x.network.SetPartition(o, a, broken)
@@ -193,7 +193,7 @@
 		for seed := range uint64(6) {
 			t.Run(fmt.Sprintf("%s, seed %d", uncertain.name, seed), func(t *testing.T) {
 				x := newChangeCase(t, seed)
-				change := tableChange(1, 5, "the order")
+				change := tableChange(1, 5, "the change")
 				uncertain.bring(x, change)
 				x.inBetween(t, 1)
 				if outcome := x.callers.changeUntilDecided(change, x.others[0], x.others[1], x.first); outcome != ports.Committed {
@@ -209,7 +209,7 @@
 				x.restartAll()
 				x.callers.run(1_500_000)
 				x.checkAppliedEverywhere(t, change, "after all that and a restart")
-				if final := x.callers.newest(x.first); final.Revision != 5 || !has(final, change) || len(final.Routes) != 1 {
+				if final := x.callers.newest(x.first); final.Revision != 5 || !hasRoute(final, change) || len(final.Routes) != 1 {
 					t.Fatalf("in force is %d", final.Revision)
 				}
 			})
@@ -220,7 +220,7 @@
 // checkAppliedEverywhere checks that each member acknowledges a change.
 func (x *changeCase) checkAppliedEverywhere(t *testing.T, change ports.TableChange, when string) {
 	t.Helper()
-	for _, member := range x.order {
+	for _, member := range x.addresses {
 		if outcome := x.callers.changeUntilDecided(change, member); outcome != ports.Committed {
 			t.Fatalf("%s, %s ends it as %d", when, member, outcome)
 		}
@@ -229,11 +229,11 @@
 
 // restartAll kills all members and starts them again.
 func (x *changeCase) restartAll() {
-	for _, member := range x.order {
+	for _, member := range x.addresses {
 		x.kill(member, false)
 		x.callers.connectionsBroken(member)
 	}
-	for _, member := range x.order {
+	for _, member := range x.addresses {
 		x.start(member)
 	}
 }
@@ -276,24 +276,24 @@
 		}
 	}
 	for round := range 6 {
-		at := x.order[(round+int(seed))%3]
+		at := x.addresses[(round+int(seed))%3]
 		send(b, x.others[round%2])
 		send(a, at)
 		x.callers.run(x.environment.Between(0, 400_000))
 	}
 	x.callers.run(4_000_000)
-	for _, member := range x.order {
+	for _, member := range x.addresses {
 		send(a, member)
 		send(b, member)
 	}
 	final := x.callers.newest(x.first)
 	for _, change := range []ports.TableChange{a, b} {
-		checkOutcomes(t, change, has(final, change), outcomes[change.Digest])
+		checkOutcomes(t, change, hasRoute(final, change), outcomes[change.Digest])
 	}
-	if has(final, a) == has(final, b) || final.Revision != 5 {
-		t.Fatalf("one's is in force %t, the other's %t", has(final, a), has(final, b))
+	if hasRoute(final, a) == hasRoute(final, b) || final.Revision != 5 {
+		t.Fatalf("one's is in force %t, the other's %t", hasRoute(final, a), hasRoute(final, b))
 	}
-	return has(final, a)
+	return hasRoute(final, a)
 }
 
 // checkOutcomes checks that every clear reply about a change says whether it is in force.
@@ -321,19 +321,19 @@
 	var totals stormTotals
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			c, k := formedClusterWithTable(t, seed)
+			c, callers := clusterWithTable(t, seed)
 			base, last := uint64(1), uint64(1)
 			inForce := []ports.TableChange{}
 			for range 150 {
 				last += 1 + c.environment.Random.Uint64N(3)
 				a, b := tableChange(base, last, "a"), tableChange(base, last+c.environment.Random.Uint64N(2), "b")
 				last = max(a.Revision, b.Revision)
-				winner := k.race(t, &totals, a, b)
+				winner := callers.race(t, &totals, a, b)
 				base, inForce = winner.Revision, append(inForce, winner)
-				k.checkOldChangeResent(t, inForce)
+				callers.checkOldChangeResent(t, inForce)
 			}
 			for _, change := range inForce {
-				if !has(k.newest(c.order[0]), change) {
+				if !hasRoute(callers.newest(c.addresses[0]), change) {
 					t.Fatalf("%s was acknowledged and is not in force", change.Digest)
 				}
 			}
@@ -346,19 +346,19 @@
 }
 
 // race sends two changes on one base at once and returns the one that was applied.
-func (k *testCallers) race(t *testing.T, totals *stormTotals, a, b ports.TableChange) ports.TableChange {
+func (callers *testCallers) race(t *testing.T, totals *stormTotals, a, b ports.TableChange) ports.TableChange {
 	t.Helper()
-	c := k.cluster
-	to := c.order[c.environment.Random.IntN(3)]
-	callA, callB := k.change(to, a), k.change(c.order[c.environment.Random.IntN(3)], b)
+	c := callers.cluster
+	to := c.addresses[c.environment.Random.IntN(3)]
+	callA, callB := callers.change(to, a), callers.change(c.addresses[c.environment.Random.IntN(3)], b)
 	if c.environment.Chance(0.5) { // the replies are lost: both go elsewhere, at once
-		k.change(c.order[c.environment.Random.IntN(3)], a)
+		callers.change(c.addresses[c.environment.Random.IntN(3)], a)
 		totals.resent++
 	}
-	k.wait(callA, 2_000_000)
-	k.wait(callB, 2_000_000)
+	callers.wait(callA, 2_000_000)
+	callers.wait(callB, 2_000_000)
 	totals.slowest = max(totals.slowest, callA.took(), callB.took())
-	outcomeA, outcomeB := k.changeUntilDecided(a, c.order...), k.changeUntilDecided(b, c.order...)
+	outcomeA, outcomeB := callers.changeUntilDecided(a, c.addresses...), callers.changeUntilDecided(b, c.addresses...)
 	if (outcomeA == ports.Committed) == (outcomeB == ports.Committed) {
 		t.Fatalf("two changes on %d ended as %d and %d", a.BaseRevision, outcomeA, outcomeB)
 	}
@@ -370,26 +370,26 @@
 }
 
 // checkOldChangeResent sends one of the changes that were applied again, late.
-func (k *testCallers) checkOldChangeResent(t *testing.T, inForce []ports.TableChange) {
+func (callers *testCallers) checkOldChangeResent(t *testing.T, inForce []ports.TableChange) {
 	t.Helper()
-	c := k.cluster
+	c := callers.cluster
 	old := inForce[c.environment.Random.IntN(len(inForce))]
-	call := k.change(c.order[c.environment.Random.IntN(3)], old)
-	if k.wait(call, 1_000_000) == nil || call.outcome() == ports.Stale || call.outcome() == ports.Invalid {
+	call := callers.change(c.addresses[c.environment.Random.IntN(3)], old)
+	if callers.wait(call, 1_000_000) == nil || call.outcome() == ports.Stale || call.outcome() == ports.Invalid {
 		t.Fatalf("%s was applied and ends as %d", old.Digest, call.outcome())
 	}
 }
 
-// TestTwinsJoin: the same order, sent again to the member that is deciding it,
+// TestTwinsJoin: the same change, sent again to the member that is deciding it,
 // gets the same answer as the first.
 func TestTwinsJoin(t *testing.T) {
 	for seed := range uint64(6) {
-		c, k := formedClusterWithTable(t, seed)
+		c, callers := clusterWithTable(t, seed)
 		o := tableChange(1, 2, "twin")
-		a, b := k.change(c.order[0], o), k.change(c.order[0], o)
-		k.run(10_000)
-		d := k.change(c.order[0], o)
-		k.run(900_000)
+		a, b := callers.change(c.addresses[0], o), callers.change(c.addresses[0], o)
+		callers.run(10_000)
+		d := callers.change(c.addresses[0], o)
+		callers.run(900_000)
 		if a.outcome() != ports.Committed || b.outcome() != ports.Committed || d.outcome() != ports.Committed {
 			t.Fatalf("seed %d: %d, %d and %d", seed, a.outcome(), b.outcome(), d.outcome())
 		}
@@ -413,7 +413,7 @@
 		if outcome := call.outcome(); outcome == ports.Stale || outcome == ports.Invalid {
 			t.Fatalf("seed %d: the change was refused with %d", seed, outcome)
 		}
-		if outcome := x.callers.changeUntilDecided(tableChange(1, 2, "beside a move"), x.order...); outcome != ports.Committed {
+		if outcome := x.callers.changeUntilDecided(tableChange(1, 2, "beside a move"), x.addresses...); outcome != ports.Committed {
 			t.Fatalf("seed %d: sent again it ended as %d", seed, outcome)
 		}
 	}
--- a/internal/coordinator/cluster_test.go
+++ b/internal/coordinator/cluster_test.go
@@ -24,7 +24,7 @@
 
 // member is one control process of a cluster with its disk.
 type member struct {
-	boot        ports.ProcessConfig
+	config      ports.ProcessConfig
 	core        *Core
 	disk        []*schema.WALEntry
 	up          bool
@@ -32,7 +32,7 @@
 	hangs       bool // its disk takes writes and does not end them
 	refuses     bool
 	queue       []Effects
-	done        []Effect
+	effects     []Effect
 	drive       *crashdisk.Disk // where it has one: its log is kept there, not in disk
 	log         *wal.Log
 }
@@ -42,31 +42,42 @@
 	environment *virtualtime.Scheduler
 	network     *simulation.Network
 	members     map[string]*member
-	order       []string
+	addresses   []string
 	runs        uint64
 }
 
 // newCluster has so many control processes, of which the first are the seeds.
-func newCluster(t *testing.T, seed uint64, n, seeds, lost int) *cluster {
+func newCluster(t *testing.T, seed uint64, processes, seeds, lost int) *cluster {
 	c := &cluster{t: t, environment: virtualtime.NewScheduler(seed, randomStream), members: map[string]*member{}}
 	c.network = simulation.NewNetwork(c.environment)
 	c.network.MaxDelayUs = 12_000
 	c.network.Receive = func(to string, e *schema.Envelope) { c.step(to, Message{e}) }
-	var ss []string
+	var seedAddresses []string
 	for i := range seeds {
-		ss = append(ss, fmt.Sprintf("10.0.0.%d:8782", i+1))
+		seedAddresses = append(seedAddresses, fmt.Sprintf("10.0.0.%d:8782", i+1))
 	}
-	for i := range n {
-		b := ports.ProcessConfig{Name: fmt.Sprint("m", i+1), IP: fmt.Sprintf("10.0.0.%d", i+1), PortFirst: 7440, Seeds: ss, Bootstrap: true, QuorumMember: true,
+	for i := range processes {
+		config := ports.ProcessConfig{Name: fmt.Sprint("m", i+1), IP: fmt.Sprintf("10.0.0.%d", i+1), PortFirst: 7440, Seeds: seedAddresses, Bootstrap: true, QuorumMember: true,
 			Tolerance: ports.Tolerance{Machines: lost}, Zone: "z"}
-		c.order = append(c.order, b.ControlNodeAddress())
-		c.members[b.ControlNodeAddress()] = &member{boot: b}
+		c.addresses = append(c.addresses, config.ControlNodeAddress())
+		c.members[config.ControlNodeAddress()] = &member{config: config}
 	}
 	return c
 }
 
-func (c *cluster) start(a string) {
-	m := c.members[a]
+// runningCluster is a cluster of three voters that has run for two seconds.
+func runningCluster(t *testing.T, seed uint64) *cluster {
+	t.Helper()
+	c := newCluster(t, seed, 3, 3, 1)
+	for _, address := range c.addresses {
+		c.start(address)
+	}
+	c.run(2_000_000)
+	return c
+}
+
+func (c *cluster) start(address string) {
+	m := c.members[address]
 	m.incarnation++
 	c.runs += 1 + uint64(c.environment.Random.IntN(1000))
 	m.up, m.queue, m.hangs = true, nil, false
@@ -75,28 +86,28 @@
 		m.up = false
 		return
 	}
-	m.core = Restore(m.boot, m.disk, c.environment.Random.Uint64()|1, run)
-	m.boot.Bootstrap = false
+	m.core = Restore(m.config, m.disk, c.environment.Random.Uint64()|1, run)
+	m.config.Bootstrap = false
 	m.core.Start(c.environment.Now)
-	c.tick(a)
+	c.tick(address)
 }
 
 // tick steps a process again and again while it runs.
-func (c *cluster) tick(a string) {
-	m := c.members[a]
+func (c *cluster) tick(address string) {
+	m := c.members[address]
 	incarnation := m.incarnation
 	var next func()
 	next = func() {
 		if m.incarnation == incarnation && m.up {
-			c.step(a)
+			c.step(address)
 			c.environment.After(10_000, next)
 		}
 	}
 	next()
 }
 
-func (c *cluster) kill(a string, wipe bool) {
-	m := c.members[a]
+func (c *cluster) kill(address string, wipe bool) {
+	m := c.members[address]
 	m.up = false
 	m.incarnation++
 	if wipe {
@@ -115,51 +126,51 @@
 	return err == nil
 }
 
-func (c *cluster) step(a string, events ...Event) {
-	m := c.members[a]
+func (c *cluster) step(address string, events ...Event) {
+	m := c.members[address]
 	if m == nil || !m.up {
 		return
 	}
-	fx := m.core.Step(c.environment.Now, events...)
-	for _, s := range fx.Send {
-		c.network.Send(a, s)
+	effects := m.core.Step(c.environment.Now, events...)
+	for _, s := range effects.Send {
+		c.network.Send(address, s)
 	}
-	m.done = append(m.done, fx.Do...)
-	if len(fx.Log) > 0 {
-		if m.drive != nil && m.log.SnapshotDue() && !fx.Log[0].Snapshot {
-			fx.Log = []*schema.WALEntry{m.core.Snapshot()} // as the process does
+	m.effects = append(m.effects, effects.Do...)
+	if len(effects.Log) > 0 {
+		if m.drive != nil && m.log.SnapshotDue() && !effects.Log[0].Snapshot {
+			effects.Log = []*schema.WALEntry{m.core.Snapshot()} // as the process does
 		}
-		m.queue = append(m.queue, fx)
+		m.queue = append(m.queue, effects)
 		incarnation := m.incarnation
-		c.environment.After(c.environment.Between(1_000, 4_000), func() { c.sync(a, incarnation) })
+		c.environment.After(c.environment.Between(1_000, 4_000), func() { c.sync(address, incarnation) })
 	}
 }
 
-func (c *cluster) sync(a string, incarnation int) {
-	m := c.members[a]
+func (c *cluster) sync(address string, incarnation int) {
+	m := c.members[address]
 	if m.incarnation != incarnation || m.hangs || len(m.queue) == 0 {
 		return
 	}
-	fx := m.queue[0]
+	effects := m.queue[0]
 	m.queue = m.queue[1:]
 	if m.refuses {
 		m.queue = nil
-		c.step(a, SyncFailed{Cause: "refused"})
+		c.step(address, SyncFailed{Cause: "refused"})
 		return
 	}
 	switch {
 	case m.drive != nil:
-		if err := m.log.Write(fx.Log, nil); err != nil {
+		if err := m.log.Write(effects.Log, nil); err != nil {
 			m.queue = nil
-			c.step(a, SyncFailed{Cause: err.Error()})
+			c.step(address, SyncFailed{Cause: err.Error()})
 			return
 		}
-	case fx.Log[0].Snapshot:
-		m.disk = fx.Log
+	case effects.Log[0].Snapshot:
+		m.disk = effects.Log
 	default:
-		m.disk = append(m.disk, fx.Log...)
+		m.disk = append(m.disk, effects.Log...)
 	}
-	c.step(a, Synced{Watermark: fx.Watermark})
+	c.step(address, Synced{Watermark: effects.Watermark})
 }
 
 func (c *cluster) run(us int64) { c.environment.Run(c.environment.Now + us) }
@@ -246,7 +257,7 @@
 
 // startAtRandom starts all processes within a second.
 func (c *cluster) startAtRandom() {
-	for _, address := range c.order {
+	for _, address := range c.addresses {
 		c.environment.After(c.environment.Between(0, 1_000_000), func() { c.start(address) })
 	}
 }
@@ -254,7 +265,7 @@
 // restartAtRandom restarts four processes in the middle of the founding.
 func (c *cluster) restartAtRandom() {
 	for range 4 {
-		address := c.order[c.environment.Random.IntN(6)]
+		address := c.addresses[c.environment.Random.IntN(6)]
 		c.environment.After(c.environment.Between(1_100_000, 4_000_000), func() {
 			if len(c.members[address].disk) > 0 {
 				c.kill(address, false)
@@ -269,17 +280,17 @@
 func (c *cluster) checkFounded(t *testing.T) []string {
 	t.Helper()
 	if c.formed() != 5 {
-		for _, address := range c.order {
+		for _, address := range c.addresses {
 			core := c.members[address].core
 			t.Logf("%s: votes %t, knows membership %v", address, core.isVoting(), core.learner.Membership())
 		}
 		t.Fatalf("%d voters of 5 formed", c.formed())
 	}
-	voters := c.members[c.order[0]].core.learner.Voters()
+	voters := c.members[c.addresses[0]].core.learner.Voters()
 	if len(voters) != 5 {
 		t.Fatalf("the voters are %v", voters)
 	}
-	for _, address := range c.order {
+	for _, address := range c.addresses {
 		if got := c.members[address].core.learner.Voters(); !slices.Equal(got, voters) {
 			t.Fatalf("%s takes %v for the voters, not %v", address, got, voters)
 		}
@@ -291,15 +302,15 @@
 // committed and announcements acknowledged.
 func (c *cluster) checkServesWithoutVoting(t *testing.T, voters []string) {
 	t.Helper()
-	i := slices.IndexFunc(c.order, func(address string) bool { return !slices.Contains(voters, address) })
-	spare := c.order[i]
+	i := slices.IndexFunc(c.addresses, func(address string) bool { return !slices.Contains(voters, address) })
+	spare := c.addresses[i]
 	if verdict := c.change(spare, "x", "one"); verdict != paxos.Committed {
 		t.Fatalf("a change through one that is no voter ended as %d", verdict)
 	}
-	c.members[spare].done = nil
+	c.members[spare].effects = nil
 	c.step(spare, Announce{ID: 7, Instance: ports.Instance{ID: "db", Group: "g", Address: "10.1.1.1:1", Draining: true, AnnouncementNumber: 3}})
 	c.run(800_000)
-	if !slices.Contains(c.members[spare].done, Effect(AnnounceDone{ID: 7, OK: true})) {
+	if !slices.Contains(c.members[spare].effects, Effect(AnnounceDone{ID: 7, OK: true})) {
 		t.Fatal("an announcement through one that is no voter is not acknowledged")
 	}
 }
@@ -330,12 +341,12 @@
 // founds nothing, however many of them there are.
 func TestFoundsNothing(t *testing.T) {
 	c := newCluster(t, 1, 3, 3, 1)
-	for _, a := range c.order {
-		c.members[a].boot.Bootstrap = false
+	for _, a := range c.addresses {
+		c.members[a].config.Bootstrap = false
 		c.start(a)
 	}
 	c.run(20_000_000)
-	for _, a := range c.order {
+	for _, a := range c.addresses {
 		if m := c.members[a]; m.core.membershipKnown() || m.core.isVoting() || len(m.disk) > 0 {
 			t.Fatalf("%s knows %v", a, m.core.learner.Membership())
 		}
@@ -351,18 +362,14 @@
 
 func testDiskFault(t *testing.T, refuses bool) {
 	t.Helper()
-	c := newCluster(t, 5, 3, 3, 1)
-	for _, address := range c.order {
-		c.start(address)
-	}
-	c.run(2_000_000)
-	faulty, other := c.order[0], c.order[1]
+	c := runningCluster(t, 5)
+	faulty, other := c.addresses[0], c.addresses[1]
 	c.change(other, "leader/g", "one")
 	c.run(500_000)
 	m := c.members[faulty]
 	m.hangs, m.refuses = !refuses, refuses
 	c.checkGoesOnWithout(t, faulty, other)
-	logged := slices.ContainsFunc(m.done, func(effect Effect) bool { entry, ok := effect.(LogEntry); return ok && entry.Text == "refused" })
+	logged := slices.ContainsFunc(m.effects, func(effect Effect) bool { entry, ok := effect.(LogEntry); return ok && entry.Text == "refused" })
 	if refuses && !logged {
 		t.Fatal("it does not log the refusal")
 	}
@@ -374,7 +381,7 @@
 	m.refuses = false
 	c.run(3_000_000)
 	// It votes again: with another one lost changes need it.
-	c.kill(c.order[2], false)
+	c.kill(c.addresses[2], false)
 	if verdict := c.change(other, "leader/g", "after"); verdict != paxos.Committed {
 		t.Fatalf("afterwards a change ended as %d", verdict)
 	}
@@ -406,12 +413,8 @@
 // TestNothingIsSentBeforeItsEntriesAreSynced: what rests on the voter's entries is sent
 // only once they are on disk; polls are answered meanwhile.
 func TestNothingIsSentBeforeItsEntriesAreSynced(t *testing.T) {
-	c := newCluster(t, 5, 3, 3, 1)
-	for _, address := range c.order {
-		c.start(address)
-	}
-	c.run(2_000_000)
-	m, from := c.members[c.order[0]], c.order[1]
+	c := runningCluster(t, 5)
+	m, from := c.members[c.addresses[0]], c.addresses[1]
 	m.hangs = true
 	accept := &schema.Accept{Key: learner.TableKey, Attempt: 1, Membership: 1,
 		Ballot: &schema.Ballot{Membership: 1, Number: 999, Proposer: "p"}, Value: &schema.Value{Revision: 1, Data: []byte("x")}}
--- a/internal/coordinator/contact_test.go
+++ b/internal/coordinator/contact_test.go
@@ -42,43 +42,43 @@
 	isolated      string   // the member that is partitioned
 	others        []string // the other two
 	partitionedAt int64
-	// refuses is from when on the member has to refuse all calls at once: its last
+	// refusesFrom is from when on the member has to refuse all calls at once: its last
 	// lease is over, or it was started again.
-	refuses int64
-	from    bool
-	to      bool
-	node    *testLearner // hears, while the partition lasts, from that member alone
-
-	base     uint64 // newest revision that was acknowledged
-	last     uint64 // newest number used
-	acked    []ports.TableChange
-	numbers  uint64 // of databases' calls
-	departed []*isolatedCall
-	broken   []string
-	moved    int
+	refusesFrom   int64
+	losesSent     bool
+	losesReceived bool
+	node          *testLearner // hears, while the partition lasts, from that member alone
+
+	newestAcknowledged uint64 // newest revision that was acknowledged
+	newestNumber       uint64 // newest number used
+	acknowledged       []ports.TableChange
+	announcementNumber uint64 // of databases' calls
+	calls              []*isolatedCall
+	violations         []string
+	rehomed            int
 }
 
 // isolatedCall is a call to the member that is partitioned, with what was true then.
 type isolatedCall struct {
 	*testCall
-	what             string
-	order            ports.TableChange
+	kind             string
+	change           ports.TableChange
 	base             uint64 // newest acknowledged when it was sent
 	drainingDatabase string // a database that drains
 }
 
-func (d *partitionCase) bad(rule, f string, a ...any) {
-	d.broken = append(d.broken, rule+": "+fmt.Sprintf(f, a...))
+func (d *partitionCase) violatef(rule, f string, a ...any) {
+	d.violations = append(d.violations, rule+": "+fmt.Sprintf(f, a...))
 }
 
 func newPartitionCase(t *testing.T, seed uint64) *partitionCase {
-	c, k := formedClusterWithTable(t, seed)
-	d := &partitionCase{cluster: c, callers: k, base: 1, last: 1}
-	i := int(seed) % len(c.order)
-	d.isolated = c.order[i]
-	d.others = slices.Delete(slices.Clone(c.order), i, i+1)
+	c, callers := clusterWithTable(t, seed)
+	d := &partitionCase{cluster: c, callers: callers, newestAcknowledged: 1, newestNumber: 1}
+	i := int(seed) % len(c.addresses)
+	d.isolated = c.addresses[i]
+	d.others = slices.Delete(slices.Clone(c.addresses), i, i+1)
 	d.node = c.attachLearner("10.0.9.9:7441")
-	k.run(1_000_000)
+	callers.run(1_000_000)
 	if d.node.learner.LeaseUntil() < c.environment.Now {
 		t.Fatalf("seed %d: the node has no lease", seed)
 	}
@@ -87,46 +87,46 @@
 
 func (d *partitionCase) partition(broken bool) {
 	for _, o := range d.others {
-		d.network.SetPartition(d.isolated, o, broken && d.from)
-		d.network.SetPartition(o, d.isolated, broken && d.to)
+		d.network.SetPartition(d.isolated, o, broken && d.losesSent)
+		d.network.SetPartition(o, d.isolated, broken && d.losesReceived)
 	}
 }
 
 func (d *partitionCase) database(id string, phase string) ports.Instance {
-	d.numbers++
-	return ports.Instance{ID: id, Group: "g", Address: id + ":1", Zone: "z", AnnouncementNumber: d.numbers, Draining: phase != "ready", Gone: phase == "gone"}
+	d.announcementNumber++
+	return ports.Instance{ID: id, Group: "g", Address: id + ":1", Zone: "z", AnnouncementNumber: d.announcementNumber, Draining: phase != "ready", Gone: phase == "gone"}
 }
 
-// advance has an operator put the next order through the others.
+// advance has an operator put the next change through the others.
 func (d *partitionCase) advance() {
-	d.last++
-	o := tableChange(d.base, d.last, "main")
+	d.newestNumber++
+	o := tableChange(d.newestAcknowledged, d.newestNumber, "main")
 	if r := d.callers.changeUntilDecided(o, d.others...); r != ports.Committed {
-		d.bad("SERVED", "the others ended an order as %d", r)
+		d.violatef("SERVED", "the others ended a change as %d", r)
 		return
 	}
-	d.base, d.acked = d.last, append(d.acked, o)
+	d.newestAcknowledged, d.acknowledged = d.newestNumber, append(d.acknowledged, o)
 }
 
 // callIsolated sends the member that is partitioned one call of each kind.
 func (d *partitionCase) callIsolated(round int) {
 	add := func(what string, a *testCall, s isolatedCall) {
-		s.testCall, s.what, s.base = a, what, d.base
-		d.departed = append(d.departed, &s)
+		s.testCall, s.kind, s.base = a, what, d.newestAcknowledged
+		d.calls = append(d.calls, &s)
 	}
 	add("fetch", d.callers.fetch(d.isolated), isolatedCall{})
-	d.last++
-	fresh := tableChange(d.base, d.last, "away")
-	add("order", d.callers.change(d.isolated, fresh), isolatedCall{order: fresh})
-	d.last++
-	outdated := tableChange(1, d.last, "stale")
-	add("stale order", d.callers.change(d.isolated, outdated), isolatedCall{order: outdated})
-	bad := tableChange(d.base, d.last+1, "invalid")
+	d.newestNumber++
+	fresh := tableChange(d.newestAcknowledged, d.newestNumber, "away")
+	add("change", d.callers.change(d.isolated, fresh), isolatedCall{change: fresh})
+	d.newestNumber++
+	outdated := tableChange(1, d.newestNumber, "stale")
+	add("stale change", d.callers.change(d.isolated, outdated), isolatedCall{change: outdated})
+	bad := tableChange(d.newestAcknowledged, d.newestNumber+1, "invalid")
 	bad.Routes[0].Group = "nobody"
-	add("invalid order", d.callers.change(d.isolated, bad), isolatedCall{order: bad})
-	if len(d.acked) > 0 {
-		o := d.acked[len(d.acked)-1]
-		add("taken order", d.callers.change(d.isolated, o), isolatedCall{order: o})
+	add("invalid change", d.callers.change(d.isolated, bad), isolatedCall{change: bad})
+	if len(d.acknowledged) > 0 {
+		o := d.acknowledged[len(d.acknowledged)-1]
+		add("taken change", d.callers.change(d.isolated, o), isolatedCall{change: o})
 	}
 	add("beat", d.callers.announce(d.isolated, d.database("steady", "ready")), isolatedCall{})
 	drains, ends := fmt.Sprint("leaves-", round), fmt.Sprint("ends-", round)
@@ -137,8 +137,8 @@
 
 // play partitions the member, calls it and the others, and heals the partition.
 func (d *partitionCase) play(from, to, restart bool) {
-	d.from, d.to, d.partitionedAt = from, to, d.environment.Now
-	d.refuses = d.partitionedAt + learner.LeaseDurationUs
+	d.losesSent, d.losesReceived, d.partitionedAt = from, to, d.environment.Now
+	d.refusesFrom = d.partitionedAt + learner.LeaseDurationUs
 	d.partition(true)
 	// The node hears the member that is partitioned, and it alone.
 	for _, o := range d.others {
@@ -149,7 +149,7 @@
 			d.kill(d.isolated, false)
 			d.callers.connectionsBroken(d.isolated)
 			d.start(d.isolated)
-			d.refuses = d.environment.Now
+			d.refusesFrom = d.environment.Now
 		}
 		d.callIsolated(round)
 		d.callers.run(d.environment.Between(50_000, 400_000))
@@ -159,13 +159,13 @@
 		d.goOn()
 	}
 	if until := d.node.learner.LeaseUntil(); until > d.partitionedAt+learner.LeaseDurationUs {
-		d.bad("NEWS", "a node that hears a member alone, partitioned, has a lease until %d ms after the partition", (until-d.partitionedAt)/1000)
+		d.violatef("NEWS", "a node that hears a member alone, partitioned, has a lease until %d ms after the partition", (until-d.partitionedAt)/1000)
 	}
 	d.partition(false)
 	d.network.Repair()
 	d.callers.run(1_000_000)
 	if d.node.learner.LeaseUntil() < d.environment.Now {
-		d.bad("NEWS", "the node has no lease a second after the partition")
+		d.violatef("NEWS", "the node has no lease a second after the partition")
 	}
 	d.afterwards()
 	d.judgeAll()
@@ -173,18 +173,18 @@
 
 // goOn has the databases that were refused call another member.
 func (d *partitionCase) goOn() {
-	for _, s := range d.departed {
+	for _, s := range d.calls {
 		a, ok := s.answer.(AnnounceDone)
 		if ok && a.OK && s.drainingDatabase != "" && !d.known(s.drainingDatabase) {
-			d.bad("LEAVE", "%s was acknowledged and no other member knows of it", s.drainingDatabase)
+			d.violatef("LEAVE", "%s was acknowledged and no other member knows of it", s.drainingDatabase)
 		}
 		if ok && !a.OK && s.drainingDatabase != "" && !strings.HasSuffix(s.drainingDatabase, "!") {
 			i := d.database(s.drainingDatabase, "draining")
 			s.drainingDatabase += "!"
 			if r, _ := d.callers.wait(d.callers.announce(d.others[0], i), 1_000_000).(AnnounceDone); !r.OK {
-				d.bad("SERVED", "%s is not acknowledged by another member", i.ID)
+				d.violatef("SERVED", "%s is not acknowledged by another member", i.ID)
 			}
-			d.moved++
+			d.rehomed++
 		}
 	}
 }
@@ -204,56 +204,56 @@
 		a := d.callers.fetch(d.isolated)
 		d.callers.wait(a, 1_000_000)
 		if f, _ := a.answer.(FetchTableDone); f.OK {
-			if f.Table.Revision < d.base {
-				d.bad("READ", "after the partition it handed out revision %d; %d was acknowledged", f.Table.Revision, d.base)
+			if f.Table.Revision < d.newestAcknowledged {
+				d.violatef("READ", "after the partition it handed out revision %d; %d was acknowledged", f.Table.Revision, d.newestAcknowledged)
 			}
 			if d.environment.Now > began+maxCatchUpDuration {
-				d.bad("SERVED", "it served %d ms after the partition", (d.environment.Now-began)/1000)
+				d.violatef("SERVED", "it served %d ms after the partition", (d.environment.Now-began)/1000)
 			}
 			d.advance()
 			return
 		}
 		d.callers.run(20_000)
 	}
-	d.bad("SERVED", "it does not serve after the partition")
+	d.violatef("SERVED", "it does not serve after the partition")
 }
 
 // judgeAll holds each answer of the member that was partitioned against what was true.
 func (d *partitionCase) judgeAll() {
 	final := d.callers.newest(d.others[0])
-	for _, o := range d.acked {
-		if !has(final, o) {
-			d.bad("LOST", "%s was acknowledged and is not in force", o.Digest)
+	for _, o := range d.acknowledged {
+		if !hasRoute(final, o) {
+			d.violatef("LOST", "%s was acknowledged and is not in force", o.Digest)
 		}
 	}
-	for _, s := range d.departed {
+	for _, s := range d.calls {
 		d.judge(s, final)
 	}
 }
 
 func (d *partitionCase) judge(s *isolatedCall, final ports.RoutingTable) {
-	late := s.sentAt >= d.refuses
-	if s.endedAt == 0 || s.endedAt > 0 && s.took() > 1_000_000 && s.what != "move" || late && s.took() > atOnce {
-		d.bad("HELD", "%s, sent %d ms after the partition, was held %d ms", s.what, (s.sentAt-d.partitionedAt)/1000, s.took()/1000)
+	late := s.sentAt >= d.refusesFrom
+	if s.endedAt == 0 || s.endedAt > 0 && s.took() > 1_000_000 && s.kind != "move" || late && s.took() > atOnce {
+		d.violatef("HELD", "%s, sent %d ms after the partition, was held %d ms", s.kind, (s.sentAt-d.partitionedAt)/1000, s.took()/1000)
 	}
 	switch a := s.answer.(type) {
 	case FetchTableDone:
 		if a.OK && a.Table.Revision < s.base {
-			d.bad("READ", "revision %d was handed out; %d was acknowledged before", a.Table.Revision, s.base)
+			d.violatef("READ", "revision %d was handed out; %d was acknowledged before", a.Table.Revision, s.base)
 		}
 		if a.OK && late {
-			d.bad("READ", "a table was handed out %d ms after the partition", (s.sentAt-d.partitionedAt)/1000)
+			d.violatef("READ", "a table was handed out %d ms after the partition", (s.sentAt-d.partitionedAt)/1000)
 		}
 	case ChangeTableDone:
 		d.judgeOrder(s, a.Result, late, final)
 	case AnnounceDone:
-		rule := map[string]string{"beat": "BEAT", "leave": "LEAVE", "end": "END"}[s.what]
+		rule := map[string]string{"beat": "BEAT", "leave": "LEAVE", "end": "END"}[s.kind]
 		if a.OK && late {
-			d.bad(rule, "%s was acknowledged %d ms after the partition", s.what, (s.sentAt-d.partitionedAt)/1000)
+			d.violatef(rule, "%s was acknowledged %d ms after the partition", s.kind, (s.sentAt-d.partitionedAt)/1000)
 		}
 	case MoveDone:
 		if a.Result.Outcome != ports.Unavailable && late {
-			d.bad("MOVE", "a move was decided %d ms after the partition: %d", (s.sentAt-d.partitionedAt)/1000, a.Result.Outcome)
+			d.violatef("MOVE", "a move was decided %d ms after the partition: %d", (s.sentAt-d.partitionedAt)/1000, a.Result.Outcome)
 		}
 	}
 }
@@ -261,19 +261,19 @@
 func (d *partitionCase) judgeOrder(s *isolatedCall, r ports.ChangeResult, late bool, final ports.RoutingTable) {
 	switch r.Outcome {
 	case ports.Committed:
-		if !has(final, s.order) {
-			d.bad("ORDER", "%s was acknowledged and is not in force", s.order.Digest)
+		if !hasRoute(final, s.change) {
+			d.violatef("ORDER", "%s was acknowledged and is not in force", s.change.Digest)
 		}
 		if late {
-			d.bad("ORDER", "%s was acknowledged %d ms after the partition", s.order.Digest, (s.sentAt-d.partitionedAt)/1000)
+			d.violatef("ORDER", "%s was acknowledged %d ms after the partition", s.change.Digest, (s.sentAt-d.partitionedAt)/1000)
 		}
 	case ports.Stale:
-		if has(final, s.order) || late {
-			d.bad("STALE", "%s was refused %d ms after the partition, in force %t", s.order.Digest, (s.sentAt-d.partitionedAt)/1000, has(final, s.order))
+		if hasRoute(final, s.change) || late {
+			d.violatef("STALE", "%s was refused %d ms after the partition, in force %t", s.change.Digest, (s.sentAt-d.partitionedAt)/1000, hasRoute(final, s.change))
 		}
 	case ports.Invalid:
-		if has(final, s.order) || late {
-			d.bad("INVALID", "%s was called invalid %d ms after the partition", s.order.Digest, (s.sentAt-d.partitionedAt)/1000)
+		if hasRoute(final, s.change) || late {
+			d.violatef("INVALID", "%s was called invalid %d ms after the partition", s.change.Digest, (s.sentAt-d.partitionedAt)/1000)
 		}
 	}
 }
@@ -291,13 +291,13 @@
 				owners++ // of the group's changes
 			}
 			d.play(x.from, x.to, x.restart)
-			if len(d.broken) > 0 {
-				t.Fatalf("%s, seed %d: %d broken, the first: %s", x.name, seed, len(d.broken), strings.Join(d.broken[:min(4, len(d.broken))], "\n"))
+			if len(d.violations) > 0 {
+				t.Fatalf("%s, seed %d: %d broken, the first: %s", x.name, seed, len(d.violations), strings.Join(d.violations[:min(4, len(d.violations))], "\n"))
 			}
-			if len(d.acked) < 10 || d.moved < 20 {
-				t.Fatalf("%s, seed %d: only %d orders and %d databases went to others", x.name, seed, len(d.acked), d.moved)
+			if len(d.acknowledged) < 10 || d.rehomed < 20 {
+				t.Fatalf("%s, seed %d: only %d changes and %d databases went to others", x.name, seed, len(d.acknowledged), d.rehomed)
 			}
-			calls, moved = calls+len(d.departed), moved+d.moved
+			calls, moved = calls+len(d.calls), moved+d.rehomed
 		}
 	}
 	if owners == 0 {
@@ -319,12 +319,12 @@
 			}
 			return nil
 		}},
-		{"ORDER", planOutcome(ports.Committed)},
-		{"STALE", planOutcome(ports.Stale)},
-		{"INVALID", planOutcome(ports.Invalid)},
-		{"BEAT", planAnnounced(func(i ports.Instance) bool { return !i.Draining })},
-		{"LEAVE", planAnnounced(func(i ports.Instance) bool { return i.Draining && !i.Gone })},
-		{"END", planAnnounced(func(i ports.Instance) bool { return i.Gone })},
+		{"ORDER", mutateOutcome(ports.Committed)},
+		{"STALE", mutateOutcome(ports.Stale)},
+		{"INVALID", mutateOutcome(ports.Invalid)},
+		{"BEAT", mutateAnnounced(func(i ports.Instance) bool { return !i.Draining })},
+		{"LEAVE", mutateAnnounced(func(i ports.Instance) bool { return i.Draining && !i.Gone })},
+		{"END", mutateAnnounced(func(i ports.Instance) bool { return i.Gone })},
 		{"MOVE", func(_ *partitionCase, event Event) Effect {
 			if e, ok := event.(Move); ok {
 				return MoveDone{ID: e.ID, Result: MoveResult{Outcome: ports.Invalid, Problem: "no such group"}}
@@ -358,12 +358,12 @@
 		return alone(d, event)
 	}
 	d.play(true, true, false)
-	return slices.ContainsFunc(d.broken, func(b string) bool { return strings.HasPrefix(b, rule+":") })
+	return slices.ContainsFunc(d.violations, func(b string) bool { return strings.HasPrefix(b, rule+":") })
 }
 
-// planOutcome plants a member that judges orders by the table it holds, where that
+// mutateOutcome plants a member that judges changes by the table it holds, where that
 // leads to an outcome.
-func planOutcome(want ports.Outcome) func(*partitionCase, Event) Effect {
+func mutateOutcome(want ports.Outcome) func(*partitionCase, Event) Effect {
 	return func(d *partitionCase, event Event) Effect {
 		e, ok := event.(ChangeTable)
 		if !ok {
@@ -380,7 +380,7 @@
 	}
 }
 
-func planAnnounced(which func(ports.Instance) bool) func(*partitionCase, Event) Effect {
+func mutateAnnounced(which func(ports.Instance) bool) func(*partitionCase, Event) Effect {
 	return func(_ *partitionCase, event Event) Effect {
 		if e, ok := event.(Announce); ok && which(e.Instance) {
 			return AnnounceDone{ID: e.ID, OK: true}
@@ -404,8 +404,8 @@
 			}
 		}
 		d.play(true, true, false)
-		if !slices.ContainsFunc(d.broken, func(b string) bool { return strings.HasPrefix(b, "NEWS:") }) {
-			t.Errorf("seed %d: it is not seen: %v", seed, d.broken)
+		if !slices.ContainsFunc(d.violations, func(b string) bool { return strings.HasPrefix(b, "NEWS:") }) {
+			t.Errorf("seed %d: it is not seen: %v", seed, d.violations)
 		}
 	}
 }
@@ -416,18 +416,18 @@
 	for seed := range uint64(6) {
 		for _, founded := range []bool{false, true} {
 			t.Run(fmt.Sprintf("seed %d, founded %t", seed, founded), func(t *testing.T) {
-				c, k := stoppedCluster(t, seed, founded)
-				starting := c.order[0]
+				c, callers := stoppedCluster(t, seed, founded)
+				starting := c.addresses[0]
 				c.start(starting)
-				c.members[starting].done, k.collected[starting] = nil, 0
+				c.members[starting].effects, callers.collected[starting] = nil, 0
 				for range 20 {
-					k.checkRefusesAll(t, starting)
+					callers.checkRefusesAll(t, starting)
 				}
-				for _, address := range c.order[1:] {
+				for _, address := range c.addresses[1:] {
 					c.start(address)
 				}
-				k.run(2_000_000)
-				if outcome := k.changeUntilDecided(tableChange(0, 1, "first"), starting); outcome != ports.Committed {
+				callers.run(2_000_000)
+				if outcome := callers.changeUntilDecided(tableChange(0, 1, "first"), starting); outcome != ports.Committed {
 					t.Fatalf("with a majority the first change ended as %d", outcome)
 				}
 			})
@@ -443,28 +443,28 @@
 		c := newCluster(t, seed, 3, 3, 1)
 		return c, newCallers(c)
 	}
-	c, k := formedClusterWithTable(t, seed)
-	for _, address := range c.order {
+	c, callers := clusterWithTable(t, seed)
+	for _, address := range c.addresses {
 		c.kill(address, false)
 	}
-	return c, k
+	return c, callers
 }
 
 // checkRefusesAll sends a member one call of each kind and checks that each is refused
 // at once.
-func (k *testCallers) checkRefusesAll(t *testing.T, to string) {
+func (callers *testCallers) checkRefusesAll(t *testing.T, to string) {
 	t.Helper()
 	serving := ports.Instance{ID: "d", Group: "g", Address: "d:1", AnnouncementNumber: 1}
 	draining := ports.Instance{ID: "e", Group: "g", Address: "e:1", AnnouncementNumber: 1, Draining: true}
 	calls := []*testCall{
-		k.fetch(to),
-		k.change(to, tableChange(0, 1, "first")),
-		k.change(to, tableChange(1, 2, "next")),
-		k.announce(to, serving),
-		k.announce(to, draining),
+		callers.fetch(to),
+		callers.change(to, tableChange(0, 1, "first")),
+		callers.change(to, tableChange(1, 2, "next")),
+		callers.announce(to, serving),
+		callers.announce(to, draining),
 	}
 	for _, call := range calls {
-		k.run(100_000)
+		callers.run(100_000)
 		if problem := servedProblem(call.answer); problem != "" {
 			t.Fatal(problem)
 		}
@@ -498,31 +498,31 @@
 // it goes on, and no return that waited with it is taken for the newest state.
 func TestThawedServesNothingOld(t *testing.T) {
 	for seed := range uint64(8) {
-		c, k := formedClusterWithTable(t, seed)
-		m := c.members[c.order[0]]
+		c, callers := clusterWithTable(t, seed)
+		m := c.members[c.addresses[0]]
 		var waiting []*schema.Envelope
 		take := c.network.Receive
 		// The reading leaves, and its returns wait with the member.
-		a := k.fetch(c.order[0])
+		a := callers.fetch(c.addresses[0])
 		m.up = false
 		c.network.Receive = func(to string, e *schema.Envelope) {
-			if to == c.order[0] {
+			if to == c.addresses[0] {
 				waiting = append(waiting, e)
 				return
 			}
 			take(to, e)
 		}
-		k.run(3_000_000)
-		if o := k.changeUntilDecided(tableChange(1, 2, "meanwhile"), c.order[1], c.order[2]); o != ports.Committed {
-			t.Fatalf("seed %d: the others ended an order as %d", seed, o)
+		callers.run(3_000_000)
+		if o := callers.changeUntilDecided(tableChange(1, 2, "meanwhile"), c.addresses[1], c.addresses[2]); o != ports.Committed {
+			t.Fatalf("seed %d: the others ended a change as %d", seed, o)
 		}
 		m.up = true
 		events := make([]Event, len(waiting))
 		for i, e := range waiting {
 			events[i] = Message{e}
 		}
-		c.step(c.order[0], events...)
-		k.collect()
+		c.step(c.addresses[0], events...)
+		callers.collect()
 		if f, _ := a.answer.(FetchTableDone); f.OK {
 			t.Fatalf("seed %d: it handed out revision %d, %d ms after it was asked", seed, f.Table.Revision, a.took()/1000)
 		}
@@ -540,7 +540,7 @@
 		}
 		for seed := range uint64(12) {
 			d := newPartitionCase(t, seed)
-			d.from, d.to = x.from, x.to
+			d.losesSent, d.losesReceived = x.from, x.to
 			d.playAnnouncingElsewhere(seed)
 			if member := d.declaredGone("steady"); member != "" {
 				t.Fatalf("%s, seed %d: %s declared a database gone that called another one", x.name, seed, member)
@@ -569,8 +569,8 @@
 
 // declaredGone is the member that logged that a database is gone, empty if none did.
 func (d *partitionCase) declaredGone(id string) string {
-	for _, address := range d.order {
-		gone := slices.ContainsFunc(d.members[address].done, func(effect Effect) bool {
+	for _, address := range d.addresses {
+		gone := slices.ContainsFunc(d.members[address].effects, func(effect Effect) bool {
 			entry, ok := effect.(LogEntry)
 			return ok && strings.HasPrefix(entry.Text, id+" ") && strings.HasSuffix(entry.Text, "gone true")
 		})
--- a/internal/coordinator/databases_test.go
+++ b/internal/coordinator/databases_test.go
@@ -16,14 +16,10 @@
 func TestRejoiningExpiresOnlyDatabasesThatNobodyHeard(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			c := newCluster(t, seed, 3, 3, 1)
-			for _, address := range c.order {
-				c.start(address)
-			}
-			c.run(2_000_000)
-			announcer := c.announceRegularly(c.order[1], "stays", "ends")
+			c := runningCluster(t, seed)
+			announcer := c.announceRegularly(c.addresses[1], "stays", "ends")
 			c.run(10_000_000)
-			c.partitionFromAll(c.order[0], true)
+			c.partitionFromAll(c.addresses[0], true)
 			c.run(c.environment.Between(8_000_000, 20_000_000))
 			c.network.Repair()
 			for range 500 {
@@ -34,7 +30,7 @@
 			}
 			announcer.stop("ends")
 			c.run(missedHeartbeatLimit*defaultHeartbeatInterval.Microseconds() + 8_000_000)
-			if by := c.goneAt("ends"); fmt.Sprint(by) != fmt.Sprint(c.order) {
+			if by := c.goneAt("ends"); fmt.Sprint(by) != fmt.Sprint(c.addresses) {
 				t.Fatalf("a database that does not announce itself is gone for %v only", by)
 			}
 		})
@@ -71,7 +67,7 @@
 
 // partitionFromAll partitions a process from all others, or heals that.
 func (c *cluster) partitionFromAll(address string, broken bool) {
-	for _, other := range c.order {
+	for _, other := range c.addresses {
 		if other != address {
 			c.network.SetPartition(address, other, broken)
 			c.network.SetPartition(other, address, broken)
@@ -81,7 +77,7 @@
 
 // goneAt are the processes that do not know a database, or know it as gone.
 func (c *cluster) goneAt(id string) (by []string) {
-	for _, address := range c.order {
+	for _, address := range c.addresses {
 		record := c.members[address].core.databases.Get(learner.DatabasePrefix + id)
 		if record == nil || learner.DecodeInstance(record).Gone {
 			by = append(by, address)
@@ -95,14 +91,10 @@
 func TestPartitionedExpiresNoDatabase(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			c := newCluster(t, seed, 3, 3, 1)
-			for _, address := range c.order {
-				c.start(address)
-			}
-			c.run(2_000_000)
-			c.announceRegularly(c.order[0], "db")
+			c := runningCluster(t, seed)
+			c.announceRegularly(c.addresses[0], "db")
 			c.run(15_000_000)
-			isolated := c.order[2]
+			isolated := c.addresses[2]
 			c.partitionFromAll(isolated, true)
 			c.run(4_000_000 + int64(seed)*400_000)
 			c.partitionFromAll(isolated, false)
@@ -113,7 +105,7 @@
 				}
 			}
 			// One that announces itself to nobody is declared gone.
-			c.step(c.order[1], Announce{ID: 1 << 40, Instance: ports.Instance{ID: "silent", Group: "g", Address: "10.1.1.2:1", AnnouncementNumber: 1}})
+			c.step(c.addresses[1], Announce{ID: 1 << 40, Instance: ports.Instance{ID: "silent", Group: "g", Address: "10.1.1.2:1", AnnouncementNumber: 1}})
 			c.run(14_000_000)
 			record := c.members[isolated].core.databases.Get(learner.DatabasePrefix + "silent")
 			if record == nil || !learner.DecodeInstance(record).Gone {
--- a/internal/coordinator/history_test.go
+++ b/internal/coordinator/history_test.go
@@ -17,31 +17,31 @@
 // what was acknowledged.
 type history struct {
 	*cluster
-	routes         int
-	call           uint64
-	acked          uint64                        // newest table acknowledged
-	sent           uint64                        // newest table sent
-	started        map[string]uint64             // what was acknowledged when a process started
-	shown          map[string]uint64             // the newest table that a process worked by in this run
-	frozen         map[string][]*schema.Envelope // what came for one that stands still
-	bytesSentTo    map[string]int                // bytes sent to each
-	bytesPerSecond map[string]int64              // bytes a second on the way to one, 0 for any number
-	linkFreeAt     map[string]int64              // when that way is free
-	violation      string
+	routes              int
+	newestCall          uint64
+	acknowledged        uint64                        // newest table acknowledged
+	newestSent          uint64                        // newest table sent
+	acknowledgedAtStart map[string]uint64             // what was acknowledged when a process started
+	newestShown         map[string]uint64             // the newest table that a process worked by in this run
+	frozen              map[string][]*schema.Envelope // what came for one that stands still
+	bytesSentTo         map[string]int                // bytes sent to each
+	bytesPerSecond      map[string]int64              // bytes a second on the way to one, 0 for any number
+	linkFreeAt          map[string]int64              // when that way is free
+	violation           string
 }
 
 // newHistory has three voters and a fourth process that is none and looks on.
 func newHistory(t *testing.T, seed uint64, routes int, drives bool, plant crashdisk.Mutation) *history {
-	h := &history{cluster: newCluster(t, seed, 4, 3, 1), routes: routes, started: map[string]uint64{}, shown: map[string]uint64{},
+	h := &history{cluster: newCluster(t, seed, 4, 3, 1), routes: routes, acknowledgedAtStart: map[string]uint64{}, newestShown: map[string]uint64{},
 		frozen: map[string][]*schema.Envelope{}, bytesSentTo: map[string]int{}, bytesPerSecond: map[string]int64{}, linkFreeAt: map[string]int64{}}
 	h.network.Receive = h.deliver
-	for i, a := range h.order {
+	for i, a := range h.addresses {
 		if drives && i < 3 {
 			h.members[a].drive = crashdisk.New(rand.New(rand.NewPCG(seed, uint64(i))))
 			h.members[a].drive.Mutation = plant
 		}
 		// The last one looks on: it never takes a lost voter's place.
-		h.members[a].boot.QuorumMember = i < 3
+		h.members[a].config.QuorumMember = i < 3
 		h.begin(a)
 	}
 	h.run(2_000_000)
@@ -49,7 +49,7 @@
 	for i := range routes {
 		first.Routes = append(first.Routes, historyRoute(i, 0))
 	}
-	if !h.put(h.order[0], first, 5_000_000) {
+	if !h.put(h.addresses[0], first, 5_000_000) {
 		t.Fatalf("seed %d: the first table is not acknowledged", seed)
 	}
 	return h
@@ -84,7 +84,7 @@
 }
 
 func (h *history) begin(a string) {
-	h.started[a], h.shown[a] = h.acked, 0
+	h.acknowledgedAtStart[a], h.newestShown[a] = h.acknowledged, 0
 	h.start(a)
 }
 
@@ -109,7 +109,7 @@
 }
 
 func (h *history) partition(a string, broken bool) {
-	for _, o := range h.order {
+	for _, o := range h.addresses {
 		h.network.SetPartition(a, o, broken)
 		h.network.SetPartition(o, a, broken)
 	}
@@ -123,18 +123,18 @@
 		}
 		t, _ := m.core.Table()
 		switch {
-		case t.Revision > 0 && t.Revision < h.started[a]:
-			h.fail("%s works by table %d; %d was acknowledged before it started", a, t.Revision, h.started[a])
-		case t.Revision < h.shown[a]:
-			h.fail("%s works by table %d after %d", a, t.Revision, h.shown[a])
-		case t.Revision > h.sent:
-			h.fail("%s works by table %d, which nobody sent", a, t.Revision)
+		case t.Revision > 0 && t.Revision < h.acknowledgedAtStart[a]:
+			h.failf("%s works by table %d; %d was acknowledged before it started", a, t.Revision, h.acknowledgedAtStart[a])
+		case t.Revision < h.newestShown[a]:
+			h.failf("%s works by table %d after %d", a, t.Revision, h.newestShown[a])
+		case t.Revision > h.newestSent:
+			h.failf("%s works by table %d, which nobody sent", a, t.Revision)
 		}
-		h.shown[a] = max(h.shown[a], t.Revision)
+		h.newestShown[a] = max(h.newestShown[a], t.Revision)
 	}
 }
 
-func (h *history) fail(f string, a ...any) {
+func (h *history) failf(f string, a ...any) {
 	if h.violation == "" {
 		h.violation = fmt.Sprintf("%.3f s: ", float64(h.environment.Now)/1e6) + fmt.Sprintf(f, a...)
 	}
@@ -153,9 +153,9 @@
 	m := h.members[a]
 	incarnation := m.incarnation
 	for until := h.environment.Now + wait; ; {
-		for ; from < len(m.done); from++ {
-			if is(m.done[from]) {
-				return m.done[from]
+		for ; from < len(m.effects); from++ {
+			if is(m.effects[from]) {
+				return m.effects[from]
 			}
 		}
 		if h.environment.Now >= until || m.incarnation != incarnation {
@@ -167,10 +167,10 @@
 
 // change puts a change through a process and says what it answered.
 func (h *history) change(a string, ch ports.TableChange, wait int64) ports.Outcome {
-	h.call++
-	id, m := h.call, h.members[a]
-	h.sent = max(h.sent, ch.Revision)
-	from := len(m.done)
+	h.newestCall++
+	id, m := h.newestCall, h.members[a]
+	h.newestSent = max(h.newestSent, ch.Revision)
+	from := len(m.effects)
 	h.step(a, ChangeTable{ID: id, Change: ch})
 	d, ok := h.await(a, from, wait, func(d Effect) bool { c, ok := d.(ChangeTableDone); return ok && c.ID == id }).(ChangeTableDone)
 	if !ok {
@@ -183,19 +183,19 @@
 // it is acknowledged.
 func (h *history) put(first string, ch ports.TableChange, within int64) bool {
 	ch.Digest = fmt.Sprint("change-", ch.Revision)
-	at := slices.Index(h.order, first)
+	at := slices.Index(h.addresses, first)
 	for until := h.environment.Now + within; h.environment.Now < until; at++ {
-		a := h.order[at%3]
+		a := h.addresses[at%3]
 		if !h.members[a].up {
 			h.pass(20_000)
 			continue
 		}
 		switch o := h.change(a, ch, 1_000_000); o {
 		case ports.Committed:
-			h.acked = max(h.acked, ch.Revision)
+			h.acknowledged = max(h.acknowledged, ch.Revision)
 			return true
 		case ports.Stale, ports.Invalid:
-			h.fail("change %d on %d through %s ended as %d", ch.Revision, ch.BaseRevision, a, o)
+			h.failf("change %d on %d through %s ended as %d", ch.Revision, ch.BaseRevision, a, o)
 			return false
 		}
 		h.pass(50_000)
@@ -209,7 +209,7 @@
 }
 
 func (h *history) amendment() ports.TableChange {
-	return ports.TableChange{BaseRevision: h.acked, Revision: h.acked + 1, Routes: []ports.Route{historyRoute(int(h.acked)%h.routes, h.acked)}}
+	return ports.TableChange{BaseRevision: h.acknowledged, Revision: h.acknowledged + 1, Routes: []ports.Route{historyRoute(int(h.acknowledged)%h.routes, h.acknowledged)}}
 }
 
 // fetch asks a process for the newest table until it hands one out, as operators do
@@ -226,15 +226,15 @@
 // fetchOnce asks a process for the table; what it hands out is no older than what was
 // acknowledged when it was asked.
 func (h *history) fetchOnce(a string, wait int64) bool {
-	h.call++
-	id, from, acked := h.call, len(h.members[a].done), h.acked
+	h.newestCall++
+	id, from, acked := h.newestCall, len(h.members[a].effects), h.acknowledged
 	h.step(a, FetchTable{ID: id})
 	d, ok := h.await(a, from, wait, func(d Effect) bool { f, ok := d.(FetchTableDone); return ok && f.ID == id }).(FetchTableDone)
 	if !ok || !d.OK {
 		return false
 	}
 	if d.Table.Revision < acked {
-		h.fail("%s hands out table %d; %d was acknowledged", a, d.Table.Revision, acked)
+		h.failf("%s hands out table %d; %d was acknowledged", a, d.Table.Revision, acked)
 	}
 	return true
 }
@@ -251,12 +251,12 @@
 	{"partitioned", func(h *history, a string) { h.partition(a, true) }, func(h *history, a string) { h.partition(a, false) }, true},
 	{"partitioned and killed", func(h *history, a string) { h.partition(a, true); h.kill(a, false); h.begin(a) }, func(h *history, a string) { h.partition(a, false) }, true},
 	{"heard by nobody", func(h *history, a string) {
-		for _, o := range h.order {
+		for _, o := range h.addresses {
 			h.network.SetPartition(a, o, true)
 		}
 	}, func(h *history, a string) { h.partition(a, false) }, true},
 	{"hearing nobody", func(h *history, a string) {
-		for _, o := range h.order {
+		for _, o := range h.addresses {
 			h.network.SetPartition(o, a, true)
 		}
 	}, func(h *history, a string) { h.partition(a, false) }, true},
@@ -276,9 +276,9 @@
 		t.Run(departure.name, func(t *testing.T) {
 			t.Parallel()
 			slowest := int64(0)
-			for seed := range uint64(max(4/slower, 2)) {
+			for seed := range uint64(max(4/raceFactor, 2)) {
 				h := newHistory(t, 1000*uint64(i)+seed, 40, false, crashdisk.NoMutation)
-				a, b, c := h.order[seed%3], h.order[(seed+1)%3], h.order[(seed+2)%3]
+				a, b, c := h.addresses[seed%3], h.addresses[(seed+1)%3], h.addresses[(seed+2)%3]
 				departure.away(h, a)
 				h.mustChange(t, b, changes)
 				departure.back(h, a)
@@ -303,7 +303,7 @@
 	t.Helper()
 	for range changes {
 		if !h.next(through, 5_000_000) {
-			t.Fatalf("change %d is not acknowledged: %s", h.acked+1, h.violation)
+			t.Fatalf("change %d is not acknowledged: %s", h.acknowledged+1, h.violation)
 		}
 	}
 }
@@ -314,8 +314,8 @@
 func (h *history) decidesAfterSecondLoss(t *testing.T, back, lost string, mayDecide bool) (took int64) {
 	t.Helper()
 	h.kill(lost, false)
-	h.kill(h.order[3], false)
-	h.begin(h.order[3])
+	h.kill(h.addresses[3], false)
+	h.begin(h.addresses[3])
 	began := h.environment.Now
 	h.fetch(back, 1_000_000)
 	if !mayDecide {
@@ -354,7 +354,7 @@
 func TestOlderDiskStateIsDetected(t *testing.T) {
 	for _, older := range []bool{false, true} {
 		h := newHistory(t, 5, 40, false, crashdisk.NoMutation)
-		a, b, c := h.order[0], h.order[1], h.order[2]
+		a, b, c := h.addresses[0], h.addresses[1], h.addresses[2]
 		h.kill(a, false)
 		before := slices.Clone(h.members[c].disk)
 		for range 60 {
@@ -378,15 +378,15 @@
 	}
 }
 
-// storms runs changes over drives that lose power, one after the other, and ends
+// runStorms runs changes over drives that lose power, one after the other, and ends
 // each stretch by a closing fault. It says what broke.
-func storms(t *testing.T, seed uint64, changes int, plant crashdisk.Mutation) (bad string, ended int) {
+func runStorms(t *testing.T, seed uint64, changes int, plant crashdisk.Mutation) (bad string, ended int) {
 	h := newHistory(t, seed, 300, true, plant)
 	done := 0
 	for done < changes && h.violation == "" {
 		for n := 5 + h.environment.Random.IntN(60); n > 0 && done < changes; n-- {
-			if !h.next(h.order[h.environment.Random.IntN(3)], 6_000_000) {
-				return fmt.Sprintf("change %d is not acknowledged in 6 s: %s", h.acked+1, h.violation), ended
+			if !h.next(h.addresses[h.environment.Random.IntN(3)], 6_000_000) {
+				return fmt.Sprintf("change %d is not acknowledged in 6 s: %s", h.acknowledged+1, h.violation), ended
 			}
 			done++
 		}
@@ -395,14 +395,14 @@
 		if h.environment.Chance(0.7) {
 			ch := h.amendment()
 			ch.Digest = fmt.Sprint("change-", ch.Revision)
-			h.sent = max(h.sent, ch.Revision)
-			h.step(h.order[h.environment.Random.IntN(3)], ChangeTable{ID: 1 << 40, Change: ch})
+			h.newestSent = max(h.newestSent, ch.Revision)
+			h.step(h.addresses[h.environment.Random.IntN(3)], ChangeTable{ID: 1 << 40, Change: ch})
 			h.pass(h.environment.Between(0, 40_000))
 		}
 		ended++
 		h.closing()
 		h.pass(h.environment.Between(100_000, 1_000_000))
-		for _, a := range h.order {
+		for _, a := range h.addresses {
 			if !h.members[a].up {
 				h.begin(a)
 			}
@@ -424,7 +424,7 @@
 	how := h.environment.Random.IntN(4)
 	if h.environment.Chance(0.5) { // at some file operation of each drive, in the middle of a write
 		how = 1
-		for _, a := range h.order[:3] {
+		for _, a := range h.addresses[:3] {
 			h.members[a].drive.StepsLeft = h.environment.Random.IntN(10)
 		}
 		h.pass(h.environment.Between(0, 100_000))
@@ -432,7 +432,7 @@
 	if how >= 2 {
 		lost = h.environment.Random.IntN(3)
 	}
-	for i, a := range h.order[:3] {
+	for i, a := range h.addresses[:3] {
 		if how == 3 && i != lost {
 			continue // only the disk is lost, the others go on
 		}
@@ -445,18 +445,18 @@
 
 // awaitConvergence reads back through each voter; what was under way may have come through.
 func (h *history) awaitConvergence() bool {
-	for _, a := range h.order[:3] {
-		h.call++
-		id, from, acked := h.call, len(h.members[a].done), h.acked
+	for _, a := range h.addresses[:3] {
+		h.newestCall++
+		id, from, acked := h.newestCall, len(h.members[a].effects), h.acknowledged
 		h.step(a, FetchTable{ID: id})
 		d, ok := h.await(a, from, 4_000_000, func(d Effect) bool { f, ok := d.(FetchTableDone); return ok && f.ID == id }).(FetchTableDone)
 		if !ok || !d.OK {
 			return false
 		}
 		if d.Table.Revision < acked {
-			h.fail("%s hands out table %d; %d was acknowledged", a, d.Table.Revision, acked)
+			h.failf("%s hands out table %d; %d was acknowledged", a, d.Table.Revision, acked)
 		}
-		h.acked = max(h.acked, d.Table.Revision)
+		h.acknowledged = max(h.acknowledged, d.Table.Revision)
 	}
 	return true
 }
@@ -465,10 +465,10 @@
 // and again, with the power lost everywhere, all processes killed, or a disk lost
 // with and without the power of the others, in the middle and right after.
 func TestStormsUnderLossOfPower(t *testing.T) {
-	const seeds, changes = max(8/slower, 2), max(300/slower, 100)
+	const seeds, changes = max(8/raceFactor, 2), max(300/raceFactor, 100)
 	ended := 0
 	for seed := range uint64(seeds) {
-		bad, n := storms(t, seed, changes, crashdisk.NoMutation)
+		bad, n := runStorms(t, seed, changes, crashdisk.NoMutation)
 		if bad != "" {
 			t.Fatalf("seed %d: %s", seed, bad)
 		}
@@ -480,9 +480,9 @@
 			continue // it loses one voter's disk, which is borne; voterlog's tests see it
 		}
 		seen, first := 0, ""
-		const tries = max(6/slower, 2)
+		const tries = max(6/raceFactor, 2)
 		for seed := range uint64(tries) {
-			if bad, _ := storms(t, seed, changes, x.Mutation); bad != "" {
+			if bad, _ := runStorms(t, seed, changes, x.Mutation); bad != "" {
 				if seen++; first == "" {
 					first = bad
 				}
--- a/internal/coordinator/learners_test.go
+++ b/internal/coordinator/learners_test.go
@@ -17,7 +17,7 @@
 )
 
 // faultSeeds is how many seeds run of the schedules with several faults.
-const faultSeeds = max(8/slower, 2)
+const faultSeeds = max(8/raceFactor, 2)
 
 // testLearner is a process that learns what the voters agreed and does not vote, as a
 // pool node does.
@@ -56,7 +56,7 @@
 
 // restart has the learner forget everything.
 func (l *testLearner) restart(c *cluster) {
-	l.learner = learner.New(learner.Config{Self: l.address, Contacts: c.order[:3], Zone: "z", Name: "node", Kind: "pool", Run: c.environment.Random.Uint64()})
+	l.learner = learner.New(learner.Config{Self: l.address, Contacts: c.addresses[:3], Zone: "z", Name: "node", Kind: "pool", Run: c.environment.Random.Uint64()})
 }
 
 // revision is the register's revision of the routing table that the learner knows.
@@ -81,19 +81,19 @@
 func formedCluster(t *testing.T, seed uint64, processes int) (*cluster, *testCallers) {
 	t.Helper()
 	c := newCluster(t, seed, processes, 3, 2)
-	k := newCallers(c)
-	for _, a := range c.order {
+	callers := newCallers(c)
+	for _, a := range c.addresses {
 		c.start(a)
 	}
-	k.run(8_000_000)
+	callers.run(8_000_000)
 	if c.formed() != 5 {
 		t.Fatalf("seed %d: %d voters of 5 formed", seed, c.formed())
 	}
-	if o := k.changeUntilDecided(tableChange(0, 1, "first"), c.order...); o != ports.Committed {
-		t.Fatalf("seed %d: the first order ended as %d", seed, o)
+	if o := callers.changeUntilDecided(tableChange(0, 1, "first"), c.addresses...); o != ports.Committed {
+		t.Fatalf("seed %d: the first change ended as %d", seed, o)
 	}
-	k.run(1_000_000)
-	return c, k
+	callers.run(1_000_000)
+	return c, callers
 }
 
 // missedRevision has a revision accepted by three voters of five while the other two
@@ -101,29 +101,29 @@
 // is there and has agreed; it returns the learner 5 s later.
 func missedRevision(t *testing.T, seed uint64, untold bool) (*testLearner, int64) {
 	t.Helper()
-	c, k := formedCluster(t, seed, 5)
+	c, callers := formedCluster(t, seed, 5)
 	l := c.attachLearner("10.0.9.9:7441")
 	l.commitsUnreported = untold
-	k.run(1_000_000)
+	callers.run(1_000_000)
 	if l.revision() == 0 || !l.leased(c.environment.Now) {
 		t.Fatalf("seed %d: the learner did not begin", seed)
 	}
-	accepting, away := c.order[:3], c.order[3:]
+	accepting, away := c.addresses[:3], c.addresses[3:]
 	for _, a := range away {
 		c.partition(a, true, accepting...)
 		c.partition(l.address, true, accepting...)
 	}
-	if o := k.changeUntilDecided(tableChange(1, 2, "second"), accepting[0]); o != ports.Committed {
-		t.Fatalf("seed %d: the second order ended as %d", seed, o)
+	if o := callers.changeUntilDecided(tableChange(1, 2, "second"), accepting[0]); o != ports.Committed {
+		t.Fatalf("seed %d: the second change ended as %d", seed, o)
 	}
 	// Those that were away hear of it before the partition is over for the learner.
 	for _, a := range away {
 		c.partition(a, false, accepting...)
 	}
-	k.run(300_000)
+	callers.run(300_000)
 	c.kill(accepting[2], false)
 	c.partition(l.address, false, accepting...)
-	k.run(5_000_000)
+	callers.run(5_000_000)
 	return l, c.environment.Now
 }
 
@@ -146,44 +146,44 @@
 	}
 }
 
-// TestLearnersLearnUnderFaults: orders come one after the other while control
+// TestLearnersLearnUnderFaults: changes come one after the other while control
 // processes are killed, partitioned and lose their disks, two faults at a time, and
 // learners start anew. Once a majority has been calm for as long as processes are
-// given, each learner knows the newest order that was applied and holds a lease.
+// given, each learner knows the newest change that was applied and holds a lease.
 func TestLearnersLearnUnderFaults(t *testing.T) {
 	const calm = 4_000_000
 	for seed := range uint64(faultSeeds) {
-		c, k := formedCluster(t, seed, 5+int(seed%2))
+		c, callers := formedCluster(t, seed, 5+int(seed%2))
 		var learners []*testLearner
 		for i := range 4 {
 			learners = append(learners, c.attachLearner(fmt.Sprintf("10.0.9.%d:7441", i+1)))
 		}
 		applied := uint64(1)
 		for range 2 {
-			applied = underFaults(c, k, learners, applied)
-			k.run(calm)
+			applied = underFaults(c, callers, learners, applied)
+			callers.run(calm)
 			for _, l := range learners {
 				known, _ := l.learner.Committed(learner.TableKey)
 				if table := c.decoded(known.Data); table.Revision < applied || !l.leased(c.environment.Now) {
 					t.Errorf("seed %d: %s works by revision %d after %d ms of calm, holds a lease: %t; %d was applied", seed, l.address, table.Revision, calm/1000, l.leased(c.environment.Now), applied)
 				}
 			}
-			for _, a := range c.order {
+			for _, a := range c.addresses {
 				if !c.members[a].up {
 					c.start(a)
 				}
 			}
-			k.run(calm)
+			callers.run(calm)
 		}
 	}
 }
 
-// underFaults sends orders while two control processes are partitioned, loses a third one
+// underFaults sends changes while two control processes are partitioned, loses a third one
 // about when the partition ends, and has learners start anew at any moment. The one that
 // was lost stays dead. It returns the newest revision applied.
-func underFaults(c *cluster, k *testCallers, learners []*testLearner, applied uint64) uint64 {
+func underFaults(c *cluster, callers *testCallers, learners []*testLearner, applied uint64) uint64 {
 	r := c.environment.Random
-	hit := slices.Clone(c.order)
+	hit := slices.Clone(c.addresses)
 	r.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
 	isolated, dies, others := hit[:2], hit[2], hit[2:]
 	began := c.environment.Now
@@ -200,12 +200,12 @@
 	}
 	for c.environment.Now < ends {
 		revision := applied + 1
-		if k.changeUntilDecided(tableChange(applied, revision, "under faults"), others...) == ports.Committed {
+		if callers.changeUntilDecided(tableChange(applied, revision, "under faults"), others...) == ports.Committed {
 			applied = revision
 		}
-		k.run(c.environment.Between(1_000, 400_000))
+		callers.run(c.environment.Between(1_000, 400_000))
 	}
-	k.run(max(ends+500_000-c.environment.Now, 0))
+	callers.run(max(ends+500_000-c.environment.Now, 0))
 	return applied
 }
 
@@ -238,7 +238,7 @@
 	return sent
 }
 
-// largeTable is a first order with so many routes, none of which packs well.
+// largeTable is a first change with so many routes, none of which packs well.
 func (c *cluster) largeTable(routes int) ports.TableChange {
 	order := tableChange(0, 1, "large")
 	for i := range routes {
@@ -262,25 +262,25 @@
 		rate      = 2_000_000 / 8 / 2 // callers use the other half
 	)
 	c := newCluster(t, 3, 5, 3, 2)
-	k := newCallers(c)
-	for _, a := range c.order {
+	callers := newCallers(c)
+	for _, a := range c.addresses {
 		c.start(a)
 	}
-	k.run(8_000_000)
-	if o := k.changeUntilDecided(c.largeTable(160), c.order...); o != ports.Committed {
-		t.Fatalf("the first order ended as %d", o)
+	callers.run(8_000_000)
+	if o := callers.changeUntilDecided(c.largeTable(160), c.addresses...); o != ports.Committed {
+		t.Fatalf("the first change ended as %d", o)
 	}
 	for i := range 90 {
 		id := fmt.Sprintf("i-%010x", c.environment.Random.Uint32())
-		k.announce(c.order[i%5], ports.Instance{ID: id, Group: fmt.Sprint("group-", i/3), Address: fmt.Sprintf("10.1.%d.%d:8080", i, i), Zone: "zone-of-it", Capacity: 4, AnnouncementNumber: 1, Primary: i%3 == 0})
+		callers.announce(c.addresses[i%5], ports.Instance{ID: id, Group: fmt.Sprint("group-", i/3), Address: fmt.Sprintf("10.1.%d.%d:8080", i, i), Zone: "zone-of-it", Capacity: 4, AnnouncementNumber: 1, Primary: i%3 == 0})
 	}
 	for i := range 60 {
 		key, data := fmt.Sprintf("members/group-%02d", i), strings.Repeat("member-", 10)
-		if v := c.change(c.order[i%5], key, fmt.Sprint(data, i)); v != paxos.Committed {
+		if v := c.change(c.addresses[i%5], key, fmt.Sprint(data, i)); v != paxos.Committed {
 			t.Fatalf("%s ended as %d", key, v)
 		}
 	}
-	k.run(2_000_000)
+	callers.run(2_000_000)
 	l := c.attachLearner("10.0.9.9:7441")
 	// What a node has its looks leave at once for: commits that wait for a lease.
 	var wants func()
@@ -299,12 +299,12 @@
 			l.restart(c)
 			started = c.environment.Now
 		}
-		if k.changeUntilDecided(tableChange(applied, applied+1, "storm"), c.order[n%5]) == ports.Committed {
+		if callers.changeUntilDecided(tableChange(applied, applied+1, "storm"), c.addresses[n%5]) == ports.Committed {
 			applied++
 			storm.at[applied] = c.environment.Now
 		}
 		for range 10 {
-			k.run(20_000)
+			callers.run(20_000)
 			if c.environment.Now-started >= startsIn {
 				storm.observe(c, l, 20_000)
 			}
@@ -338,13 +338,13 @@
 // do not vote who the voters are, again and again. They send it that and not all that
 // they know.
 func TestVotersOnlyPollReturnsOnlyTheMembership(t *testing.T) {
-	c, k := formedCluster(t, 5, 6)
-	i := slices.IndexFunc(c.order, func(a string) bool { return !c.members[a].core.isVoting() })
-	spare := c.order[i]
+	c, callers := formedCluster(t, 5, 6)
+	i := slices.IndexFunc(c.addresses, func(a string) bool { return !c.members[a].core.isVoting() })
+	spare := c.addresses[i]
 	for i := range 60 {
-		k.announce(c.order[(i+1)%6], ports.Instance{ID: fmt.Sprint("i-", i), Group: "g", Address: "10.1.1.1:8080", Zone: "z", AnnouncementNumber: 1})
+		callers.announce(c.addresses[(i+1)%6], ports.Instance{ID: fmt.Sprint("i-", i), Group: "g", Address: "10.1.1.1:8080", Zone: "z", AnnouncementNumber: 1})
 	}
-	k.run(6_000_000)
+	callers.run(6_000_000)
 	l := &testLearner{address: "10.0.9.9:7441"}
 	largest := 0
 	take := c.network.Receive
@@ -355,7 +355,7 @@
 		take(to, e)
 	}
 	c.network.Send(l.address, statemachine.Send{To: spare, Envelope: &schema.Envelope{From: l.address, Body: &schema.Envelope_Poll{Poll: &schema.Poll{Number: 1, Kind: "pool", Run: 7, VotersOnly: true}}}})
-	k.run(500_000)
+	callers.run(500_000)
 	if largest == 0 || largest > 1_000 {
 		t.Errorf("it was returned %d bytes", largest)
 	}
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -14,8 +14,8 @@
 	b := ports.ProcessConfig{Name: fmt.Sprint("m", number), IP: fmt.Sprintf("10.0.0.%d", number), PortFirst: 7440, Seeds: seeds, QuorumMember: true,
 		Tolerance: ports.Tolerance{Machines: lost}, Zone: "z"}
 	a := b.ControlNodeAddress()
-	c.order = append(c.order, a)
-	c.members[a] = &member{boot: b}
+	c.addresses = append(c.addresses, a)
+	c.members[a] = &member{config: b}
 	c.start(a)
 	return a
 }
@@ -36,7 +36,7 @@
 func (c *cluster) voters(t *testing.T) []string {
 	t.Helper()
 	var want []string
-	for _, a := range c.order {
+	for _, a := range c.addresses {
 		m := c.members[a]
 		if !m.up {
 			continue
@@ -86,7 +86,7 @@
 	t.Helper()
 	c := newCluster(t, seed, n, seeds, lost)
 	c.network.LossProbability, c.network.DuplicateProbability = 0.02, 0.02
-	for _, a := range slices.Clone(c.order) {
+	for _, a := range slices.Clone(c.addresses) {
 		c.start(a)
 	}
 	c.run(5_000_000)
@@ -173,7 +173,7 @@
 		c := startCluster(t, seed, 3, 3, 1)
 		vs := c.upToDate(t, 3)
 		c.agree(t, vs[0], "before")
-		a := c.add(9, 1, c.members[vs[0]].boot.Seeds)
+		a := c.add(9, 1, c.members[vs[0]].config.Seeds)
 		c.run(1_000_000)
 		if got := c.upToDate(t, 3); slices.Contains(got, a) {
 			t.Fatalf("seed %d: a newcomer votes though nobody is lost: %v", seed, got)
@@ -272,7 +272,7 @@
 // checkReplacedForOthers checks that all others know three voters without the old one.
 func (c *cluster) checkReplacedForOthers(t *testing.T, old string) {
 	t.Helper()
-	for _, address := range c.order {
+	for _, address := range c.addresses {
 		voters := c.members[address].core.learner.Voters()
 		if address != old && (slices.Contains(voters, old) || len(voters) != 3) {
 			t.Fatalf("%s takes %v for the voters", address, voters)
@@ -286,7 +286,7 @@
 	c := startCluster(t, 6, 5, 3, 1)
 	vs := c.upToDate(t, 3)
 	var spares []string
-	for _, a := range c.order {
+	for _, a := range c.addresses {
 		if !slices.Contains(vs, a) {
 			spares = append(spares, seedOf(a))
 		}
@@ -327,7 +327,7 @@
 	gone := voters[c.environment.Random.IntN(3)]
 	c.kill(gone, true)
 	c.run(1_000_000)
-	newcomer := c.add(9, 1, c.members[voters[0]].boot.Seeds)
+	newcomer := c.add(9, 1, c.members[voters[0]].config.Seeds)
 	live := slices.DeleteFunc([]string{voters[0], voters[1], voters[2], newcomer}, func(address string) bool { return address == gone })
 	for i := 0; i < 1500 && !c.membershipChanging(live, newcomer); i++ {
 		c.run(2_000)
@@ -367,7 +367,7 @@
 	vs := c.upToDate(t, 3)
 	c.kill(vs[0], true)
 	c.run(1_000_000)
-	a := c.add(9, 1, c.members[vs[1]].boot.Seeds)
+	a := c.add(9, 1, c.members[vs[1]].config.Seeds)
 	for range 400 {
 		c.run(10_000)
 		if c.members[a].core.isVoting() {
--- a/internal/coordinator/moverequests.go
+++ b/internal/coordinator/moverequests.go
@@ -57,17 +57,28 @@
 	})
 }
 
-// requestMove puts a group's new site into the newest routing table.
-func (c *Core) requestMove(now int64, e Move) {
-	if !c.admitCall(now, e.ID, moveTimeout, MoveDone{ID: e.ID, Result: moveUnavailable}) {
+// finishMove replies to an operator's request for a move.
+type finishMove func(now int64, result MoveResult)
+
+// decideMoveRequest has a request decided on what a majority returned of the routing
+// table and the group's move. It refuses the request itself where there is no majority.
+func (c *Core) decideMoveRequest(now int64, id uint64, group string, decide func(now int64, read *tableAndMove, finish finishMove)) {
+	if !c.admitCall(now, id, moveTimeout, MoveDone{ID: id, Result: moveUnavailable}) {
 		return
 	}
-	finish := func(now int64, result MoveResult) { c.finishCall(now, e.ID, MoveDone{ID: e.ID, Result: result}) }
-	c.readTableAndMove(now, e.Group, func(now int64, read *tableAndMove) {
+	finish := func(now int64, result MoveResult) { c.finishCall(now, id, MoveDone{ID: id, Result: result}) }
+	c.readTableAndMove(now, group, func(now int64, read *tableAndMove) {
 		if read == nil {
 			finish(now, MoveResult{Outcome: ports.Unavailable, Problem: noMajorityReplied})
 			return
 		}
+		decide(now, read, finish)
+	})
+}
+
+// requestMove puts a group's new site into the newest routing table.
+func (c *Core) requestMove(now int64, e Move) {
+	c.decideMoveRequest(now, e.ID, e.Group, func(now int64, read *tableAndMove, finish finishMove) {
 		zone, refusal := c.judgeMove(e, read)
 		if refusal != nil {
 			finish(now, *refusal)
@@ -131,15 +142,7 @@
 
 // cancelMove ends a move that is not committed yet.
 func (c *Core) cancelMove(now int64, e CancelMove) {
-	if !c.admitCall(now, e.ID, moveTimeout, MoveDone{ID: e.ID, Result: moveUnavailable}) {
-		return
-	}
-	finish := func(now int64, result MoveResult) { c.finishCall(now, e.ID, MoveDone{ID: e.ID, Result: result}) }
-	c.readTableAndMove(now, e.Group, func(now int64, read *tableAndMove) {
-		if read == nil {
-			finish(now, MoveResult{Outcome: ports.Unavailable, Problem: noMajorityReplied})
-			return
-		}
+	c.decideMoveRequest(now, e.ID, e.Group, func(now int64, read *tableAndMove, finish finishMove) {
 		cancelled, refusal := cancelledMove(e.Group, read)
 		if refusal != nil {
 			finish(now, *refusal)
--- a/internal/coordinator/norace_test.go
+++ b/internal/coordinator/norace_test.go
@@ -2,4 +2,4 @@
 
 package coordinator
 
-const slower = 1
+const raceFactor = 1
--- a/internal/coordinator/pacing_test.go
+++ b/internal/coordinator/pacing_test.go
@@ -14,13 +14,13 @@
 func TestLargeStateOnASlowLink(t *testing.T) {
 	h := newHistory(t, 7, 40, false, crashdisk.NoMutation)
 	r := rand.New(rand.NewPCG(1, 1))
-	a, b := h.order[0], h.order[1]
+	a, b := h.addresses[0], h.addresses[1]
 	for _, kb := range []int{20, 50, 200, 500} {
 		for _, wipe := range []bool{false, true} {
 			h.kill(a, wipe)
 			h.pass(1_000_000)
 			ch := h.amendment()
-			ch.Routes[0] = historyRoute(0, h.acked)
+			ch.Routes[0] = historyRoute(0, h.acknowledged)
 			ch.Routes[0].Source = make([]byte, kb<<10) // does not pack
 			for i := range ch.Routes[0].Source {
 				ch.Routes[0].Source[i] = byte(r.Uint32())
--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -24,15 +24,15 @@
 	return 0, errors.New("there is none")
 }
 
-// running is one control process that is its own majority.
-type running struct {
+// runningProcess is one control process that is its own majority.
+type runningProcess struct {
 	*Process
 	t    *testing.T
 	stop context.CancelFunc
 	done chan error
 }
 
-func run(t *testing.T, folder string, first bool) *running {
+func startProcess(t *testing.T, folder string, first bool) *runningProcess {
 	t.Helper()
 	b := ports.ProcessConfig{Name: "control-1", IP: "127.0.0.77", PortFirst: 7440, Seeds: []string{"127.0.0.77:8782"}, Bootstrap: first, QuorumMember: true,
 		DataFolder: folder, DiskMB: 64, Zone: "z"}
@@ -41,12 +41,12 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	r := &running{Process: p.(*Process), t: t, stop: stop, done: make(chan error, 1)}
+	r := &runningProcess{Process: p.(*Process), t: t, stop: stop, done: make(chan error, 1)}
 	go func() { r.done <- p.Run(ctx) }()
 	return r
 }
 
-func (r *running) end() {
+func (r *runningProcess) end() {
 	r.t.Helper()
 	r.stop()
 	select {
@@ -59,17 +59,17 @@
 	}
 }
 
-func table(revision uint64) ports.TableChange {
+func completeTable(revision uint64) ports.TableChange {
 	return ports.TableChange{Digest: fmt.Sprint("change-", revision), BaseRevision: revision - 1, Revision: revision, Complete: true,
 		Groups: []ports.Group{{Name: "g", ConnectionLimit: 60, RequiredReplicaAcks: 1}},
 		Routes: []ports.Route{{Name: "r", Host: "h", Prefix: "/", Group: "g", TimeoutUs: 800_000, LatencyTargetUs: int64(revision)}}}
 }
 
-// change sends an order until it is acknowledged.
-func (r *running) change(revision uint64) bool {
+// change sends a change until it is acknowledged.
+func (r *runningProcess) change(revision uint64) bool {
 	for range 50 {
 		ctx, stop := context.WithTimeout(r.t.Context(), 2*time.Second)
-		o := r.Change(ctx, table(revision)).Outcome
+		o := r.Change(ctx, completeTable(revision)).Outcome
 		stop()
 		if o != ports.Unavailable {
 			return o == ports.Committed
@@ -80,7 +80,7 @@
 }
 
 // refused holds that each call ends at once and says that nothing is served.
-func (r *running) refused() {
+func (r *runningProcess) refused() {
 	r.t.Helper()
 	ctx, stop := context.WithTimeout(r.t.Context(), 5*time.Second)
 	defer stop()
@@ -88,7 +88,7 @@
 	if ok, _ := r.Announce(ctx, ports.Instance{ID: "db", Group: "g", Address: "10.0.0.1:1", AnnouncementNumber: 1}); ok {
 		r.t.Fatal("an announcement is acknowledged")
 	}
-	if o := r.Change(ctx, table(9)).Outcome; o != ports.Unavailable {
+	if o := r.Change(ctx, completeTable(9)).Outcome; o != ports.Unavailable {
 		r.t.Fatalf("a change ends as %d", o)
 	}
 	if _, ok := r.Fetch(ctx); ok {
@@ -129,10 +129,10 @@
 		}
 	}
 	refuse()
-	p := run(t, folder, true)
+	p := startProcess(t, folder, true)
 	p.refused()
 	p.end()
-	p = run(t, folder, true)
+	p = startProcess(t, folder, true)
 	time.Sleep(2 * openRetryInterval)
 	p.refused()
 	takes()
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	refuse()
-	p = run(t, folder, false)
+	p = startProcess(t, folder, false)
 	time.Sleep(2 * openRetryInterval)
 	p.refused()
 	takes()
