--- a/emulator/seedtest/seedtest.go
+++ b/emulator/seedtest/seedtest.go
@@ -11,9 +11,9 @@
 )
 
 var (
-	count = flag.Uint64("seeds", 0, "how many seeds of the whole fleet to run (default: CI's)")
-	first = flag.Uint64("from", 0, "first seed")
-	tell  = flag.Bool("tell", false, "print what happened in each seed")
+	count   = flag.Uint64("seeds", 0, "how many seeds of the whole fleet to run (default: CI's)")
+	first   = flag.Uint64("from", 0, "first seed")
+	printed = flag.Bool("tell", false, "print what happened in each seed")
 )
 
 // Count is the number of seeds to run: that of the flag -seeds, or the given one.
@@ -46,10 +46,10 @@
 	wg.Wait()
 }
 
-// PrintLog prints a run's log if the flag -tell is set.
+// PrintLog prints a run's log if its flag is set.
 func PrintLog(t testing.TB, seed uint64, log []string) {
 	t.Helper()
-	if *tell {
+	if *printed {
 		t.Logf("seed %d:\n%s", seed, strings.Join(log, "\n"))
 	}
 }
--- a/emulator/simulation/fault_kinds.go
+++ b/emulator/simulation/fault_kinds.go
@@ -34,12 +34,12 @@
 var faultKinds = []faultKind{
 	{redundantGroup, (*Fleet).crashDatabase},
 	{redundantGroup, (*Fleet).wipeDatabase},
-	{redundantGroup, (*Fleet).silenceDatabase},
+	{redundantGroup, (*Fleet).stopResponses},
 	{redundantGroup, (*Fleet).freezeDatabase},
 	{redundantGroup, (*Fleet).isolateDatabase},
 	{redundantGroup, (*Fleet).loseResponses},
 	{redundantGroup, (*Fleet).slowDatabase},
-	{redundantGroup, (*Fleet).silenceDatabaseBesideLaggingReplica},
+	{redundantGroup, (*Fleet).stopResponsesBesideLaggingReplica},
 	{redundantGroup, (*Fleet).drainDatabase},
 	{allControlsHealthy, (*Fleet).endControl},
 	{allControlsHealthy, (*Fleet).loseControlDisk},
@@ -100,8 +100,8 @@
 	f.later(500_000, 6_000_000, func() { f.LoseDatabase(name) })
 }
 
-// silenceDatabase has a database take requests and respond to none.
-func (f *Fleet) silenceDatabase(t faultTarget) {
+// stopResponses has a database take requests and respond to none.
+func (f *Fleet) stopResponses(t faultTarget) {
 	f.logf("fault: %s does not respond", t.database.name)
 	t.database.unresponsive = true
 	f.later(500_000, 6_000_000, func() { t.database.unresponsive = false })
@@ -131,9 +131,9 @@
 	f.later(500_000, 4_000_000, func() { t.database.extraServiceUs = 0 })
 }
 
-// silenceDatabaseBesideLaggingReplica has another database of the group receive nothing
+// stopResponsesBesideLaggingReplica has another database of the group receive nothing
 // just before this one stops responding.
-func (f *Fleet) silenceDatabaseBesideLaggingReplica(t faultTarget) {
+func (f *Fleet) stopResponsesBesideLaggingReplica(t faultTarget) {
 	f.logf("fault: %s does not respond and a replica receives nothing", t.database.name)
 	for _, m := range f.Configuration.Groups[t.group].Members {
 		if o := f.Databases[m]; o != t.database {
--- a/emulator/simulation/fleet.go
+++ b/emulator/simulation/fleet.go
@@ -19,10 +19,6 @@
 // defaultMaxPlatformUs is the longest that the platform takes without a fault.
 const defaultMaxPlatformUs = 5_000
 
-// randomStream makes the random numbers of this simulation others than those of
-// another simulation with the same seed.
-const randomStream = 0x5eed
-
 // Plan is what a simulated fleet is made of and what it has to bear.
 type Plan struct {
 	Seed               uint64
@@ -138,7 +134,7 @@
 
 // NewFleet lays a fleet out and starts it.
 func NewFleet(p Plan) *Fleet {
-	w := virtualtime.NewScheduler(p.Seed, randomStream)
+	w := virtualtime.NewScheduler(p.Seed, virtualtime.DefaultStream)
 	if p.Partner == "" {
 		p.Partner = "pharmacies"
 	}
--- a/emulator/virtualtime/scheduler.go
+++ b/emulator/virtualtime/scheduler.go
@@ -9,6 +9,10 @@
 // that a zero time can mean "never" in the code under test.
 const startUs = 1_000_000
 
+// DefaultStream is the stream of random numbers of simulations that do not need one of
+// their own.
+const DefaultStream = 0x5eed
+
 // Scheduler is the virtual clock and all that is due on it.
 type Scheduler struct {
 	// Now is the virtual time in microseconds. Only Run moves it.
--- a/emulator/virtualtime/scheduler_test.go
+++ b/emulator/virtualtime/scheduler_test.go
@@ -10,14 +10,14 @@
 func TestRunOrdersEvents(t *testing.T) {
 	s := NewScheduler(1, 2)
 	var ran []string
-	note := func(name string) func() { return func() { ran = append(ran, name) } }
-	s.After(20, note("late"))
-	s.After(10, note("first"))
+	record := func(name string) func() { return func() { ran = append(ran, name) } }
+	s.After(20, record("late"))
+	s.After(10, record("first"))
 	s.After(10, func() {
 		ran = append(ran, "second")
-		s.After(-5, note("from the past"))
+		s.After(-5, record("from the past"))
 	})
-	s.After(21, note("not due"))
+	s.After(21, record("not due"))
 	s.Run(startUs + 20)
 	if want := []string{"first", "second", "from the past", "late"}; !slices.Equal(ran, want) {
 		t.Errorf("ran %v, want %v", ran, want)
--- a/failover/fenced/duty_model_test.go
+++ b/failover/fenced/duty_model_test.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/emulator/simulation"
+	"stoneford/emulator/virtualtime"
 	"stoneford/internal/learner"
 	"stoneford/internal/ports"
 	"stoneford/schema"
@@ -114,7 +114,7 @@
 }
 
 type model struct {
-	*simulation.Scheduler
+	*virtualtime.Scheduler
 	mutation        mutation
 	log             []string
 	violations      []string
@@ -164,7 +164,7 @@
 }
 
 func newModel(seed uint64, p mutation) *model {
-	m := &model{Scheduler: simulation.NewScheduler(seed), mutation: p, disconnected: map[[2]string]bool{}, nodePolls: map[uint64]*modelPoll{}, nodeFails: map[string]int64{}, fences: map[uint64]string{}}
+	m := &model{Scheduler: virtualtime.NewScheduler(seed, virtualtime.DefaultStream), mutation: p, disconnected: map[[2]string]bool{}, nodePolls: map[uint64]*modelPoll{}, nodeFails: map[string]int64{}, fences: map[uint64]string{}}
 	m.promotionResumesReplicas, m.slowUs = m.Chance(0.5), m.Between(2_000, 20_000)
 	m.databaseOrder = m.Random.Perm(modelProcesses)
 	for j, id := range []string{"a", "b", "c"} {
--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"stoneford/emulator/simulation"
+	"stoneford/emulator/virtualtime"
 	"stoneford/internal/control"
 	"stoneford/result"
 	"stoneford/schema"
@@ -12,7 +13,7 @@
 
 // threeProcesses is three control processes on a network.
 type threeProcesses struct {
-	environment *simulation.Scheduler
+	environment *virtualtime.Scheduler
 	network     *simulation.Network
 	cores       map[string]*control.Core
 	seeds       []string
@@ -21,7 +22,7 @@
 }
 
 func newThreeProcesses(seed uint64) *threeProcesses {
-	x := &threeProcesses{environment: simulation.NewScheduler(seed), cores: map[string]*control.Core{}, results: map[uint64]control.ConfigurationResult{}, resultsAt: map[uint64]int64{}}
+	x := &threeProcesses{environment: virtualtime.NewScheduler(seed, virtualtime.DefaultStream), cores: map[string]*control.Core{}, results: map[uint64]control.ConfigurationResult{}, resultsAt: map[uint64]int64{}}
 	x.network = simulation.NewNetwork(x.environment)
 	x.network.Receive = func(to string, e *schema.Envelope) { x.step(to, e) }
 	x.seeds = []string{"a:1", "b:1", "c:1"}
--- a/internal/coordinator/cluster_test.go
+++ b/internal/coordinator/cluster_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"stoneford/emulator/simulation"
+	"stoneford/emulator/virtualtime"
 	"stoneford/internal/learner"
 	"stoneford/internal/ports"
 	"stoneford/internal/wal"
@@ -35,7 +36,7 @@
 
 type cluster struct {
 	t           *testing.T
-	environment *simulation.Scheduler
+	environment *virtualtime.Scheduler
 	network     *simulation.Network
 	members     map[string]*member
 	order       []string
@@ -44,7 +45,7 @@
 
 // newCluster has so many control processes, of which the first are the seeds.
 func newCluster(t *testing.T, seed uint64, n, seeds, lost int) *cluster {
-	c := &cluster{t: t, environment: simulation.NewScheduler(seed), members: map[string]*member{}}
+	c := &cluster{t: t, environment: virtualtime.NewScheduler(seed, virtualtime.DefaultStream), members: map[string]*member{}}
 	c.network = simulation.NewNetwork(c.environment)
 	c.network.MaxDelayUs = 12_000
 	c.network.Receive = func(to string, e *schema.Envelope) { c.step(to, e) }
@@ -226,7 +227,7 @@
 func TestFounding(t *testing.T) {
 	for seed := range uint64(24) {
 		c := newCluster(t, seed, 6, 3, 2)
-		c.network.LossShare, c.network.DuplicateShare = 0.03, 0.03
+		c.network.LossProbability, c.network.DuplicateProbability = 0.03, 0.03
 		for _, a := range c.order {
 			c.environment.After(c.environment.Between(0, 1_000_000), func() { c.start(a) })
 		}
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -85,7 +85,7 @@
 func startCluster(t *testing.T, seed uint64, n, seeds, lost int) *cluster {
 	t.Helper()
 	c := newCluster(t, seed, n, seeds, lost)
-	c.network.LossShare, c.network.DuplicateShare = 0.02, 0.02
+	c.network.LossProbability, c.network.DuplicateProbability = 0.02, 0.02
 	for _, a := range slices.Clone(c.order) {
 		c.start(a)
 	}
@@ -358,7 +358,7 @@
 // have counted its silence meanwhile.
 func TestAnnouncementOfARehomedDatabaseIsForwardedAtOnce(t *testing.T) {
 	c := startCluster(t, 11, 3, 3, 1)
-	c.network.LossShare, c.network.DuplicateShare = 0, 0
+	c.network.LossProbability, c.network.DuplicateProbability = 0, 0
 	vs := c.upToDate(t, 3)
 	call := uint64(0)
 	beat := func(a string) {
--- a/paxos/faults_test.go
+++ b/paxos/faults_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"stoneford/emulator/simulation"
+	"stoneford/emulator/virtualtime"
 	"stoneford/paxos"
 	"stoneford/schema"
 )
@@ -25,7 +26,7 @@
 // disks, cuts, losses and doubles.
 type cluster struct {
 	t           *testing.T
-	environment *simulation.Scheduler
+	environment *virtualtime.Scheduler
 	network     *simulation.Network
 	mutation    clusterMutation
 	addresses   []string
@@ -102,11 +103,11 @@
 // run drives one seed; it returns what was found wrong. pace is how many times
 // as often changes and faults come, one of them soon after the other.
 func run(t *testing.T, seed uint64, mutation clusterMutation, pace int64) (*cluster, string) {
-	c := &cluster{t: t, environment: simulation.NewScheduler(seed), mutation: mutation, addresses: []string{"a", "b", "c"}, processes: map[string]*process{},
+	c := &cluster{t: t, environment: virtualtime.NewScheduler(seed, virtualtime.DefaultStream), mutation: mutation, addresses: []string{"a", "b", "c"}, processes: map[string]*process{},
 		up: map[string]bool{}, incarnation: map[string]int{}, history: newHistory("x", "y")}
 	c.network = simulation.NewNetwork(c.environment)
 	c.network.Receive = c.receive
-	c.network.LossShare, c.network.DuplicateShare = 0.05, 0.05
+	c.network.LossProbability, c.network.DuplicateProbability = 0.05, 0.05
 	c.network.MaxDelayUs = 30_000
 	for _, a := range c.addresses {
 		p := &process{address: a, target: len(c.addresses), ownVoterOnly: mutation == ackBeforeMajority}
