--- a/emulator/simulation/network.go
+++ b/emulator/simulation/network.go
@@ -9,22 +9,32 @@
 	"stoneford/statemachine"
 )
 
-// Network carries envelopes between processes, with delays, losses, doubles
-// and cuts.
+// Network carries envelopes between the addresses of processes. It delays, loses,
+// duplicates and reorders them; a partition loses all that is sent in its direction.
 type Network struct {
-	Scheduler                             *virtualtime.Scheduler
-	LossProbability, DuplicateProbability float64
-	MinDelayUs                            int64
-	MaxDelayUs                            int64
-	ExtraDelayUs                          func(from, to string) int64 // added to the delay between two places
-	partitioned                           map[[2]string]bool
-	Receive                               func(to string, e *schema.Envelope)
-	observe                               *behaviourhash.Recorder // nil: nothing is recorded
+	Scheduler            *virtualtime.Scheduler
+	LossProbability      float64
+	DuplicateProbability float64
+	MinDelayUs           int64 // least delay in one direction
+	MaxDelayUs           int64 // greatest delay in one direction
+	// ExtraDelayUs is added to the delay between two addresses; nil adds nothing.
+	ExtraDelayUs func(from, to string) int64
+	// Receive takes what arrives at an address.
+	Receive func(to string, e *schema.Envelope)
+
+	partitioned map[[2]string]bool      // by sender and receiver
+	observe     *behaviourhash.Recorder // nil: nothing is recorded
 }
 
+// Delays of a network without faults, in one direction.
+const (
+	defaultMinDelayUs = 100
+	defaultMaxDelayUs = 1_500
+)
+
 // NewNetwork makes a network without faults.
 func NewNetwork(w *virtualtime.Scheduler) *Network {
-	return &Network{Scheduler: w, MinDelayUs: 100, MaxDelayUs: 1500, partitioned: map[[2]string]bool{}}
+	return &Network{Scheduler: w, MinDelayUs: defaultMinDelayUs, MaxDelayUs: defaultMaxDelayUs, partitioned: map[[2]string]bool{}}
 }
 
 // newObservedNetwork makes a network that records every envelope that is sent.
@@ -34,28 +44,28 @@
 	return n
 }
 
-// SetPartition breaks or mends one direction between two places.
+// SetPartition breaks or repairs one direction between two addresses.
 func (n *Network) SetPartition(from, to string, broken bool) {
 	n.partitioned[[2]string{from, to}] = broken
 }
 
-// Faulty says whether any way from or to a place is broken.
-func (n *Network) Faulty(a string) bool {
+// Faulty says whether any direction from or to an address is broken.
+func (n *Network) Faulty(address string) bool {
 	for k, broken := range n.partitioned {
-		if broken && (k[0] == a || k[1] == a) {
+		if broken && (k[0] == address || k[1] == address) {
 			return true
 		}
 	}
 	return false
 }
 
-// Repair mends everything.
+// Repair ends every partition.
 func (n *Network) Repair() { n.partitioned = map[[2]string]bool{} }
 
 // Reaches says whether one direction works.
 func (n *Network) Reaches(from, to string) bool { return !n.partitioned[[2]string{from, to}] }
 
-// Delay is how long one way takes now.
+// Delay draws how long one direction takes.
 func (n *Network) Delay(from, to string) int64 {
 	d := n.Scheduler.Between(n.MinDelayUs, n.MaxDelayUs)
 	if n.ExtraDelayUs != nil {
@@ -64,8 +74,8 @@
 	return d
 }
 
-// Send sends from a place. The envelope is encoded and decoded again, as
-// between real processes.
+// Send sends an envelope from an address. It is encoded and decoded again, as between real
+// processes; what an address sends to itself is not.
 func (n *Network) Send(from string, s statemachine.Send) {
 	n.observe.Envelope(n.Scheduler.Now, from, s.To, s.Envelope)
 	if from == s.To {
--- /dev/null
+++ b/emulator/simulation/plan.go
@@ -0,0 +1,105 @@
+package simulation
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"stoneford/internal/behaviourhash"
+)
+
+// Plan is what a simulated fleet is made of and what it has to tolerate. Times are in
+// microseconds.
+type Plan struct {
+	Seed               uint64
+	Partner            string        // default pharmacies
+	Configuration      []byte        // as operators send it; without one it is made of Groups, Zones and Connections
+	MorePartners       []PartnerPlan // further partners on the same pool
+	Machines           int
+	Groups             []string
+	Zones              []string
+	Connections        int32   // that each database accepts
+	Sessions           int     // of callers
+	TickIntervalUs     int64   // between two ticks of a group, 0 for 50 ms
+	StepIntervalUs     int64   // between two steps of a node that receives nothing, 0 for 10 ms
+	DayUs              int64   // length of a day whose load curve the callers follow, 0 for none
+	ThinkUs            int64   // mean time between two actions of a session
+	ServiceUs          int64   // mean time of a run
+	DatabaseServers    int     // runs that a database executes at once
+	AbandonProbability float64 // that a caller abandons a transaction before its end
+	LagUs              int64   // by which replicas apply a commit late
+	Choice             string  // how reads choose a replica; empty for the least load
+	Position           bool    // nodes know their own commits by position only
+	MaxDelayUs         int64   // greatest delay in one direction, 0 for 1500
+	CrossZoneDelayUs   int64   // added between two zones
+	Mutation           Mutation
+	// Observe, where it is set, records what the cores do at their edge: envelopes, calls
+	// to databases and to the platform, and responses. It changes nothing.
+	Observe *behaviourhash.Recorder
+}
+
+// PartnerPlan is one more partner and its groups, whose names must be its own.
+type PartnerPlan struct {
+	Partner string
+	Groups  []string
+}
+
+// Mutation is a bug that is injected into the simulated environment on purpose, to show
+// that the check of the rule it breaks sees it (mutation testing).
+type Mutation int
+
+// Mutations.
+const (
+	NoMutation             Mutation = iota
+	WriteTwice                      // some runs are executed twice
+	NotExecutedClaimed              // a lost response is taken for a run that was never sent
+	AckBeforeMajority               // replicas are reported to have received what they have not
+	UnsealedTakeover                // a seal is confirmed without sealing
+	SkippedEntry                    // polls of the primary leave out its newest commits
+	ClaimedApplied                  // replicas are reported to have applied all they received
+	TokenForgotten                  // a session is opened without its token
+	TornSession                     // a connection is reported reset and is not
+	ForeignPrepared                 // a prepared name keeps the text it first had on a connection
+	ChangedText                     // some statements are sent with another text
+	UnheardDraining                 // tables do not hear that a database drains
+	DroppedAtStop                   // a node that is stopped ends at once
+	LateUpdates                     // nodes receive configurations 4 s late
+	SlippingBack                    // a node is sent the first revision as the newest
+	UncheckedChange                 // an invalid change passes for a valid one
+	RebasedChange                   // a losing change is based on the newest revision and sent again
+	UnsyncedDisk                    // a control process that dies loses the end of its log
+	DelayedRejections               // rejections reach callers only when the query's deadline has passed
+	UnmeantPromotion                // the platform promotes whatever database is at the target's address, and nodes take it for the elected one
+	UnrequestedReplacement          // the platform replaces a database as soon as it drains
+)
+
+// classNames are each partner's own names of the three kinds.
+var classNames = map[string][3]string{"lender": {"disburse", "repayment", "limit"}}
+
+// configuration is one of a partner's groups; its databases are numbered from
+// the number given.
+func (p Plan) configuration(partner PartnerPlan, from int) []byte {
+	ns, ok := classNames[partner.Partner]
+	if !ok {
+		ns = [3]string{"reserve", "lookup", "pickup"}
+	}
+	dbs, gs, rs := map[string]any{}, map[string]any{}, map[string]any{}
+	for i, g := range partner.Groups {
+		var ms []string
+		for j := range 3 {
+			n := fmt.Sprintf("%s-%c", g, 'a'+j)
+			ms = append(ms, n)
+			dbs[n] = map[string]any{"address": fmt.Sprintf("10.0.2.%d:1", from+i*3+j+1), "zone": p.Zones[(i+j)%len(p.Zones)], "connections": p.Connections}
+		}
+		gs[g] = map[string]any{"members": ms, "primary": ms[0]}
+		rs[g] = map[string]any{"group": g, "classes": ns[:]}
+	}
+	b, err := json.Marshal(map[string]any{"databases": dbs, "groups": gs, "routes": rs, "classes": map[string]any{
+		ns[0]: map[string]any{"kind": "current"},
+		ns[1]: map[string]any{"kind": "stale", "stale_us": 1_500_000},
+		ns[2]: map[string]any{"kind": "pinned", "stale_us": 2_500_000},
+	}})
+	if err != nil {
+		panic(err)
+	}
+	return b
+}
--- a/emulator/simulation/process.go
+++ b/emulator/simulation/process.go
@@ -2,7 +2,8 @@
 
 import "stoneford/schema"
 
-// processState is a process's standing; gen tells one run of it from the next.
+// processState is the state of one process. The generation distinguishes one run of it
+// from the next.
 type processState struct {
 	up          bool
 	frozen      bool
--- a/emulator/simulation/moves_test.go
+++ b/emulator/simulation/replacement_test.go
@@ -34,7 +34,7 @@
 		p := plan(i)
 		p.MorePartners, p.Sessions = nil, 24
 		if plant {
-			p.Mutation = simulation.PlatformUnasked
+			p.Mutation = simulation.UnrequestedReplacement
 		}
 		f := simulation.NewFleet(p)
 		f.Quiet = true
