--- a/emulator/fleetsimulation/faults_network.go
+++ b/emulator/fleetsimulation/faults_network.go
@@ -160,8 +160,8 @@
 
 const (
 	bothDirections direction = iota
-	outgoing           // what the host sends
-	incoming           // what the host would receive
+	outgoing                 // what the host sends
+	incoming                 // what the host would receive
 	directions
 )
 
--- a/emulator/simulation/databases.go
+++ b/emulator/simulation/databases.go
@@ -6,7 +6,7 @@
 	"stoneford/emulator/databasereplica"
 )
 
-// Database is one simulated database around the stand-in's own copy.
+// Database is one simulated database around the emulated replica's state machine.
 type Database struct {
 	fleet           *Fleet
 	name            string
@@ -15,7 +15,7 @@
 	zone            string
 	state           *databasereplica.Replica
 	up              bool
-	unresponsive    bool // takes everything and returns nothing
+	unresponsive    bool // takes requests and responds to none
 	frozen          bool
 	lostResponses   int
 	extraServiceUs  int64
@@ -31,15 +31,17 @@
 	serversFreeAtUs []int64 // when each server is free again
 	requestedFrom   int64
 
-	prepared string // the first text that was prepared here, for a plant
+	prepared string // the first text that was prepared here (mutation ForeignPrepared)
 }
 
+// waiter waits until a database has received and applied its log up to positions.
 type waiter struct {
 	received, applied int64
 	run               func()
 	done              *bool
 }
 
+// addDatabase adds a database on an empty disk and starts it.
 func (f *Fleet) addDatabase(name, group, addr, zone string, limit int) {
 	d := &Database{fleet: f, connectionLimit: limit, name: name, group: group, address: addr, zone: zone, lagUs: f.Plan.LagUs}
 	f.Databases[name], f.databaseAt[addr] = d, d
@@ -53,9 +55,14 @@
 	d.state = databasereplica.New(d.name, fmt.Sprintf("%s#%d", d.name, d.diskCount), d.connectionLimit, d.firstConnection())
 }
 
-// firstConnection is another for each life of the process.
-func (d *Database) firstConnection() int64 { d.incarnations++; return int64(d.incarnations) << 32 }
+// firstConnection is the first connection number of an incarnation of the process; no two
+// incarnations use the same numbers.
+func (d *Database) firstConnection() int64 {
+	d.incarnations++
+	return int64(d.incarnations) << 32
+}
 
+// start starts the process on its disk.
 func (d *Database) start() {
 	d.generation++
 	d.up, d.frozen, d.unresponsive, d.waiters, d.pending, d.requestedFrom = true, false, false, nil, nil, -1
@@ -63,7 +70,7 @@
 	d.follow(d.generation)
 }
 
-// crash ends the process; what it wrote stays, connections go.
+// crash ends the process; its log stays, its connections end.
 func (d *Database) crash() {
 	d.up = false
 	k, log := d.state.PersistentState, d.state.Log(0)
@@ -72,9 +79,10 @@
 	d.state = c
 }
 
+// responds says whether the process responds to calls now.
 func (d *Database) responds() bool { return d.up && !d.unresponsive && !d.frozen }
 
-// changed wakes who waits for a position.
+// changed wakes the waiters whose positions are reached.
 func (d *Database) changed() {
 	ws := d.waiters
 	d.waiters = nil
@@ -90,13 +98,14 @@
 	}
 }
 
-func (d *Database) wait(rec, app, us int64, f func()) {
+// wait runs f once the log is received and applied up to positions, or after a time.
+func (d *Database) wait(received, applied, us int64, f func()) {
 	done := false
-	if us == 0 || d.state.Received() >= rec && d.state.Applied() >= app {
+	if us == 0 || d.state.Received() >= received && d.state.Applied() >= applied {
 		f()
 		return
 	}
-	d.waiters = append(d.waiters, waiter{received: rec, applied: app, run: f, done: &done})
+	d.waiters = append(d.waiters, waiter{received: received, applied: applied, run: f, done: &done})
 	g := d.generation
 	d.fleet.After(us, func() {
 		if !done && d.up && d.generation == g {
@@ -106,7 +115,7 @@
 	})
 }
 
-// work runs f after a service time, behind what its servers already do.
+// work runs f after a service time, once one of its servers is free.
 func (d *Database) work(f func()) {
 	i := 0
 	for j := range d.serversFreeAtUs {
--- a/emulator/simulation/faults.go
+++ b/emulator/simulation/faults.go
@@ -26,21 +26,23 @@
 // LoseDisk ends a control process and its disk with it.
 func (f *Fleet) LoseDisk(i int) { f.KillControl(i); f.Controls[i].disk = nil }
 
-// StartControl starts a control process again, if it is down, on what its disk
-// holds.
+// StartControl starts a control process on its disk, if it is down.
 func (f *Fleet) StartControl(i int) {
 	if !f.Controls[i].up {
 		f.startControl(f.Controls[i])
 	}
 }
 
+// controlStopUs is how long a control process runs on after the order to stop.
+const controlStopUs = 1_000_000
+
 // StopControl stops a control process as its daemon does on SIGTERM.
 func (f *Fleet) StopControl(i int) {
 	c := f.Controls[i]
 	f.toControl(c, c.generation, control.Stop{})
 	c.draining = true
 	g := c.generation
-	f.After(1_000_000, func() {
+	f.After(controlStopUs, func() {
 		if c.generation == g {
 			c.up = false
 		}
@@ -50,7 +52,7 @@
 // KillNode ends a pool node at once.
 func (f *Fleet) KillNode(i int) { f.Nodes[i].up = false }
 
-// StartNode starts it again.
+// StartNode starts a pool node.
 func (f *Fleet) StartNode(i int) { f.Nodes[i].draining = false; f.startNode(f.Nodes[i]) }
 
 // restartNode starts a pool node if it is down.
@@ -136,8 +138,8 @@
 	}
 }
 
-// Isolate cuts one address off from all others but the callers, one way or
-// both.
+// Isolate partitions an address off from all others but the callers: what it sends is
+// lost and, with both set, also what is sent to it.
 func (f *Fleet) Isolate(addr string, both bool) {
 	for _, o := range f.Addresses() {
 		if o != addr {
@@ -149,7 +151,7 @@
 	}
 }
 
-// Addresses are all places but the callers: control processes first, then
+// Addresses are those of all processes but the callers: control processes first, then
 // nodes, then databases.
 func (f *Fleet) Addresses() []string {
 	var as []string
@@ -162,7 +164,7 @@
 	return append(as, slices.Sorted(maps.Keys(f.databaseAt))...)
 }
 
-// SetReplicasReceiveNothing has a group's replicas receive nothing, or again.
+// SetReplicasReceiveNothing has a group's replicas receive nothing, or ends that.
 func (f *Fleet) SetReplicasReceiveNothing(group string, deaf bool) {
 	for _, n := range f.Configuration.Groups[group].Members {
 		if !f.Databases[n].state.Primary {
@@ -171,17 +173,18 @@
 	}
 }
 
-// SlowControls has each step of every control process take so long.
+// SlowControls has each step of every control process take a time, in microseconds.
 func (f *Fleet) SlowControls(us int64) {
 	for _, c := range f.Controls {
 		c.slowUs = us
 	}
 }
 
-// HasRedundancy says whether a group could bear the loss of a copy.
+// HasRedundancy says whether a group tolerates the loss of a database.
 func (f *Fleet) HasRedundancy(group string) bool { return f.groupHasRedundancy(group) }
 
-// ElectedPrimary is the primary that a takeover has agreed on and not yet seen.
+// ElectedPrimary is the database that a failover has elected and that is not promoted yet;
+// empty if there is none.
 func (f *Fleet) ElectedPrimary(group string) string {
 	for _, c := range f.Controls {
 		if st := control.GroupState(c.core.Committed(control.GroupKeyPrefix + f.owner[group] + "/" + group)); st.Phase == schema.Phase_PROMOTING {
@@ -191,23 +194,23 @@
 	return ""
 }
 
-// SetAppliesNothing has a copy apply nothing, or again.
+// SetAppliesNothing has a database apply nothing, or ends that.
 func (f *Fleet) SetAppliesNothing(n string, still bool) { f.Databases[n].appliesNothing = still }
 
-// LoseResponses has so many runs be run and never returned.
+// LoseResponses has the next n runs be executed and their responses lost.
 func (d *Database) LoseResponses(n int) { d.lostResponses = n }
 
-// SetReceivesNothing has one copy receive nothing, or again.
+// SetReceivesNothing has one database receive nothing, or ends that.
 func (d *Database) SetReceivesNothing(deaf bool) { d.receivesNothing = deaf }
 
-// DrainPrimary has the primary of a group announce that it leaves.
+// DrainPrimary has the primary of a group announce that it drains.
 func (f *Fleet) DrainPrimary(group string) {
 	if p := f.Primary(group); p != nil {
 		p.state.Draining = true
 	}
 }
 
-// DropConnectionLeases has no permit reach any node from now on: a plant.
+// DropConnectionLeases has no connection lease reach any node from now on, as a mutation.
 func (f *Fleet) DropConnectionLeases() {
 	take := f.Network.Receive
 	f.Network.Receive = func(to string, e *schema.Envelope) {
@@ -217,7 +220,7 @@
 	}
 }
 
-// CrashZone ends everything that stands in a zone.
+// CrashZone ends every process and database in a zone.
 func (f *Fleet) CrashZone(zone string) {
 	for i, c := range f.Controls {
 		if c.boot.Zone == zone {
@@ -236,17 +239,17 @@
 	}
 }
 
-// SetLag has every replica apply a commit so much later.
+// SetLag has every replica apply a commit late by a time, in microseconds.
 func (f *Fleet) SetLag(us int64) {
 	for _, d := range f.Databases {
 		d.lagUs = us
 	}
 }
 
-// Address is where the database is reached.
+// Address is the address at which the database is called.
 func (d *Database) Address() string { return d.address }
 
-// Heal mends the network and brings every process back.
+// Heal ends all faults: it repairs the network and starts every process that is down.
 func (f *Fleet) Heal() {
 	f.Network.Repair()
 	f.Network.LossProbability, f.Network.DuplicateProbability, f.MaxPlatformUs, f.PlatformFailureProbability = 0, 0, defaultMaxPlatformUs, 0
@@ -279,7 +282,7 @@
 	}
 }
 
-// SetSlow has each run of a database take so much longer.
+// SetSlow has each run of a database take longer by a time, in microseconds.
 func (f *Fleet) SetSlow(n string, us int64) { f.Databases[n].extraServiceUs = us }
 
 // DatabasePlacements are the databases, as the language names them.
--- a/emulator/simulation/day_end.go
+++ b/emulator/simulation/finish.go
@@ -9,8 +9,9 @@
 	"stoneford/result"
 )
 
-// Finish halts the callers, mends everything, lets the fleet settle and holds
-// what callers were told against what the groups hold.
+// Finish halts the callers, ends all faults, waits until the fleet is at rest, and checks
+// what callers and operators were sent against what the databases and the configurations
+// hold.
 func (f *Fleet) Finish() checker.Verdict {
 	f.Halt()
 	f.Heal()
@@ -19,33 +20,46 @@
 	for _, g := range f.Plan.Groups {
 		p := f.Primary(g)
 		if p == nil {
-			f.Violation("%s has no primary 20 s after everything was mended", g)
+			f.Violation("%s has no primary 20 s after everything was repaired", g)
 			continue
 		}
 		logs[f.owner[g]+"/"+f.route(g)] = p.state.Log(0)
 	}
 	f.ReadBack()
+	f.checkConfigurationsInForce()
+	return f.Oracle.Check(logs)
+}
+
+// checkConfigurationsInForce checks that every node that runs for a while works by the
+// newest accepted configurations.
+func (f *Fleet) checkConfigurationsInForce() {
 	for _, p := range f.Partners() {
+		accepted := f.Oracle.accepted[p].Revision
 		for _, n := range f.Nodes {
-			if r := n.core.AppliedRevisions()[control.ConfigurationKeyPrefix+p]; n.up && f.Now-int64(n.run) > maxConfigurationUs && r < f.Oracle.accepted[p].Revision {
-				f.Violation("%s works by revision %d of %s, and %d was accepted long ago", n.boot.Name, r, p, f.Oracle.accepted[p].Revision)
+			if r := n.core.AppliedRevisions()[control.ConfigurationKeyPrefix+p]; n.up && f.Now-int64(n.run) > maxConfigurationUs && r < accepted {
+				f.Violation("%s works by revision %d of %s, and %d was accepted long ago", n.boot.Name, r, p, accepted)
 			}
 		}
 	}
-	return f.Oracle.Check(logs)
 }
 
-// waitUntilStable lets the mended fleet come to rest, for 20 s at the most: every caller
-// has its return, every group a primary with two level replicas, every node the
-// newest configurations.
+// Limits of the wait at the end of a run, in microseconds.
+const (
+	minRestUs = 3_000_000
+	maxRestUs = 20_000_000
+)
+
+// waitUntilStable lets the repaired fleet come to rest, for maxRestUs at most.
 func (f *Fleet) waitUntilStable() {
-	end := f.Now + 20_000_000
-	f.Run(f.Now + 3_000_000)
+	end := f.Now + maxRestUs
+	f.Run(f.Now + minRestUs)
 	for f.Now < end && !f.isAtRest() {
 		f.Run(f.Now + 500_000)
 	}
 }
 
+// isAtRest says whether every caller has its reply, every group a primary with two
+// replicas that are up to date, and every node the newest configurations.
 func (f *Fleet) isAtRest() bool {
 	for _, g := range f.Plan.Groups {
 		if !f.groupHasRedundancy(g) {
--- a/emulator/simulation/process.go
+++ b/emulator/simulation/process.go
@@ -8,103 +8,106 @@
 	up          bool
 	frozen      bool
 	generation  int
-	pending     []func() // what came while it was frozen
-	slowUs      int64    // a slow machine: each step takes so long
-	freeAtUs    int64    // when the step under way ends
-	queue       []func() // what came meanwhile
+	pending     []func() // events that arrived while it was frozen
+	slowUs      int64    // mean time that each step takes on a slow machine, 0 on a usual one
+	freeAtUs    int64    // when the step under way is done
+	queue       []func() // events that wait for that
 	scheduled   bool
-	lastFaultUs int64 // when it was last not plain
+	lastFaultUs int64 // when it was last not healthy
 }
 
-func (l *processState) begin() {
-	l.generation++
-	l.up, l.frozen, l.pending, l.slowUs, l.freeAtUs, l.queue, l.scheduled = true, false, nil, 0, 0, nil, false
+// begin starts a run of the process.
+func (p *processState) begin() {
+	p.generation++
+	p.up, p.frozen, p.pending, p.slowUs, p.freeAtUs, p.queue, p.scheduled = true, false, nil, 0, 0, nil, false
 }
 
-func (l *processState) resume(f *Fleet) {
-	l.frozen = false
-	hs := l.pending
-	l.pending = nil
+// resume lets a frozen process go on, with all that arrived meanwhile.
+func (p *processState) resume(f *Fleet) {
+	p.frozen = false
+	hs := p.pending
+	p.pending = nil
 	for _, h := range hs {
 		f.After(0, h)
 	}
 }
 
-// enter has a process do something: at once, or in one batch with all that
-// came while a slow machine was at its last step.
-func (f *Fleet) enter(l *processState, gen int, do func()) {
+// enter has a process handle an event: at once, or in one batch with all others that
+// arrived while a slow machine was busy with its last step.
+func (f *Fleet) enter(p *processState, gen int, do func()) {
 	switch {
-	case !l.up || l.generation != gen:
-	case l.frozen:
-		l.pending = append(l.pending, func() { f.enter(l, gen, do) })
-	case l.slowUs == 0 && f.Now >= l.freeAtUs && len(l.queue) == 0:
+	case !p.up || p.generation != gen:
+	case p.frozen:
+		p.pending = append(p.pending, func() { f.enter(p, gen, do) })
+	case p.slowUs == 0 && f.Now >= p.freeAtUs && len(p.queue) == 0:
 		do()
 	default:
-		l.queue = append(l.queue, do)
-		f.schedule(l)
+		p.queue = append(p.queue, do)
+		f.schedule(p)
 	}
 }
 
-func (f *Fleet) schedule(l *processState) {
-	if l.scheduled {
+// schedule runs the queued events once the process is free.
+func (f *Fleet) schedule(p *processState) {
+	if p.scheduled {
 		return
 	}
-	l.scheduled = true
-	at := max(l.freeAtUs, f.Now)
-	if l.slowUs > 0 {
-		at += f.Between(l.slowUs/2, l.slowUs*3/2)
+	p.scheduled = true
+	at := max(p.freeAtUs, f.Now)
+	if p.slowUs > 0 {
+		at += f.Between(p.slowUs/2, p.slowUs*3/2)
 	}
-	gen := l.generation
+	gen := p.generation
 	var run func()
 	run = func() {
 		switch {
-		case !l.up || l.generation != gen:
+		case !p.up || p.generation != gen:
 			return
-		case l.frozen:
-			l.pending = append(l.pending, run)
+		case p.frozen:
+			p.pending = append(p.pending, run)
 			return
 		}
-		l.scheduled = false
-		ds := l.queue
-		l.queue = nil
+		p.scheduled = false
+		ds := p.queue
+		p.queue = nil
 		for i, d := range ds {
 			d()
-			if f.Now < l.freeAtUs { // it syncs
-				l.queue = append(append([]func(){}, ds[i+1:]...), l.queue...)
+			if f.Now < p.freeAtUs { // it syncs its disk
+				p.queue = append(append([]func(){}, ds[i+1:]...), p.queue...)
 				break
 			}
 		}
-		if len(l.queue) > 0 {
-			f.schedule(l)
+		if len(p.queue) > 0 {
+			f.schedule(p)
 		}
 	}
 	f.After(at-f.Now, run)
 }
 
-// ticks has a process step now and then for as long as this run of it lives;
-// one that is behind steps anyway.
-func (f *Fleet) ticks(l *processState, every int64, do func()) {
-	gen := l.generation
+// ticks has a process step at an interval for as long as this run of it goes on; one that
+// has events queued steps anyway.
+func (f *Fleet) ticks(p *processState, every int64, do func()) {
+	gen := p.generation
 	var tick func()
 	tick = func() {
-		if !l.up || l.generation != gen {
+		if !p.up || p.generation != gen {
 			return
 		}
-		if !l.frozen && len(l.queue) == 0 {
-			f.enter(l, gen, do)
+		if !p.frozen && len(p.queue) == 0 {
+			f.enter(p, gen, do)
 		}
 		f.After(every, tick)
 	}
 	f.After(f.Between(0, every), tick)
 }
 
-// healthy says that nothing ails a process now.
-func (f *Fleet) healthy(l *processState, b *schema.Boot) bool {
-	return l.up && !l.frozen && l.slowUs == 0 && l.freeAtUs <= f.Now && !f.Network.Faulty(b.Listen)
+// healthy says that a process has no fault now.
+func (f *Fleet) healthy(p *processState, b *schema.Boot) bool {
+	return p.up && !p.frozen && p.slowUs == 0 && p.freeAtUs <= f.Now && !f.Network.Faulty(b.Listen)
 }
 
-// watchFaults notes when each process was last not plain: promises of time
-// hold for those that were.
+// watchFaults notes when each process last had a fault: rules that are bounded by a time
+// hold for those that had none.
 func (f *Fleet) watchFaults() {
 	n := 0
 	for _, c := range f.Controls {
