--- a/paxos/cluster_test.go
+++ b/paxos/cluster_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"stoneford/emulator/simulation"
+	"stoneford/emulator/virtualtime"
 	"stoneford/paxos"
 	"stoneford/schema"
 )
@@ -25,7 +26,7 @@
 // partitions, and losses and duplicates of messages.
 type cluster struct {
 	history
-	scheduler   *simulation.Scheduler
+	scheduler   *virtualtime.Scheduler
 	network     *simulation.Network
 	mutation    clusterMutation
 	pace        int64 // how many times as often changes and faults come
@@ -39,7 +40,7 @@
 func newCluster(seed uint64, mutation clusterMutation, pace int64) *cluster {
 	c := &cluster{
 		history:     newHistory("x", "y"),
-		scheduler:   simulation.NewScheduler(seed),
+		scheduler:   virtualtime.NewScheduler(seed, virtualtime.DefaultStream),
 		mutation:    mutation,
 		pace:        pace,
 		addresses:   []string{"a", "b", "c"},
@@ -49,7 +50,7 @@
 	}
 	c.network = simulation.NewNetwork(c.scheduler)
 	c.network.Receive = c.receive
-	c.network.LossShare, c.network.DuplicateShare = 0.05, 0.05
+	c.network.LossProbability, c.network.DuplicateProbability = 0.05, 0.05
 	c.network.MaxDelayUs = 30_000
 	for _, a := range c.addresses {
 		p := &process{address: a, targetVoters: len(c.addresses), ownVoterOnly: mutation == ackBeforeMajority}
