--- /dev/null
+++ b/failover/fenced/analysis_test.go
@@ -0,0 +1,236 @@
+package fenced
+
+import (
+	"testing"
+
+	"stoneford/internal/ports"
+	"stoneford/schema"
+)
+
+// TestEveryAnalysisHasARecovery: recoveries has a function for each code.
+func TestEveryAnalysisHasARecovery(t *testing.T) {
+	for code, recovery := range recoveries {
+		if recovery == nil {
+			t.Errorf("analysis %d has no recovery", code)
+		}
+	}
+}
+
+// analysisTest is a group of a primary a and two replicas, all healthy and caught
+// up, in some phase.
+type analysisTest struct {
+	group *Group
+	input Input
+	now   int64
+}
+
+func newAnalysisTest(phase ports.Phase) *analysisTest {
+	x := &analysisTest{group: New(), now: 20_000_000}
+	x.input = Input{
+		Group: "g", RequiredReplicaAcks: 1, Revision: 7, UpToDate: true, Role: confirmedRole(),
+		State:   &schema.Leadership{Term: 1, Primary: "a", PreviousPrimary: "a", Address: "a", Phase: uint32(phase)},
+		Members: []string{"a", "b", "c"}, InventoryComplete: true,
+		LastAnnounced: map[string]int64{}, HealthReports: map[string]HealthReport{}, ReportingNodes: 3, AllNotified: true, NoOlderRevisionInUse: true,
+	}
+	for _, id := range x.input.Members {
+		x.input.Instances = append(x.input.Instances, ports.Instance{ID: id, Group: "g", Address: id, Zone: "zone-" + id, Primary: id == "a"})
+		x.input.LastAnnounced[id] = x.now
+		x.group.databases[id] = &observation{known: true, observedAt: x.now - 10_000, status: ports.DatabaseStatus{Primary: id == "a", Term: 1, Received: pos(10)}}
+	}
+	x.group.change = changeProgress{revision: 7, since: x.now - 100_000, startedAt: x.now - 200_000}
+	x.group.lease.mayCommand = true
+	if phase == ports.PhaseFreezing || phase == ports.PhasePromoting {
+		x.freeze("b", "c")
+	}
+	if phase == ports.PhasePromoting {
+		x.input.State.Primary, x.input.State.PromotionRequested = "b", true
+	}
+	return x
+}
+
+func (x *analysisTest) freeze(ids ...string) {
+	for _, id := range ids {
+		database := x.group.databases[id]
+		database.status.FrozenTerm, database.frozenTerm, database.frozenAt = 2, 2, database.observedAt
+	}
+}
+
+// fail has all calls to a database fail for a time.
+func (x *analysisTest) fail(id string, us int64) { x.group.databases[id].failingSince = x.now - us }
+
+// remove has databases not be announced any more.
+func (x *analysisTest) remove(ids ...string) {
+	for _, id := range ids {
+		for i := range x.input.Instances {
+			if x.input.Instances[i].ID == id {
+				x.input.Instances = append(x.input.Instances[:i], x.input.Instances[i+1:]...)
+				break
+			}
+		}
+	}
+}
+
+// promote has a database be the primary of a term.
+func (x *analysisTest) promote(id string, term uint64) {
+	for i := range x.input.Instances {
+		if x.input.Instances[i].ID == id {
+			x.input.Instances[i].Primary = true
+		}
+	}
+	database := x.group.databases[id]
+	database.status.Primary, database.status.Term = true, term
+}
+
+// move has the routing table name the site of a database.
+func (x *analysisTest) move(id string) {
+	x.input.Move = SiteMove{InSite: func(zone string) bool { return zone == "zone-"+id }, Site: "zone-" + id, TableRevision: 5, Committed: true}
+}
+
+// moving has the change in progress be that move.
+func (x *analysisTest) moving(id string) {
+	x.move(id)
+	x.input.State.TableRevision = 5
+}
+
+// TestAnalyze: what each code takes; every code has a case.
+func TestAnalyze(t *testing.T) {
+	seen := map[AnalysisCode]bool{}
+	for _, c := range []struct {
+		name  string
+		phase ports.Phase
+		given func(x *analysisTest)
+		want  AnalysisCode
+	}{
+		{"no state", ports.PhaseServing, func(x *analysisTest) { x.input.Revision = 0 }, NotInitialized},
+
+		{"healthy", ports.PhaseServing, func(*analysisTest) {}, Serving},
+		{"reported by a minority, and answers", ports.PhaseServing, func(x *analysisTest) {
+			x.input.HealthReports["a"] = HealthReport{UnreachableFrom: 1, LongestFailingUs: 900_000}
+		}, Serving},
+		{"does not answer, and no node reports it", ports.PhaseServing, func(x *analysisTest) { x.fail("a", 900_000) }, Serving},
+		{"does not answer, and nodes report it", ports.PhaseServing, func(x *analysisTest) {
+			x.fail("a", 450_000)
+			x.input.HealthReports["a"] = HealthReport{UnreachableFrom: 2}
+		}, PrimaryFailed},
+		{"does not answer for too short a time", ports.PhaseServing, func(x *analysisTest) {
+			x.fail("a", 449_999)
+			x.input.HealthReports["a"] = HealthReport{UnreachableFrom: 3}
+		}, Serving},
+		{"announcements overdue, and does not answer", ports.PhaseServing, func(x *analysisTest) {
+			x.fail("a", 450_000)
+			x.input.LastAnnounced["a"] = x.now - 4_000_001
+		}, PrimaryFailed},
+		{"nothing listens at the address", ports.PhaseServing, func(x *analysisTest) {
+			x.fail("a", 10_000)
+			x.group.databases["a"].absentSince, x.group.databases["a"].failures = x.now-10_000, 2
+			x.input.HealthReports["a"] = HealthReport{UnreachableFrom: 1}
+		}, PrimaryFailed},
+		{"gone", ports.PhaseServing, func(x *analysisTest) {
+			x.remove("a")
+			x.group.change.since = x.now - 300_000
+		}, PrimaryDeparted},
+		{"gone for too short a time", ports.PhaseServing, func(x *analysisTest) { x.remove("a") }, PrimaryMayReturn},
+		{"not announced here yet", ports.PhaseServing, func(x *analysisTest) {
+			x.remove("a")
+			x.input.InventoryComplete = false
+		}, Serving},
+		{"another is the primary of a later term", ports.PhaseServing, func(x *analysisTest) { x.promote("c", 2) }, PrimaryReturned},
+		{"another is the primary of this term", ports.PhaseServing, func(x *analysisTest) { x.promote("c", 1) }, Serving},
+		{"another is the primary of this term in its place", ports.PhaseServing, func(x *analysisTest) {
+			x.remove("a")
+			x.promote("c", 1)
+		}, PrimaryReturned},
+		{"drains", ports.PhaseServing, func(x *analysisTest) { x.input.Instances[0].Draining = true }, PrimaryDraining},
+		{"to be moved", ports.PhaseServing, func(x *analysisTest) { x.move("b") }, SiteMoveCommitted},
+		{"moved already", ports.PhaseServing, func(x *analysisTest) { x.moving("a") }, Serving},
+
+		{"statements in flight", ports.PhaseDraining, func(*analysisTest) {}, DrainPending},
+		{"idle", ports.PhaseDraining, func(x *analysisTest) { x.input.Idle = true }, PrimaryDrained},
+		{"statements in flight for too long", ports.PhaseDraining, func(x *analysisTest) { x.group.change.since = x.now - 250_000 }, PrimaryDrained},
+		{"idle, and the site's replica has caught up", ports.PhaseDraining, func(x *analysisTest) {
+			x.moving("b")
+			x.input.Idle = true
+		}, PrimaryDrained},
+		{"idle, and the site's replica lags", ports.PhaseDraining, func(x *analysisTest) {
+			x.moving("b")
+			x.input.Idle = true
+			x.group.databases["a"].status.Received = pos(11)
+		}, DrainPending},
+		{"idle, and the site's replica lags for too long", ports.PhaseDraining, func(x *analysisTest) {
+			x.moving("b")
+			x.input.Idle = true
+			x.group.databases["a"].status.Received = pos(11)
+			x.group.change.since = x.now - 1_000_000
+		}, SiteMoveStalled},
+		{"primary lost during a move", ports.PhaseDraining, func(x *analysisTest) {
+			x.moving("b")
+			x.fail("a", 450_000)
+		}, PrimaryLostDuringMove},
+
+		{"all replicas frozen", ports.PhaseFreezing, func(x *analysisTest) { x.fail("a", 900_000) }, TargetFound},
+		{"the old primary answers", ports.PhaseFreezing, func(*analysisTest) {}, OldPrimaryReturned},
+		{"the old primary answers after the platform was called", ports.PhaseFreezing, func(x *analysisTest) { x.input.State.PromotionRequested = true }, TargetFound},
+		{"a replica was promoted late", ports.PhaseFreezing, func(x *analysisTest) {
+			x.fail("a", 900_000)
+			x.promote("c", 2)
+		}, PromotionTookEffect},
+		{"a replica is not frozen", ports.PhaseFreezing, func(x *analysisTest) {
+			x.fail("a", 900_000)
+			x.group.databases["c"].frozenTerm = 0
+		}, FreezeIncomplete},
+		{"a replica does not answer, and the other has all", ports.PhaseFreezing, func(x *analysisTest) {
+			x.fail("a", 900_000)
+			x.fail("c", 450_000)
+			x.input.Acknowledged = pos(10)
+		}, TargetFound},
+		{"a replica does not answer, and the other lacks a commit", ports.PhaseFreezing, func(x *analysisTest) {
+			x.fail("a", 900_000)
+			x.fail("c", 450_000)
+			x.input.Acknowledged = pos(11)
+		}, FreezeIncomplete},
+		{"a node may use the old primary", ports.PhaseFreezing, func(x *analysisTest) {
+			x.fail("a", 900_000)
+			x.input.NoOlderRevisionInUse = false
+		}, FreezeIncomplete},
+		{"another is ahead of the site's replica", ports.PhaseFreezing, func(x *analysisTest) {
+			x.moving("b")
+			x.group.databases["c"].status.Received = pos(11)
+		}, SiteReplicaBehind},
+
+		{"the platform was not called yet", ports.PhasePromoting, func(*analysisTest) {}, PromotionDue},
+		{"the platform was called", ports.PhasePromoting, func(x *analysisTest) { x.group.promotion.requestedAt = x.now - 1_499_999 }, PromotionPending},
+		{"the platform was called long ago", ports.PhasePromoting, func(x *analysisTest) { x.group.promotion.requestedAt = x.now - 1_500_000 }, PromotionDue},
+		{"the platform rejected the call", ports.PhasePromoting, func(x *analysisTest) {
+			x.group.promotion = promotionProgress{requestedAt: x.now - 250_000, rejected: true}
+		}, PromotionDue},
+		{"the target is the primary", ports.PhasePromoting, func(x *analysisTest) { x.promote("b", 2) }, TargetPromoted},
+		{"the target is the primary, and a node may use the old one", ports.PhasePromoting, func(x *analysisTest) {
+			x.promote("b", 2)
+			x.input.NoOlderRevisionInUse = false
+		}, OlderRevisionInUse},
+		{"the target is gone", ports.PhasePromoting, func(x *analysisTest) { x.remove("b") }, TargetUnusable},
+		{"nothing listens at the target's address", ports.PhasePromoting, func(x *analysisTest) {
+			x.group.databases["b"].absentSince = x.now - 900_001
+		}, TargetUnusable},
+		{"another is ahead by now", ports.PhasePromoting, func(x *analysisTest) { x.group.databases["c"].status.Received = pos(11) }, TargetUnusable},
+		{"the target is not frozen", ports.PhasePromoting, func(x *analysisTest) { x.group.databases["b"].frozenTerm = 0 }, FreezeIncomplete},
+		{"the target cannot be frozen", ports.PhasePromoting, func(x *analysisTest) {
+			x.group.databases["b"].frozenTerm = 0
+			x.group.change.since = x.now - 900_001
+		}, TargetUnusable},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			x := newAnalysisTest(c.phase)
+			c.given(x)
+			seen[c.want] = true
+			if a := x.group.analyze(x.now, x.input); a.Code != c.want {
+				t.Errorf("analysis %d, not %d: %+v", a.Code, c.want, a)
+			}
+		})
+	}
+	for code := range analysisCodes {
+		if !seen[code] {
+			t.Errorf("no case for analysis %d", code)
+		}
+	}
+}
--- a/failover/fenced/rules_test.go
+++ b/failover/fenced/group_test.go
@@ -23,7 +23,8 @@
 	promotions   []Promote
 }
 
-// confirmedRole is the duty of a holder that meets a majority all the time.
+// confirmedRole is the role of an owner that is in contact with a majority all the
+// time.
 func confirmedRole() RoleState {
 	return RoleState{Self: "control-1", Run: 1, Eligible: true, Successor: true, Lease: Lease{ConfirmedAt: 1 << 60, Until: 1 << 61}}
 }
@@ -256,7 +257,7 @@
 	}
 }
 
-// TestPromotionRetry: a call that was bounced is made again soon, one whose answer was
+// TestPromotionRetry: a call that was rejected is made again soon, one whose response was
 // lost after a while; one whose database is not running leads to another choice.
 func TestPromotionRetry(t *testing.T) {
 	w := newTestGroup(t)
@@ -266,7 +267,7 @@
 	w.group.HandlePromotionResult(w.now, false, false)
 	w.advance(400_000)
 	if len(w.promotions) != 2 {
-		t.Fatalf("bounced once, asked %d times", len(w.promotions))
+		t.Fatalf("rejected once, called %d times", len(w.promotions))
 	}
 	w.advance(1_000_000)
 	if len(w.promotions) != 2 {
--- /dev/null
+++ b/failover/fenced/model_databases_test.go
@@ -0,0 +1,190 @@
+package fenced
+
+import (
+	"slices"
+
+	"stoneford/internal/ports"
+)
+
+// modelDatabase is one database.
+type modelDatabase struct {
+	id           string
+	up           bool
+	unresponsive bool
+	primary      bool
+	term         uint64
+	log          []modelCommit
+	frozenTerm   uint64
+	draining     bool
+}
+
+// modelCommit is one commit in a log.
+type modelCommit struct {
+	term uint64
+	id   int
+}
+
+func (m *model) database(id string) *modelDatabase {
+	return m.databases[slices.IndexFunc(m.databases, func(d *modelDatabase) bool { return d.id == id })]
+}
+
+// modelCall is a call of a process to a database or the platform that ends once.
+type modelCall struct {
+	process *modelProcess
+	run     uint64
+	ended   bool
+}
+
+// end has the process take the result, unless it restarted or took one already.
+func (c *modelCall) end(take func()) {
+	if !c.ended {
+		c.ended = true
+		take()
+	}
+}
+
+// returnFrom brings the result from the other side.
+func (c *modelCall) returnFrom(from string, take func()) {
+	p := c.process
+	p.model.carry(from, p.name, func() {
+		if p.run == c.run {
+			p.enter(func() { c.end(take) })
+		}
+	})
+}
+
+// call sends a request to a database; wait is its time limit by the process's clock.
+func (p *modelProcess) call(e DatabaseCall, wait int64) {
+	m, d := p.model, p.model.database(e.Instance.ID)
+	call := &modelCall{process: p, run: p.run}
+	reply := func(r DatabaseReply) func() {
+		r.ID = e.ID
+		return func() { p.group.HandleDatabaseReply(p.now(), r) }
+	}
+	p.later(int64(float64(wait)/p.rate), func() { call.end(reply(DatabaseReply{Err: "no answer in time"})) })
+	m.carry(p.name, d.id, func() {
+		switch {
+		case d.unresponsive:
+		case !d.up:
+			call.returnFrom(d.id, reply(DatabaseReply{Err: "refused", Absent: true}))
+		case !d.run(e):
+			call.returnFrom(d.id, reply(DatabaseReply{Err: "the database rejected it"}))
+		default:
+			call.returnFrom(d.id, reply(DatabaseReply{Status: d.status()}))
+		}
+	})
+}
+
+// run carries a request out and says whether the database accepted it.
+func (d *modelDatabase) run(e DatabaseCall) (accepted bool) {
+	switch e.Kind {
+	case ports.FreezeReplication:
+		if d.primary || e.Term <= d.term {
+			return false
+		}
+		d.frozenTerm = max(d.frozenTerm, e.Term)
+	case ports.ResumeReplication:
+		d.frozenTerm = 0
+	case ports.StepDown:
+		if d.term < e.Term {
+			d.primary = false
+		}
+	}
+	return true
+}
+
+func (d *modelDatabase) status() ports.DatabaseStatus {
+	return ports.DatabaseStatus{Primary: d.primary, Term: d.term, Received: d.position(), FrozenTerm: d.frozenTerm}
+}
+
+// serves says whether the database can acknowledge commits.
+func (d *modelDatabase) serves() bool { return d.up && !d.unresponsive && d.primary }
+
+func (d *modelDatabase) position() ports.Position {
+	if len(d.log) == 0 {
+		return ports.Position{Term: 1}
+	}
+	return ports.Position{Term: d.log[len(d.log)-1].term, Number: int64(len(d.log))}
+}
+
+// promote calls the platform. A call that has not arrived when its time is over is
+// withdrawn by its process, if that runs.
+func (p *modelProcess) promote(e Promote, wait int64) {
+	m, until := p.model, p.model.Now+int64(float64(wait)/p.rate)
+	call := &modelCall{process: p, run: p.run}
+	result := func(accepted bool) func() {
+		return func() { p.group.HandlePromotionResult(p.now(), accepted, false) }
+	}
+	p.later(int64(float64(wait)/p.rate), func() { call.end(result(false)) })
+	m.carry(p.name, "platform", func() {
+		if m.Now > until && m.mutation != expiredEffectsSent {
+			return
+		}
+		m.checkPlatformCall(p, e)
+		d := m.database(e.ID)
+		lost := m.Chance(m.lossProbability)
+		m.After(m.slowUs, func() {
+			if !lost {
+				call.returnFrom("platform", func() { result(d.up)() })
+			}
+			if d.up && !d.primary {
+				m.After(m.Between(200_000, 700_000), func() { m.becomePrimary(d) })
+			}
+		})
+	})
+}
+
+// checkPlatformCall checks that calls come from one owner for each fencing token, and
+// that tokens do not fall.
+func (m *model) checkPlatformCall(p *modelProcess, e Promote) {
+	m.calls++
+	m.logf("%s calls the platform for %s, token %d", p.name, e.ID, e.FencingToken)
+	m.checkTokenOwner(p, e.FencingToken)
+	if e.Owner != p.name {
+		m.violationf("%s calls as %s", p.name, e.Owner)
+	}
+	if e.FencingToken < m.highestPlatformToken {
+		m.violationf("%s calls with token %d after %d was seen", p.name, e.FencingToken, m.highestPlatformToken)
+	}
+	m.highestPlatformToken = max(m.highestPlatformToken, e.FencingToken)
+}
+
+// becomePrimary is what the platform does some time after a call.
+func (m *model) becomePrimary(d *modelDatabase) {
+	if !d.up || d.primary {
+		return
+	}
+	term := uint64(0)
+	for _, o := range m.databases {
+		term = max(term, o.term)
+		if m.promotionResumesReplicas && o != d {
+			o.frozenTerm = 0
+		}
+	}
+	d.primary, d.term, d.frozenTerm = true, term+1, 0
+	m.changes++
+	m.logf("%s is the primary of term %d at %v", d.id, d.term, d.position())
+	m.checkAcknowledged(d)
+}
+
+// checkAcknowledged checks that a database has every acknowledged commit.
+func (m *model) checkAcknowledged(d *modelDatabase) {
+	for _, c := range m.acknowledged {
+		if !slices.Contains(d.log, c) {
+			m.violationf("%s is the primary of term %d without commit %d, which was acknowledged", d.id, d.term, c.id)
+			return
+		}
+	}
+}
+
+// receive takes a primary's log and says whether the database has all of it.
+func (d *modelDatabase) receive(log []modelCommit, term uint64) bool {
+	if !d.up || d.unresponsive || d.primary || term < d.term || d.frozenTerm > 0 {
+		return false
+	}
+	if term == d.term && len(log) <= len(d.log) && slices.Equal(log, d.log[:len(log)]) {
+		return true
+	}
+	d.term, d.log = term, slices.Clone(log)
+	return true
+}
--- /dev/null
+++ b/failover/fenced/model_node_test.go
@@ -0,0 +1,127 @@
+package fenced
+
+import (
+	"slices"
+
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+)
+
+// modelStatus is what the pool node reports with a poll.
+type modelStatus struct {
+	revision     uint64
+	acknowledged ports.Position
+	failing      map[string]int64 // for how long it has not been able to use a database
+}
+
+// nodeTick has the pool node poll the voters.
+func (m *model) nodeTick() {
+	poll := &modelPoll{sentAt: m.Now, responders: map[int]bool{}}
+	status := modelStatus{revision: acceptedByMajority(m.nodeKnown), acknowledged: m.nodeAcknowledged, failing: map[string]int64{}}
+	for id, since := range m.nodeFails {
+		status.failing[id] = m.Now - since
+	}
+	for _, voter := range m.processes {
+		m.carry("node", voter.name, func() {
+			voter.enter(func() { m.answerNode(voter, poll, status) })
+		})
+	}
+	m.After(200_000, m.nodeTick)
+}
+
+func (m *model) answerNode(voter *modelProcess, poll *modelPoll, status modelStatus) {
+	voter.node, voter.nodeAt = status, voter.now()
+	accepted := voter.accepted
+	m.carry(voter.name, "node", func() {
+		m.nodeKnown[voter.index] = max(m.nodeKnown[voter.index], accepted)
+		if poll.confirmedBy(voter) && poll.sentAt > m.nodeLease.ConfirmedAt {
+			m.nodeLease = Lease{ConfirmedAt: poll.sentAt, Until: poll.sentAt + learner.LeaseDurationUs}
+		}
+	})
+}
+
+// servingPrimary is the primary whose commits the node may acknowledge now, or "".
+func (m *model) servingPrimary() string {
+	revision := acceptedByMajority(m.nodeKnown)
+	if revision == 0 || slices.Max(m.nodeKnown[:]) > revision || m.Now >= m.nodeLease.Until {
+		return ""
+	}
+	if state := m.state(revision); ports.Phase(state.Phase) == ports.PhaseServing {
+		return state.Primary
+	}
+	return ""
+}
+
+// clientTick writes to the primary that the node knows, now and then.
+func (m *model) clientTick() {
+	m.After(m.Between(20_000, 60_000), m.clientTick)
+	revision := acceptedByMajority(m.nodeKnown)
+	if revision == 0 || ports.Phase(m.state(revision).Phase) != ports.PhaseServing {
+		return
+	}
+	w := &modelWrite{model: m, primary: m.database(m.state(revision).Primary)}
+	m.After(350_000, w.timedOut)
+	m.carry("node", w.primary.id, w.commit)
+}
+
+// modelWrite is a client's write on its way.
+type modelWrite struct {
+	model    *model
+	primary  *modelDatabase
+	newest   modelCommit
+	log      []modelCommit // of the primary, with the commit
+	received bool          // by a replica
+	answered bool
+}
+
+func (w *modelWrite) timedOut() {
+	if m := w.model; !w.answered && m.nodeFails[w.primary.id] == 0 {
+		m.nodeFails[w.primary.id] = m.Now - 350_000
+	}
+}
+
+// commit has the primary commit the write and send its log to its replicas.
+func (w *modelWrite) commit() {
+	m, primary := w.model, w.primary
+	if !primary.serves() {
+		return
+	}
+	m.commits++
+	w.newest = modelCommit{primary.term, m.commits}
+	primary.log = append(primary.log, w.newest)
+	w.log = slices.Clone(primary.log)
+	for _, replica := range m.databases {
+		if replica == primary {
+			continue
+		}
+		m.carry(primary.id, replica.id, func() {
+			if replica.receive(w.log, w.newest.term) {
+				m.carry(replica.id, primary.id, w.replicated)
+			}
+		})
+	}
+}
+
+// replicated has the primary answer, once a replica has the commit.
+func (w *modelWrite) replicated() {
+	if w.received || !w.primary.serves() || w.primary.term != w.newest.term {
+		return
+	}
+	w.received = true
+	w.model.carry(w.primary.id, "node", w.acknowledge)
+}
+
+// acknowledge has the node acknowledge the write if it may.
+func (w *modelWrite) acknowledge() {
+	m := w.model
+	w.answered = true
+	delete(m.nodeFails, w.primary.id)
+	if m.servingPrimary() != w.primary.id {
+		return
+	}
+	m.acknowledged, m.lastAck = append(m.acknowledged, w.newest), m.Now
+	position := ports.Position{Term: w.newest.term, Number: int64(len(w.log))}
+	if m.nodeAcknowledged.Before(position) {
+		m.nodeAcknowledged = position
+	}
+}
--- /dev/null
+++ b/failover/fenced/model_process_test.go
@@ -0,0 +1,281 @@
+package fenced
+
+import (
+	"fmt"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"stoneford/internal/ports"
+	"stoneford/schema"
+)
+
+// modelProcess is a control process with its voter.
+type modelProcess struct {
+	model      *model
+	index      int
+	name       string
+	run        uint64
+	group      *Group
+	up         bool
+	suspended  bool
+	suspendFor int64    // for so long once it has decided on a command or a call
+	inbox      []func() // what came while it was suspended
+	startedAt  int64
+	rate       float64
+	syncUs     int64
+
+	known      [modelProcesses]uint64 // newest revision that each voter is known to have accepted
+	lease      Lease
+	nextPollAt int64
+	heard      [modelProcesses]modelAnnouncement
+	node       modelStatus
+	nodeAt     int64
+	draining   bool
+
+	// Of its voter, on disk:
+	accepted   uint64
+	acceptedAt map[uint64]int64 // by the clock of this run
+}
+
+func (p *modelProcess) now() int64 {
+	return 1_000_000 + int64(float64(p.model.Now-p.startedAt)*p.rate)
+}
+
+// enter has the process take something in, in this run.
+func (p *modelProcess) enter(f func()) {
+	switch {
+	case !p.up:
+	case p.suspended:
+		p.inbox = append(p.inbox, f)
+	default:
+		f()
+	}
+}
+
+func (p *modelProcess) start() {
+	m := p.model
+	p.run += 1 + uint64(m.Random.IntN(5))*10 + uint64(p.index)*100_000
+	p.group, p.up, p.suspended, p.suspendFor, p.inbox, p.startedAt, p.rate = New(), true, false, 0, nil, m.Now, 1+(m.Random.Float64()-0.5)*0.09
+	p.known, p.lease, p.heard, p.nextPollAt, p.draining = [modelProcesses]uint64{}, Lease{}, [modelProcesses]modelAnnouncement{}, 0, false
+	p.acceptedAt = map[uint64]int64{}
+	for r := uint64(1); r <= p.accepted; r++ {
+		p.acceptedAt[r] = p.now()
+	}
+	p.known[p.index] = p.accepted
+	run := p.run
+	var tick func()
+	tick = func() {
+		if p.up && p.run == run {
+			p.enter(p.step)
+			m.After(tickEvery, tick)
+		}
+	}
+	m.After(m.Between(0, tickEvery), tick)
+}
+
+func (p *modelProcess) kill(backAfter int64) {
+	p.model.logf("%s is killed", p.name)
+	p.up = false
+	p.model.After(backAfter, func() {
+		if !p.up {
+			p.start()
+		}
+	})
+}
+
+func (p *modelProcess) suspend(us int64) {
+	p.model.logf("%s is suspended", p.name)
+	p.suspended = true
+	run := p.run
+	p.model.After(us, func() {
+		if p.run != run || !p.suspended {
+			return
+		}
+		p.suspended = false
+		p.model.logf("%s runs on", p.name)
+		fs := p.inbox
+		p.inbox = nil
+		for _, f := range fs {
+			p.model.After(p.model.Between(0, 2_000), func() {
+				if p.run == run {
+					p.enter(f)
+				}
+			})
+		}
+	})
+}
+
+// later has the process do something after a moment, in this run and not while it
+// is suspended.
+func (p *modelProcess) later(us int64, f func()) {
+	run := p.run
+	p.model.After(us, func() {
+		if p.run == run {
+			p.enter(f)
+		}
+	})
+}
+
+// step has the process's core decide, with what the process knows.
+func (p *modelProcess) step() {
+	m := p.model
+	p.poll()
+	now := p.now()
+	revision := acceptedByMajority(p.known)
+	input := Input{
+		Group: "g", RequiredReplicaAcks: 1,
+		State: proto.CloneOf(m.state(revision)), Revision: revision, UpToDate: slices.Max(p.known[:]) == revision,
+		Gone: map[string]bool{}, InventoryComplete: true, Members: m.members, MembersRevision: m.membersRevision,
+		LastAnnounced: map[string]int64{}, HealthReports: map[string]HealthReport{},
+	}
+	input.Role = p.role(now, input.State)
+	input.NoOlderRevisionInUse = p.cleared(input.State.FreezeRevision)
+	for _, d := range m.databases {
+		input.Instances = append(input.Instances, ports.Instance{ID: d.id, Group: "g", Address: d.id, Primary: d.primary, Draining: d.draining})
+		input.LastAnnounced[d.id] = now
+	}
+	p.addNodeStatus(now, &input)
+	if m.mutation == ownerNotChecked && input.Role.Successor && revision > 0 {
+		input.State.RoleOwner, input.State.RoleOwnerRun = p.name, p.run
+	}
+	if m.mutation == leaseNotAwaited {
+		p.group.lease.uncontestedToken = input.State.FencingToken
+	}
+	effects := p.group.Step(now, input)
+	if p.suspendFor > 0 && slices.ContainsFunc(effects, acting) {
+		p.suspend(p.suspendFor)
+		p.suspendFor = 0
+	}
+	for _, e := range effects {
+		p.later(m.Between(0, maxSendDelay), func() { p.do(e, input) })
+	}
+	m.checkSingleCommander()
+}
+
+// role is the process's standing in the group's role.
+func (p *modelProcess) role(now int64, state *schema.Leadership) RoleState {
+	m := p.model
+	role := RoleState{Self: p.name, Run: p.run, Lease: p.lease, Eligible: !p.draining, Successor: now-1_000_000 > 1_300_000}
+	for _, i := range m.processOrder {
+		if i == p.index {
+			break
+		}
+		role.Successor = role.Successor && !p.heard[i].able(now)
+	}
+	for i, o := range m.processes {
+		heard := p.heard[i]
+		if i != p.index && o.name == state.RoleOwner && heard.run == state.RoleOwnerRun && heard.able(now) {
+			role.OwnerPresent = true
+		}
+	}
+	return role
+}
+
+// cleared says whether a majority of the voters knows that no lease from before a
+// revision is left.
+func (p *modelProcess) cleared(revision uint64) bool {
+	voters := 0
+	for i := range p.model.processes {
+		cleared := p.heard[i].clearedRevision
+		if i == p.index {
+			cleared = p.clearedHere()
+		}
+		if revision > 0 && cleared >= revision {
+			voters++
+		}
+	}
+	return voters >= modelMajority
+}
+
+// addNodeStatus adds what the pool node reported lately.
+func (p *modelProcess) addNodeStatus(now int64, input *Input) {
+	if p.nodeAt == 0 || now-p.nodeAt >= 4_000_000 {
+		return
+	}
+	input.ReportingNodes = 1
+	input.AllNotified = p.node.revision >= input.State.FreezeRevision
+	input.Idle = p.node.revision >= input.Revision
+	input.Acknowledged = p.node.acknowledged
+	for id, us := range p.node.failing {
+		input.HealthReports[id] = HealthReport{UnreachableFrom: 1, LongestFailingUs: us}
+	}
+}
+
+// acting says that an effect commands a database or calls the platform.
+func acting(e Effect) bool {
+	a, ok := e.(DatabaseCall)
+	_, promote := e.(Promote)
+	return promote || ok && a.Kind != ports.Status
+}
+
+// checkSingleCommander checks that at most one process may command now.
+func (m *model) checkSingleCommander() {
+	var names []string
+	for _, p := range m.processes {
+		if p.up && p.group.lease.mayCommand && p.now() < p.group.lease.expiresAt {
+			names = append(names, p.name)
+		}
+	}
+	if len(names) > 1 {
+		m.violationf("%v may command at once", names)
+	}
+}
+
+func (p *modelProcess) do(e Effect, input Input) {
+	m := p.model
+	unchecked := m.mutation == expiredEffectsSent
+	switch e := e.(type) {
+	case ProposeState:
+		s := &schema.Leadership{}
+		if err := proto.Unmarshal(e.Data, s); err != nil {
+			panic(err)
+		}
+		if m.mutation == tokenNotIncremented && s.FencingToken > 1 {
+			s.FencingToken = 1
+		}
+		p.propose(e.BaseRevision, s)
+	case ProposeMembers:
+		if e.BaseRevision == m.membersRevision {
+			m.members, m.membersRevision = e.IDs, m.membersRevision+1
+		}
+		p.group.MembersProposalDone()
+	case LogEntry:
+		m.logf("%s: %s", p.name, e.Message)
+	case DatabaseCall:
+		left := e.TimeoutUs
+		if e.Kind != ports.Status {
+			if left = min(left, e.Until-p.now()); left <= 0 && !unchecked {
+				p.group.HandleDatabaseReply(p.now(), DatabaseReply{ID: e.ID, NotSent: true})
+				return
+			}
+			m.checkCommand(p, e, input)
+		}
+		p.call(e, max(left, 1_000))
+	case Promote:
+		left := min(1_500_000, e.Until-p.now())
+		if left <= 0 && !unchecked {
+			p.group.HandlePromotionResult(p.now(), false, false)
+			return
+		}
+		p.promote(e, max(left, 1_000))
+	}
+}
+
+// checkCommand holds a command against the rule.
+func (m *model) checkCommand(p *modelProcess, e DatabaseCall, input Input) {
+	m.commands++
+	m.checkTokenOwner(p, input.State.FencingToken)
+	if input.State.FencingToken < m.highestCommandToken {
+		m.violationf("%s commands %s with token %d after %d", p.name, e.Instance.ID, input.State.FencingToken, m.highestCommandToken)
+	}
+	m.highestCommandToken = max(m.highestCommandToken, input.State.FencingToken)
+}
+
+func (m *model) checkTokenOwner(p *modelProcess, token uint64) {
+	run := fmt.Sprint(p.name, " run ", p.run)
+	if o := m.tokenOwners[token]; o != "" && o != run {
+		m.violationf("two owners with token %d: %s and %s", token, o, run)
+	}
+	m.tokenOwners[token] = run
+}
--- a/failover/sealed/sealed_test.go
+++ b/failover/sealed/sealed_test.go
@@ -10,7 +10,7 @@
 	"stoneford/schema"
 )
 
-// testGroup is a decider with databases and a register that take what it asks for.
+// testGroup is a core with databases and a register that carry its effects out.
 type testGroup struct {
 	group      *Group
 	input      Input
@@ -30,40 +30,50 @@
 	return g
 }
 
-// run lets so much time pass.
+// run lets time pass in steps of 20 ms.
 func (g *testGroup) run(us int64) {
 	for end := g.now + us; g.now < end; g.now += 20_000 {
 		for _, e := range g.group.Step(g.now, g.input) {
-			switch e := e.(type) {
-			case DatabaseCall:
-				d := g.databases[e.Address]
-				if g.down[e.Address] {
-					g.group.HandleReply(e.ID, true, Status{})
-					continue
-				}
-				if e.SealEpoch > d.Epoch {
-					d.Epoch, d.Role, d.Following = e.SealEpoch, "sealed", ""
-				}
-				g.group.HandleReply(e.ID, false, *d)
-			case ProposeState:
-				if e.BaseRevision == g.input.Revision {
-					state := &schema.GroupState{}
-					if err := proto.Unmarshal(e.Data, state); err != nil {
-						panic(err)
-					}
-					g.input.State, g.input.Revision = state, g.input.Revision+1
-				}
-				g.group.ProposalDone()
-			case Reparent:
-				g.reparents = append(g.reparents, fmt.Sprintf("%s@%d", e.Target, e.Epoch))
-				g.promote(e)
-			case LogEntry:
-				g.logEntries = append(g.logEntries, fmt.Sprintf("%d %s", e.Code, e.Message))
-			}
+			g.do(e)
 		}
 	}
 }
 
+// do carries an effect out at once.
+func (g *testGroup) do(e Effect) {
+	switch e := e.(type) {
+	case DatabaseCall:
+		database := g.databases[e.Address]
+		if g.down[e.Address] {
+			g.group.HandleReply(e.ID, true, Status{})
+			return
+		}
+		if e.SealEpoch > database.Epoch {
+			database.Epoch, database.Role, database.Following = e.SealEpoch, "sealed", ""
+		}
+		g.group.HandleReply(e.ID, false, *database)
+	case ProposeState:
+		g.commit(e)
+		g.group.ProposalDone()
+	case Reparent:
+		g.reparents = append(g.reparents, fmt.Sprintf("%s@%d", e.Target, e.Epoch))
+		g.promote(e)
+	case LogEntry:
+		g.logEntries = append(g.logEntries, fmt.Sprintf("%d %s", e.Code, e.Message))
+	}
+}
+
+func (g *testGroup) commit(e ProposeState) {
+	if e.BaseRevision != g.input.Revision {
+		return
+	}
+	state := &schema.GroupState{}
+	if err := proto.Unmarshal(e.Data, state); err != nil {
+		panic(err)
+	}
+	g.input.State, g.input.Revision = state, g.input.Revision+1
+}
+
 func (g *testGroup) promote(e Reparent) {
 	t := g.databases[e.Target]
 	if g.down[e.Target] || t.Epoch > e.Epoch {
@@ -93,6 +103,8 @@
 	}
 }
 
+// TestNewestMemberIsChosen: the sealed member with the newest commit becomes the
+// primary, by the epoch first.
 func TestNewestMemberIsChosen(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
@@ -105,7 +117,7 @@
 	if got := strings.Join(g.reparents, " "); !strings.Contains(got, "b@2") || strings.Contains(got, "c@2") {
 		t.Errorf("the platform was asked for %s", got)
 	}
-	// The old primary is further by two that nobody acknowledged, in an older
+	// The old primary is ahead by two commits that were never acknowledged, in an older
 	// epoch: it is not preferred, and follows.
 	g.down["a"] = false
 	g.run(3_000_000)
@@ -116,8 +128,8 @@
 	}
 }
 
-// A copy on another disk counts for nothing until its identity is agreed: with
-// only that one and one more left, nobody is chosen.
+// TestNewDiskDoesNotCount: a database on another disk counts for nothing until its
+// identity is committed: with only that one and one more left, none is chosen.
 func TestNewDiskDoesNotCount(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
@@ -136,9 +148,9 @@
 	}
 }
 
-// Set aside: the copy counts no longer only once the other replica holds all the
-// primary held after it was sealed, in the same epoch; then one of the two others
-// is enough to go on from.
+// TestOneSealSufficesAfterSetAside: a member that is set aside counts no longer only
+// once the other replica has all that the primary had after it was sealed, in the same
+// epoch; then one of the two others suffices to go on from.
 func TestOneSealSufficesAfterSetAside(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
@@ -166,7 +178,8 @@
 	}
 }
 
-// Another copy is lost while one is set aside: the one follows again.
+// TestSetAsideMemberIsReadmitted: another member is lost while one is set aside, which
+// follows again.
 func TestSetAsideMemberIsReadmitted(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
--- a/internal/fleetstate/fleet_test.go
+++ b/internal/fleetstate/fleet_test.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// A range of two ports has none to tell the state at, and the process runs.
+// TestPortRangeTooShortForStatePort: a range of two ports has none for the state.
 func TestPortRangeTooShortForStatePort(t *testing.T) {
 	b := ports.ProcessConfig{IP: "10.0.0.1", PortFirst: 7440, PortLast: 7441}
 	if at, ok := b.StateAddress(b.PortFirst); ok {
--- a/internal/fleetstate/names_test.go
+++ b/internal/fleetstate/names_test.go
@@ -7,8 +7,7 @@
 	"stoneford/internal/ports"
 )
 
-// TestPositionNames: a position, which states tell and read, has the names that it
-// had.
+// TestPositionNames: a position, which states contain, keeps its JSON names.
 func TestPositionNames(t *testing.T) {
 	const text = `{"Term":3,"Number":-4}`
 	p := ports.Position{Term: 3, Number: -4}
--- a/internal/fleetstate/tables.go
+++ b/internal/fleetstate/tables.go
@@ -6,79 +6,11 @@
 	"maps"
 	"slices"
 	"strings"
-	"text/tabwriter"
-	"time"
 
 	"github.com/samber/lo"
-
-	"stoneford/internal/ports"
 )
 
-// tableWriter writes tables of text.
-type tableWriter struct{ *tabwriter.Writer }
-
-func newTableWriter(w io.Writer) tableWriter {
-	return tableWriter{tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)}
-}
-
-func (t tableWriter) row(cells ...any) {
-	for i, c := range cells {
-		if i > 0 {
-			fmt.Fprint(t, "\t")
-		}
-		if s := fmt.Sprint(c); s != "" {
-			fmt.Fprint(t, s)
-		} else {
-			fmt.Fprint(t, "-")
-		}
-	}
-	fmt.Fprintln(t)
-}
-
-// formatDuration is a time as people read it.
-func formatDuration(us int64) string {
-	if us < 0 {
-		return "never"
-	}
-	d := time.Duration(us) * time.Microsecond
-	switch {
-	case d < time.Second:
-		return d.Round(time.Millisecond).String()
-	case d < time.Minute:
-		return d.Round(100 * time.Millisecond).String()
-	}
-	return d.Round(time.Second).String()
-}
-
-func formatRemaining(us int64) string {
-	if us <= 0 {
-		return "run out"
-	}
-	return formatDuration(us)
-}
-
-func formatPosition(p ports.Position) string {
-	if !p.Known() {
-		return ""
-	}
-	return fmt.Sprintf("%d.%d", p.Term, p.Number)
-}
-
-func ifSet(b bool, text string) string { return lo.Ternary(b, text, "") }
-
-// shortName is the beginning of a change's name.
-func shortName(names []string) string {
-	if len(names) == 0 {
-		return ""
-	}
-	n := names[0]
-	if !strings.Contains(n, "#") && len(n) > 12 {
-		n = n[:12]
-	}
-	return n
-}
-
-// WriteStatus writes what each process asked is.
+// WriteStatus writes an overview of the processes, their voters and registers.
 func WriteStatus(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
 	t.row("PROCESS", "KIND", "ZONE", "NODE", "UP", "STANDING", "TABLE", "OPERATORS' REVISION", "LEASE LEFT")
@@ -114,7 +46,7 @@
 	}
 }
 
-// WriteVoters writes who votes, as each process asked knows it, and who asks to.
+// WriteVoters writes the voters and the candidates as each process knows them.
 func WriteVoters(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
 	for _, r := range results {
@@ -157,8 +89,8 @@
 	t.row("  (resets)", p.Resets)
 }
 
-// WriteDatabases writes the databases known to a control process, then how each
-// pool node asked uses them.
+// WriteDatabases writes the databases that a control process knows, then how each
+// pool node uses them.
 func WriteDatabases(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
 	if s, err := FirstControl(results); err == nil {
@@ -185,8 +117,8 @@
 	return t.Flush()
 }
 
-// WriteLeaders writes the groups' leaderships as a control process knows them,
-// then as each pool node asked works by them.
+// WriteLeaders writes the groups' leaderships as a control process knows them, then
+// as each pool node works by them.
 func WriteLeaders(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
 	if s, err := FirstControl(results); err == nil {
@@ -210,8 +142,8 @@
 	return t.Flush()
 }
 
-// WriteNodes writes which processes looked lately, with what each of them that
-// replied tells itself, by its node address.
+// WriteNodes writes the processes that polled a control process lately. own has what
+// those of them reported that were asked, by their node addresses.
 func WriteNodes(w io.Writer, s ProcessState, own map[string]ProcessState) error {
 	t := newTableWriter(w)
 	t.row("PROCESS", "KIND", "NODE", "HEARD", "STANDING", "TABLE", "OPERATORS' REVISION", "LEASE LEFT", "CANNOT USE")
--- a/internal/ports/statements.go
+++ b/internal/ports/statements.go
@@ -54,7 +54,7 @@
 // Code is how a statement ended.
 type Code uint8
 
-// The codes. NoEffect and NotRun say what they promise.
+// The codes. NoEffect and NotRun say what each guarantees.
 const (
 	Done                     Code = iota
 	Busy                          // it cannot be taken now
@@ -74,7 +74,7 @@
 	UnknownCode                   // a code that this version does not know
 )
 
-// NoEffect says whether a code promises that nothing of the attempt took effect.
+// NoEffect says whether a code guarantees that nothing of the attempt took effect.
 // This is the only table of it; docs/caller-interface.md has it as text.
 func (c Code) NoEffect() bool {
 	switch c {
@@ -84,7 +84,7 @@
 	return false
 }
 
-// NotRun says whether a code promises that the database did not run the statement.
+// NotRun says whether a code guarantees that the database did not run the statement.
 func (c Code) NotRun() bool {
 	switch c {
 	case Busy, Lagging, ReadOnly, WrongInstance, TooManyConnections, UnknownPreparedStatement:
--- a/internal/routingtable/change.go
+++ b/internal/routingtable/change.go
@@ -57,7 +57,7 @@
 	for _, r := range table.Routes {
 		problems = append(problems, checkRoute(r, groups)...)
 		key := address{r.Host, r.Prefix}
-		if other, taken := routeAt[key]; taken {
+		if other, exists := routeAt[key]; exists {
 			problems = append(problems, fmt.Sprintf("routes %s and %s share host %s and prefix %q", other, r.Name, r.Host, r.Prefix))
 		}
 		routeAt[key] = r.Name
--- a/internal/routingtable/doc.go
+++ b/internal/routingtable/doc.go
@@ -2,7 +2,7 @@
 // and encodes tables for the register that holds them (design 14.12).
 //
 // Apply makes the next table of a change, Check names what makes a table invalid,
-// and OrderStatus tells an order that is sent again from a new one (design 18).
+// and OrderStatus distinguishes an order that is sent again from a new one (design 18).
 // Encode and Decode convert tables to and from the stored form, schema.RoutingTable;
 // tables of a certain size are compressed. All functions are pure: a table that is
 // passed in is never changed.
--- a/internal/routingtable/orders.go
+++ b/internal/routingtable/orders.go
@@ -24,12 +24,12 @@
 type OrderState uint8
 
 const (
-	// NotApplied: the order was never applied.
+	// NotApplied means that the order was never applied.
 	NotApplied OrderState = iota
-	// Applied: the order, with this very content, was applied.
+	// Applied means that the order, with this very content, was applied.
 	Applied
-	// Forgotten: the order is older than those that the table names, so that it may
-	// or may not have been applied.
+	// Forgotten means that the order is older than those that the table names, so that
+	// it may or may not have been applied.
 	Forgotten
 )
 
--- a/result/result.go
+++ b/result/result.go
@@ -3,7 +3,7 @@
 // it (tools/generate-docs).
 //
 // Numbers never change and are never used again: callers, operators and their alarms
-// know the codes by them. The hundreds tell whose matter a code is.
+// know the codes by them. The hundreds say whose matter a code is.
 package result
 
 // Code is a numbered result.
--- a/tools/check-names/words.go
+++ b/tools/check-names/words.go
@@ -100,6 +100,7 @@
 	{"doubt", regexp.MustCompile(`^(in|In)Doubt|InDoubt`), nil},
 	{"cut", regexp.MustCompile(`^Cut(Prefix|Suffix)?$`), nil},   // strings.Cut and the like
 	{"word", regexp.MustCompile(`(?i)word`), []string{"tools"}}, // a word of a text
+	{"told", regexp.MustCompile(`told its state there`), []string{"internal/fleetstate"}}, // an error text that the command prints
 	{"silence", regexp.MustCompile(`(?i)silently`), nil},
 }
 
