--- /dev/null
+++ b/internal/sessionpool/connections.go
@@ -0,0 +1,101 @@
+package sessionpool
+
+import (
+	"context"
+	"errors"
+	"net"
+	"syscall"
+
+	"stoneford/internal/ports"
+	"stoneford/internal/sessiontable"
+)
+
+// connection is a connection to a database, or the opening of one.
+type connection struct {
+	db     Database // nil while it is opened
+	ctx    context.Context
+	cancel context.CancelFunc
+}
+
+func (c *connection) close() {
+	c.cancel()
+	if c.db != nil {
+		c.db.Close()
+	}
+}
+
+// serveConnection opens a connection to a database and reads its answers until it ends.
+func (p *Process) serveConnection(connect sessiontable.Connect, conn *connection) {
+	defer conn.cancel()
+	ctx, stop := context.WithTimeout(conn.ctx, fromMicroseconds(connect.WaitUs))
+	database, position, code, err := p.edges.Dialer.Dial(ctx, connect.Address, connect.Group, connect.ID)
+	stop()
+	if err != nil {
+		p.connectFailed(connect.Conn, conn, code, err)
+		return
+	}
+	defer database.Close()
+	if p.connected(connect.Conn, conn, database, position, code) {
+		p.readAnswers(connect.Conn, conn, database)
+	}
+}
+
+// connected hands an open connection to the core. It is false if the core has closed it
+// meanwhile.
+func (p *Process) connected(id uint64, conn *connection, database Database, position ports.Position, code ports.Code) bool {
+	p.mu.Lock()
+	if p.connections[id] != conn {
+		p.mu.Unlock()
+		return false
+	}
+	conn.db = database
+	p.stepLocked(sessiontable.ConnectEnded{Conn: id, Position: position, Code: code})
+	return true
+}
+
+// connectFailed reports a failed connect to the core, unless the core has closed it
+// meanwhile.
+func (p *Process) connectFailed(id uint64, conn *connection, code ports.Code, err error) {
+	p.mu.Lock()
+	if p.connections[id] != conn {
+		p.mu.Unlock()
+		return
+	}
+	delete(p.connections, id)
+	p.stepLocked(sessiontable.ConnectEnded{Conn: id, Code: code, Err: err.Error(), ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Disconnected: disconnected(err)})
+}
+
+// readAnswers hands answers to the core until the connection ends or the core closes it.
+// Answers that arrive together are one step.
+func (p *Process) readAnswers(id uint64, conn *connection, database Database) {
+	var answers []ports.Response
+	var events []sessiontable.Event
+	var err error
+	for err == nil {
+		answers, err = database.Read(answers[:0])
+		events = events[:0]
+		for i, answer := range answers {
+			events = append(events, sessiontable.AnswerReceived{Conn: id, Answer: answer})
+			answers[i] = ports.Response{} // its body is not kept alive here
+		}
+		p.mu.Lock()
+		if p.connections[id] != conn {
+			p.mu.Unlock()
+			return
+		}
+		if err != nil {
+			delete(p.connections, id)
+			events = append(events, sessiontable.ConnectionLost{Conn: id, Err: err.Error(), Disconnected: disconnected(err)})
+		}
+		p.stepLocked(events...)
+	}
+}
+
+// disconnected reports whether the other side ended a connection, rather than a time-out.
+func disconnected(err error) bool {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		return false
+	}
+	return !errors.Is(err, syscall.ETIMEDOUT) && !errors.Is(err, syscall.EHOSTUNREACH)
+}
--- a/internal/sessionpool/contact.go
+++ b/internal/sessionpool/contact.go
@@ -9,18 +9,19 @@
 	"stoneford/result"
 )
 
-// contactLostAfterUs is how long a node is without a lease until it says so in its log.
+// contactLostAfterUs is how long a node is without a lease before it logs that, in µs. A
+// shorter time logs short outages too.
 const contactLostAfterUs = 1_000_000
 
-// contact is what the log was told of the node's contact with the voters.
+// contact is what was logged of the node's contact with the voters.
 type contact struct {
-	lost             bool  // the log was told that there is none
-	lostSinceUs      int64 // when the lease that is over ran out
+	lost             bool  // its loss was logged
+	lostSinceUs      int64 // end of the last lease
 	newerTableSeenUs int64 // when a voter was first seen with a newer routing table, 0 if none is
 }
 
-// logContact says when no majority has vouched for long for what the node works
-// by, with what is known of each voter, and when that is over.
+// logContact logs that no majority has confirmed for long what the node works by, with
+// what is known of each voter, and when that is over.
 func (c *Core) logContact(now int64, effects *Effects) {
 	until := c.view.LeaseUntil()
 	switch {
@@ -33,25 +34,25 @@
 	}
 }
 
-// logTable says that another routing table is in force here, and how long after a
-// voter was first seen with it.
+// logTable logs that another routing table is in force here, and how long after a voter
+// was first seen with it.
 func (c *Core) logTable(now int64, effects *Effects) {
-	late := int64(0)
+	delayMs := int64(0)
 	if c.contact.newerTableSeenUs > 0 {
-		late = (now - c.contact.newerTableSeenUs) / 1000
+		delayMs = (now - c.contact.newerTableSeenUs) / 1000
 	}
 	c.contact.newerTableSeenUs = 0
-	c.logf(effects, result.RevisionApplied, "routes revision %d, the operators' %d, %d ms after it was first heard of", c.tableRevision, c.table.Revision, late)
+	c.logf(effects, result.RevisionApplied, "routes revision %d, the operators' %d, %d ms after it was first heard of", c.tableRevision, c.table.Revision, delayMs)
 }
 
-// recordNewerTable takes down since when a voter is known to hold a newer routing table.
+// recordNewerTable notes since when a voter is known to have a newer routing table.
 func (c *Core) recordNewerTable(now int64) {
 	if c.contact.newerTableSeenUs == 0 && c.view.Unconfirmed(learner.TableKey) {
 		c.contact.newerTableSeenUs = now
 	}
 }
 
-// logViolations says which checks failed for the first time.
+// logViolations logs the invariants that were violated for the first time.
 func (c *Core) logViolations(effects *Effects) {
 	for _, checks := range []*invariant.Checks{&c.checks, c.view.Checks(), c.Table.Checks()} {
 		for _, v := range checks.TakeNew() {
@@ -60,11 +61,12 @@
 	}
 }
 
-// Violations counts the checks that failed in this run, by rule.
+// Violations counts the violations of invariants in this run, by rule.
 func (c *Core) Violations() map[string]int64 {
 	return invariant.Merge(c.checks.Counts(), c.view.Checks().Counts(), c.Table.Checks().Counts())
 }
 
+// logf adds an entry for the process's log.
 func (c *Core) logf(effects *Effects, code result.Code, format string, a ...any) {
 	effects.Table = append(effects.Table, sessiontable.LogEntry{Code: code, Text: fmt.Sprintf(format, a...)})
 }
--- a/internal/sessionpool/edges.go
+++ b/internal/sessionpool/edges.go
@@ -1,5 +1,3 @@
-// Package sessionpool is a pool node on a platform of databases that announce
-// themselves: the core (package sessiontable) behind its edges.
 package sessionpool
 
 import (
@@ -8,46 +6,63 @@
 	"stoneford/internal/ports"
 )
 
-// Frontend takes callers' connections until the context ends.
+// Edges are what a Process serves and calls.
+type Edges struct {
+	Frontend  Frontend
+	Readiness ReadinessServer
+	Dialer    Dialer
+}
+
+// Frontend accepts callers' connections until the context ends. An error ends the
+// process.
 type Frontend interface {
-	Serve(ctx context.Context, e SessionHandler) error
+	Serve(ctx context.Context, handler SessionHandler) error
 }
 
-// SessionHandler is what callers do. Asked brings a session's next statement only after
-// the reply to the one before was queued. The replies to an event may be queued
-// before its call returns.
+// SessionHandler takes what callers do. It may queue the replies to an event before the
+// call returns.
 type SessionHandler interface {
-	SessionOpened(c Client, host string) (session uint64)
-	StatementReceived(session uint64, st ports.Statement)
+	// SessionOpened starts a session on a host. The first reply is that to the opening.
+	SessionOpened(client Client, host string) (session uint64)
+	// StatementReceived brings a session's next statement. It must not be called before
+	// the reply to the one before was queued.
+	StatementReceived(session uint64, statement ports.Statement)
+	// SessionClosed ends a session. It may be called once the node has ended it too.
 	SessionClosed(session uint64)
 }
 
-// Client is one caller's session at the edge. Reply and End queue, in order, and
-// never block; Flush writes what was queued and does not wait for a caller that
-// does not read.
+// Client is one caller's session at the frontend. Reply and Close queue, in order, and
+// never block.
 type Client interface {
-	Reply(r ports.Reply)
-	Close() // closes the session behind what was queued
+	Reply(reply ports.Reply)
+	// Close closes the session once what is queued was written.
+	Close()
+	// Flush writes what is queued. It does not wait for a caller that does not read.
 	Flush()
 }
 
-// Dialer opens connections to databases. With an error, the code is what the
-// database said, if it said anything.
+// Dialer opens connections to databases.
 type Dialer interface {
+	// Dial connects to the database of an ID and a group at an address, and returns the
+	// position that it named. The code that comes with an error is the database's answer,
+	// ports.Done if it did not answer.
 	Dial(ctx context.Context, address, group, id string) (Database, ports.Position, ports.Code, error)
 }
 
-// Database is one connection to a database. Queue never blocks; Flush writes
-// what was queued, in one write. Read waits for an answer and appends it and
-// those that came along with it.
+// Database is one connection to a database.
 type Database interface {
+	// Queue queues operations and never blocks.
 	Queue(ops []ports.Op)
+	// Flush writes what is queued, in one write.
 	Flush()
+	// Read waits for an answer, and appends it and those that arrived along with it.
 	Read(into []ports.Response) ([]ports.Response, error)
+	// Close closes the connection, whatever runs on it. It may be called more than once.
 	Close()
 }
 
-// ReadinessServer answers whether the node is ready, until the context ends.
+// ReadinessServer reports whether the node is ready, to whom it concerns, until the
+// context ends.
 type ReadinessServer interface {
 	Serve(ctx context.Context, ready func() bool) error
 }
--- /dev/null
+++ b/internal/sessionpool/learn.go
@@ -0,0 +1,96 @@
+package sessionpool
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+
+	"stoneford/internal/invariant"
+	"stoneford/internal/learner"
+	"stoneford/internal/ports"
+	"stoneford/internal/routingtable"
+	"stoneford/internal/sessiontable"
+)
+
+// applyLearned hands what the learner learned to the session table, if anything changed.
+// The voters learn by a poll at once that this node works by a new routing table or a new
+// leadership, since a move or a change of primary may wait for that.
+func (c *Core) applyLearned(now int64, effects *Effects) {
+	keys, databasesChanged := c.view.TakeChanges()
+	c.recordNewerTable(now)
+	var update sessiontable.Update
+	tableChanged := slices.Contains(keys, learner.TableKey) && c.adoptTable()
+	if tableChanged {
+		update.Table = &c.table
+		c.logTable(now, effects)
+		c.view.RequestPoll()
+	}
+	leadershipChanged := slices.ContainsFunc(keys, func(key string) bool { return strings.HasPrefix(key, learner.LeaderPrefix) })
+	if tableChanged || leadershipChanged {
+		update.Groups = c.groupStates()
+		c.view.RequestPoll()
+	}
+	if databasesChanged || leadershipChanged {
+		update.Instances = c.instances()
+	}
+	changed := tableChanged || leadershipChanged || databasesChanged
+	if nodes := c.view.PoolNodes(); nodes != c.nodes {
+		c.nodes, changed = nodes, true
+	}
+	if leaseUntil := c.view.LeaseUntil(); leaseUntil != c.leaseUntil {
+		c.leaseUntil, changed = leaseUntil, true
+	}
+	if changed {
+		update.LeaseUntil, update.Nodes = c.leaseUntil, c.nodes
+		c.stepTable(now, effects, update)
+	}
+}
+
+// adoptTable puts the newest committed routing table into force, if it is newer than the
+// one in force.
+func (c *Core) adoptTable() bool {
+	committed, ok := c.view.Committed(learner.TableKey)
+	if !ok || committed.Revision <= c.tableRevision {
+		return false
+	}
+	table, err := routingtable.Decode(committed.Data)
+	if err != nil {
+		return false // voters decode a table before they accept it
+	}
+	if table.Revision < c.table.Revision {
+		c.checks.Violated(invariant.TableRevertedToOlder, "from the operators' revision %d to %d", c.table.Revision, table.Revision)
+	}
+	c.tableRevision, c.table = committed.Revision, table
+	return true
+}
+
+// groupStates are the leaderships of all groups.
+func (c *Core) groupStates() map[string]sessiontable.GroupState {
+	states := map[string]sessiontable.GroupState{}
+	c.phases = map[string]ports.Phase{}
+	for name, leadership := range c.view.Leaderships() {
+		c.phases[name] = leadership.Phase
+		states[name] = sessiontable.GroupState{
+			Leadership:  leadership,
+			Unconfirmed: c.view.Unconfirmed(learner.LeaderPrefix + name),
+			Withheld:    leadership.TableRevision > c.tableRevision,
+		}
+	}
+	return states
+}
+
+// instances are the databases announced, and those committed primaries that are not
+// announced yet: when all control processes have just started they know of the registers
+// alone. It is not nil, which would stand for no change.
+func (c *Core) instances() []ports.Instance {
+	instances := append([]ports.Instance{}, c.view.Instances()...)
+	for name, leadership := range c.view.Leaderships() {
+		id := leadership.Primary
+		isAnnounced := slices.ContainsFunc(instances, func(i ports.Instance) bool { return i.ID == id })
+		if id != "" && leadership.Address != "" && !c.view.Gone(id) && !isAnnounced {
+			instances = append(instances, ports.Instance{ID: id, Group: name, Address: leadership.Address, Primary: true})
+		}
+	}
+	slices.SortFunc(instances, func(a, b ports.Instance) int { return cmp.Compare(a.ID, b.ID) })
+	return instances
+}
--- a/internal/sessionpool/floor_test.go
+++ b/internal/sessionpool/learn_test.go
@@ -28,8 +28,9 @@
 	return &voters{t: t, core: NewCore(boot, 1, 1, sessiontable.Options{}), now: 1_000_000}
 }
 
-// send has two voters tell of cells; the node's looks are returned if asked for.
-func (v *voters) send(returns bool, cells ...*schema.RegisterState) []sessiontable.Effect {
+// send has two voters send register states. If answersPolls is set, they answer the node's
+// poll, which renews its lease.
+func (v *voters) send(answersPolls bool, cells ...*schema.RegisterState) []sessiontable.Effect {
 	var done []sessiontable.Effect
 	v.seq++
 	v.now += 200_000
@@ -37,7 +38,7 @@
 	done = append(done, effects.Table...)
 	number := uint64(0)
 	for _, s := range effects.Send {
-		if returns {
+		if answersPolls {
 			number = s.Envelope.GetPoll().Number
 		}
 	}
@@ -58,6 +59,7 @@
 	return m
 }
 
+// cell is a register's state; without data, the voter keeps it to itself.
 func cell(key string, revision uint64, data []byte) *schema.RegisterState {
 	return &schema.RegisterState{Key: key, Accepted: &schema.Ballot{Membership: 1, Number: revision, Proposer: "p"}, Value: &schema.Value{Revision: revision, Data: data}}
 }
@@ -77,7 +79,7 @@
 	return cell(learner.LeaderPrefix+"g", revision, b)
 }
 
-// connects asks for a write and says whether the node turns to the primary.
+// connects sends a write and reports whether the node connects to the primary.
 func (v *voters) connects(session uint64) bool {
 	var done []sessiontable.Effect
 	done = append(done, v.core.Step(v.now, sessiontable.SessionOpened{Session: session, Host: "h"}).Table...)
@@ -90,13 +92,13 @@
 	return false
 }
 
-// TestFloor: a node takes nothing on for a group whose leadership needs a newer
-// routing table than it works by, and does once it has it.
-func TestFloor(t *testing.T) {
+// TestWithheldLeadership: a node starts nothing for a group whose leadership needs a newer
+// routing table than it has, and does once it has it.
+func TestWithheldLeadership(t *testing.T) {
 	v := newVoters(t)
 	v.send(true, table(1), leads(t, 1, 2))
 	if v.connects(1) {
-		t.Error("it turned to the primary under table 1, and 2 is needed")
+		t.Error("it connects to the primary under table 1, and 2 is needed")
 	}
 	done := v.send(true, table(2))
 	found := false
@@ -114,8 +116,8 @@
 	}
 }
 
-// TestNoLeaseUnderOlderTable: returns of voters that hold a newer table than
-// the node works by give no lease.
+// TestNoLeaseUnderOlderTable: poll responses of voters that have a newer table than the
+// node give no lease.
 func TestNoLeaseUnderOlderTable(t *testing.T) {
 	v := newVoters(t)
 	v.send(true, table(1))
@@ -123,7 +125,7 @@
 	if had == 0 {
 		t.Fatal("no lease under the newest table")
 	}
-	// The voters hold table 2; its body has not come.
+	// The voters have table 2; its data has not arrived.
 	bare := cell(learner.TableKey, 2, nil)
 	for range 3 {
 		v.send(true, bare)
@@ -137,20 +139,20 @@
 	}
 }
 
-// TestBodyFromLiveVoter: a node that heard of a table without its body gets it,
-// whichever voter is gone.
-func TestBodyFromLiveVoter(t *testing.T) {
+// TestDataFromLiveVoter: a node that learned of a table without its data gets it, whichever
+// voter is gone.
+func TestDataFromLiveVoter(t *testing.T) {
 	for _, gone := range voterNames {
 		v := newVoters(t)
 		v.send(true, table(1))
-		told := func(from string, number uint64, c *schema.RegisterState) {
+		receive := func(from string, number uint64, c *schema.RegisterState) {
 			v.core.Receive(v.now, &schema.Envelope{From: from, Body: &schema.Envelope_PollResponse{PollResponse: &schema.PollResponse{
 				Number: number, VoterRun: 1, ChangeNumber: 9, ActiveMembership: 1, DiskId: 1, Membership: voterMembership(), Registers: []*schema.RegisterState{c}}}})
 		}
 		bare := cell(learner.TableKey, 2, nil)
 		for _, o := range voterNames {
 			if o != gone {
-				told(o, 0, bare)
+				receive(o, 0, bare)
 			}
 		}
 		for range 8 {
@@ -160,14 +162,14 @@
 				switch {
 				case l == nil || s.To == gone:
 				case l.IncludeData:
-					told(s.To, l.Number, table(2))
+					receive(s.To, l.Number, table(2))
 				default:
-					told(s.To, l.Number, bare)
+					receive(s.To, l.Number, bare)
 				}
 			}
 		}
 		if v.core.TableRevision() != 2 {
-			t.Errorf("with %s gone it works by table %d yet", gone, v.core.TableRevision())
+			t.Errorf("with %s gone it still has table %d", gone, v.core.TableRevision())
 		}
 	}
 }
--- a/internal/sessionpool/process_test.go
+++ b/internal/sessionpool/process_test.go
@@ -23,13 +23,13 @@
 	"stoneford/schema"
 )
 
-// scriptedCore is a core that does what a test says.
+// scriptedCore is a core whose effects a test sets.
 type scriptedCore struct {
 	step            func(now int64, e sessiontable.Event) []sessiontable.Effect
 	due             int64
 	busy            int
 	ready           bool
-	stepsInProgress int // steps under way
+	stepsInProgress int // more than one at a time is a failure
 	events          []sessiontable.Event
 }
 
@@ -54,7 +54,7 @@
 func (s *scriptedCore) Busy() int        { return s.busy }
 func (s *scriptedCore) Ready(int64) bool { return s.ready }
 
-// callLog notes what edges are told, in order.
+// callLog records the calls of edges, in order.
 type callLog struct {
 	mu    sync.Mutex
 	lines []string
@@ -119,7 +119,7 @@
 	return d(ctx, id)
 }
 
-// runProcess runs a test of a process in a bubble of its own time.
+// runProcess runs a test of a process on a fake clock.
 func runProcess(t *testing.T, db *testDatabase, d dialer, core *scriptedCore, f func(t *testing.T, p *Process)) {
 	t.Helper()
 	if core.due == 0 {
@@ -138,7 +138,7 @@
 	})
 }
 
-// pass lets the bubble's time pass.
+// pass lets the fake clock's time pass.
 func pass(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -165,7 +165,7 @@
 		}
 		return nil
 	}}
-	runProcess(t, db, func(_ context.Context, id string) (Database, ports.Position, ports.Code, error) {
+	runProcess(t, db, func(context.Context, string) (Database, ports.Position, ports.Code, error) {
 		return db, ports.Position{Term: 3, Number: 7}, ports.Done, nil
 	}, core, func(t *testing.T, p *Process) {
 		c := testClient{&callLog{}}
@@ -389,11 +389,11 @@
 }
 
 func TestTimer(t *testing.T) {
-	var rang []int64
+	var ticks []int64
 	core := &scriptedCore{due: 2_000_000}
 	core.step = func(now int64, event sessiontable.Event) []sessiontable.Effect {
 		if _, ok := event.(sessiontable.Tick); ok && now >= core.due {
-			rang = append(rang, now)
+			ticks = append(ticks, now)
 			core.due = math.MaxInt64
 		}
 		return nil
@@ -412,8 +412,8 @@
 		due(2_000_000) // it is 1 s
 		due(1_500_000)
 		pass(time.Second)
-		if !slices.Equal(rang, []int64{1_500_000}) {
-			t.Error(rang)
+		if !slices.Equal(ticks, []int64{1_500_000}) {
+			t.Error(ticks)
 		}
 		// Set for 3 s, then nothing is due before 4: it rings once in between, for nobody.
 		due(3_000_000)
@@ -424,8 +424,8 @@
 			t.Error("the core was woken early")
 		}
 		pass(time.Second)
-		if !slices.Equal(rang, []int64{1_500_000, 4_000_000}) {
-			t.Error(rang)
+		if !slices.Equal(ticks, []int64{1_500_000, 4_000_000}) {
+			t.Error(ticks)
 		}
 	})
 }
--- a/internal/sessionpool/state.go
+++ b/internal/sessionpool/state.go
@@ -9,38 +9,48 @@
 	"stoneford/internal/ports"
 )
 
-// State is what this node is and works by; whole brings the routing table's
-// items.
-func (c *Core) State(now int64, boot ports.ProcessConfig, detailed bool) fleetstate.ProcessState {
+// State is the node's state for operators. Detailed adds the items of the routing table.
+func (c *Core) State(now int64, config ports.ProcessConfig, detailed bool) fleetstate.ProcessState {
 	pool := c.Table.State(now)
-	return fleetstate.ProcessState{Name: boot.Name, Kind: fleetstate.KindPool, Zone: boot.Zone, Node: boot.PoolNodeAddress(), Run: c.view.Run(), Draining: c.draining, Ready: c.Ready(now),
-		Voters: c.view.VoterStates(now), LeaseLeftUs: c.view.LeaseUntil() - now, Registers: c.view.RegisterStates(),
-		Table: fleetstate.DescribeTable(c.table, c.tableRevision, detailed), Pool: &pool, Violations: c.Violations()}
+	return fleetstate.ProcessState{
+		Name:        config.Name,
+		Kind:        fleetstate.KindPool,
+		Zone:        config.Zone,
+		Node:        config.PoolNodeAddress(),
+		Run:         c.view.Run(),
+		Draining:    c.draining,
+		Ready:       c.Ready(now),
+		Voters:      c.view.VoterStates(now),
+		LeaseLeftUs: c.view.LeaseUntil() - now,
+		Registers:   c.view.RegisterStates(),
+		Table:       fleetstate.DescribeTable(c.table, c.tableRevision, detailed),
+		Pool:        &pool,
+		Violations:  c.Violations(),
+	}
 }
 
-// State is the node's, now.
+// State is the node's state for operators. It is false where the process runs no Core.
 func (p *Process) State(_ context.Context, detailed bool) (fleetstate.ProcessState, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c, ok := p.core.(*Core)
+	core, ok := p.core.(*Core)
 	if !ok {
 		return fleetstate.ProcessState{}, false
 	}
 	now := p.now()
-	s := c.State(now, *p.boot.Load(), detailed)
-	s.UpUs = now - 1_000_000
-	return s, true
+	state := core.State(now, *p.config.Load(), detailed)
+	state.UpUs = now - clockStartUs
+	return state, true
 }
 
-// serveState tells operators the state; the node serves callers without that
-// too.
+// serveState serves the state to operators. The node serves callers without that too.
 func (p *Process) serveState(ctx context.Context) {
-	boot := p.boot.Load()
-	at, ok := boot.StateAddress(boot.PortFirst + 1)
+	config := p.config.Load()
+	at, ok := config.StateAddress(config.PortFirst + 1)
 	if !ok {
 		return
 	}
 	if err := fleetstate.Serve(ctx, at, p.State); err != nil {
-		log.WithError(err).Error("operators are not told the state")
+		log.WithError(err).Error("the state for operators is not served")
 	}
 }
