--- a/failover/fenced/model_test.go
+++ b/failover/fenced/model_test.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"testing"
 
-	"stoneford/emulator/simulation"
+	"stoneford/emulator/virtualtime"
 	"stoneford/internal/ports"
 	"stoneford/schema"
 )
@@ -48,7 +48,7 @@
 
 // model is the simulated environment of one group, with what is checked in it.
 type model struct {
-	*simulation.Scheduler
+	*virtualtime.Scheduler
 	mutation        mutation
 	log             []string
 	violations      []string
@@ -97,7 +97,7 @@
 }
 
 func newModel(seed uint64, p mutation) *model {
-	m := &model{Scheduler: simulation.NewScheduler(seed), mutation: p, disconnected: map[[2]string]bool{}, nodeFails: map[string]int64{}, tokenOwners: map[uint64]string{}}
+	m := &model{Scheduler: virtualtime.NewScheduler(seed, virtualtime.DefaultStream), mutation: p, disconnected: map[[2]string]bool{}, nodeFails: map[string]int64{}, tokenOwners: map[uint64]string{}}
 	m.promotionResumesReplicas, m.slowUs = m.Chance(0.5), m.Between(2_000, 20_000)
 	m.processOrder = m.Random.Perm(modelProcesses)
 	for j, id := range []string{"a", "b", "c"} {
--- a/tools/check-names/words.go
+++ b/tools/check-names/words.go
@@ -98,8 +98,8 @@
 	{"share", regexp.MustCompile(`^shared|^sharedLock`), nil},
 	{"doubt", regexp.MustCompile(`(?i)in doubt`), nil}, // a transaction in doubt
 	{"doubt", regexp.MustCompile(`^(in|In)Doubt|InDoubt`), nil},
-	{"cut", regexp.MustCompile(`^Cut(Prefix|Suffix)?$`), nil},   // strings.Cut and the like
-	{"word", regexp.MustCompile(`(?i)word`), []string{"tools"}}, // a word of a text
+	{"cut", regexp.MustCompile(`^Cut(Prefix|Suffix)?$`), nil},                             // strings.Cut and the like
+	{"word", regexp.MustCompile(`(?i)word`), []string{"tools"}},                           // a word of a text
 	{"told", regexp.MustCompile(`told its state there`), []string{"internal/fleetstate"}}, // an error text that the command prints
 	{"silence", regexp.MustCompile(`(?i)silently`), nil},
 }
