--- a/internal/coordinator/cluster_test.go
+++ b/internal/coordinator/cluster_test.go
@@ -19,9 +19,6 @@
 	"stoneford/schema"
 )
 
-// randomStream is the random stream of the clusters of these tests.
-const randomStream = 0x5eed
-
 // member is one control process of a cluster with its disk.
 type member struct {
 	config      ports.ProcessConfig
@@ -48,7 +45,7 @@
 
 // newCluster has so many control processes, of which the first are the seeds.
 func newCluster(t *testing.T, seed uint64, processes, seeds, lost int) *cluster {
-	c := &cluster{t: t, environment: virtualtime.NewScheduler(seed, randomStream), members: map[string]*member{}}
+	c := &cluster{t: t, environment: virtualtime.NewScheduler(seed, virtualtime.DefaultStream), members: map[string]*member{}}
 	c.network = simulation.NewNetwork(c.environment)
 	c.network.MaxDelayUs = 12_000
 	c.network.Receive = func(to string, e *schema.Envelope) { c.step(to, Message{e}) }
