--- /dev/null
+++ b/internal/coordinator/changelog_test.go
@@ -0,0 +1,36 @@
+package coordinator
+
+import "testing"
+
+// TestChangeLogHasRevision: a poller has a revision of a register if it has the change
+// that brought it, also where the value was accepted at another ballot since.
+func TestChangeLogHasRevision(t *testing.T) {
+	log := newChangeLog()
+	log.recordChanged("database/d")
+	log.registerChanged("routes", 1) // change 2
+	log.registerChanged("routes", 2) // change 3
+	log.membershipChanged()
+	log.registerChanged("routes", 2) // change 5: the same revision at another ballot
+	tests := []struct {
+		name           string
+		revision, upTo uint64
+		want           bool
+	}{
+		{"a poller without any change", 2, 0, false},
+		{"before the revision", 2, 2, false},
+		{"at the change that brought it", 2, 3, true},
+		{"before the newer ballot", 2, 4, true},
+		{"with all changes", 2, 5, true},
+		{"a revision that was replaced", 1, 5, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if got := log.hasRevision("routes", test.revision, test.upTo); got != test.want {
+				t.Errorf("got %t", got)
+			}
+		})
+	}
+	if log.newest != 5 || log.membership != 4 || log.byKey["routes"] != 5 || log.byKey["database/d"] != 1 || !log.pushNeeded {
+		t.Errorf("the log is %+v", log)
+	}
+}
--- a/internal/coordinator/pacing_test.go
+++ b/internal/coordinator/pacing_test.go
@@ -4,8 +4,11 @@
 	"math/rand/v2"
 	"testing"
 
+	"google.golang.org/protobuf/proto"
+
 	"stoneford/internal/routingtable"
 	"stoneford/internal/wal/crashdisk"
+	"stoneford/schema"
 )
 
 // TestLargeStateOnASlowLink: a voter that was away, with and without its disk, is
@@ -48,3 +51,43 @@
 		t.Fatal(h.violation)
 	}
 }
+
+// TestPacingAdmits: a large message is sent to a process again only once the one before
+// it has arrived or had its time; small ones and other streams are not held up.
+func TestPacingAdmits(t *testing.T) {
+	const sentAt = 1_000_000
+	large := &schema.Envelope{Body: &schema.Envelope_Promise{Promise: &schema.Promise{Value: &schema.Value{Data: make([]byte, largeMessageBytes)}}}}
+	small := &schema.Envelope{Body: &schema.Envelope_Promise{Promise: &schema.Promise{}}}
+	size := int64(proto.Size(large))
+	over := sentAt + size*1_000_000/largeMessageBytesPerSecond
+	stream := pacingKey{to: "a", kind: largeUpdate}
+	tests := []struct {
+		name    string
+		before  func(p pacing)
+		key     pacingKey
+		message *schema.Envelope
+		now     int64
+		want    bool
+	}{
+		{"a large one on its way", func(pacing) {}, stream, large, over - 1, false},
+		{"its time is over", func(pacing) {}, stream, large, over, true},
+		{"a small one", func(pacing) {}, stream, small, sentAt, true},
+		{"to another process", func(pacing) {}, pacingKey{to: "b", kind: largeUpdate}, large, sentAt, true},
+		{"of another kind", func(pacing) {}, pacingKey{to: "a", kind: largeState}, large, sentAt, true},
+		{"it arrived", func(p pacing) { p.delivered("a", 7) }, stream, large, sentAt, true},
+		{"an earlier one arrived", func(p pacing) { p.delivered("a", 6) }, stream, large, sentAt, false},
+		{"the process started anew", func(p pacing) { p.forget("a") }, stream, large, sentAt, true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			p := pacing{}
+			if !p.admit(sentAt, stream, large, 7) {
+				t.Fatal("the first is not admitted")
+			}
+			test.before(p)
+			if got := p.admit(test.now, test.key, test.message, 8); got != test.want {
+				t.Errorf("admitted: %t", got)
+			}
+		})
+	}
+}
