--- a/internal/coordinator/announcements.go
+++ b/internal/coordinator/announcements.go
@@ -34,7 +34,7 @@
 	pending        map[uint64]*pendingAnnouncement
 	unsent         map[string]int   // announcements of a database since one was forwarded
 	receivedAt     map[string]int64 // when a database announced itself to this process last
-	nextExpiration int64            // when databases are looked at for missed announcements
+	nextExpiration int64            // when databases are checked for missed announcements
 }
 
 // pendingAnnouncement is one that a majority of the voters has to acknowledge.
--- a/internal/coordinator/databases.go
+++ b/internal/coordinator/databases.go
@@ -97,7 +97,7 @@
 	return c.inContact(now) && listening >= missedHeartbeatLimit*c.heartbeatIntervalUs()
 }
 
-// tickExpiration looks once per heartbeat interval for databases that are gone.
+// tickExpiration checks once per heartbeat interval for databases that are gone.
 func (c *Core) tickExpiration(now int64) {
 	if now >= c.announcements.nextExpiration {
 		c.announcements.nextExpiration = now + c.heartbeatIntervalUs()
--- a/internal/coordinator/drain.go
+++ b/internal/coordinator/drain.go
@@ -6,7 +6,7 @@
 	// minDrainDuration is how long a process stays at least after the order to stop,
 	// so that the others learn that it drains.
 	minDrainDuration = 400 * time.Millisecond
-	// drainCheckInterval is the time between two looks whether it may stop.
+	// drainCheckInterval is the time between two checks whether it may stop.
 	drainCheckInterval = 100 * time.Millisecond
 	// drainReserve is what is left of the time until the kill when a process that could
 	// not hand over its vote stops.
--- a/internal/coordinator/race_test.go
+++ b/internal/coordinator/race_test.go
@@ -2,5 +2,5 @@
 
 package coordinator
 
-// slower is by how much less is run under the race detector.
-const slower = 10
+// raceFactor is by how much less is run under the race detector.
+const raceFactor = 10
--- a/internal/learner/unconfirmed.go
+++ b/internal/learner/unconfirmed.go
@@ -9,7 +9,7 @@
 	"stoneford/schema"
 )
 
-// A learner sees that a revision is committed when a majority of the voters stands at
+// A learner sees that a revision is committed when a majority of the voters is at
 // one ballot, and it may miss that moment: a voter is lost and no other accepts the
 // value, or another ballot for the same value overtakes the first halfway. So it asks
 // the voters, one after the other, for what stays unconfirmed (design 14.4). One that
