--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -128,7 +128,7 @@
 	return c
 }
 
-// Start is called once before the first statemachine. It numbers what the acceptor restored as
+// Start is called once before the first step. It numbers what the acceptor restored as
 // changes, so that those who poll this process are sent it.
 func (c *Core) Start(now int64) {
 	c.startedAt, c.lastStep = now, now
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -2,7 +2,7 @@
 // (design 14 to 18). Each control process is a voter of the Paxos registers, keeps the
 // mergeable records of the announced databases, decides operators' changes of the
 // routing table, and, for the groups whose singleton role it owns, carries out the
-// changes of primary that package switchover decides.
+// changes of primary that package failover/fenced decides.
 //
 // Core is a deterministic core: it is given the time and events, and hands back
 // effects. It reads no clock, socket, disk or random source. Process runs a Core: it
--- a/internal/coordinator/history_test.go
+++ b/internal/coordinator/history_test.go
@@ -477,7 +477,7 @@
 	t.Logf("%d seeds of %d changes, %d faults that struck all", seeds, changes, ended)
 	for _, x := range crashdisk.Mutations {
 		if x.Mutation == crashdisk.OldFilesRemovedEarly {
-			continue // it loses one voter's disk, which is borne; voterlog's tests see it
+			continue // it loses one voter's disk, which is borne; package wal's tests see it
 		}
 		seen, first := 0, ""
 		const tries = max(6/raceFactor, 2)
--- a/internal/coordinator/process.go
+++ b/internal/coordinator/process.go
@@ -27,7 +27,7 @@
 // never.
 const clockStartUs = 1_000_000
 
-// Process runs a Core as one control process: with its disk, its links to the others,
+// Process runs a Core as one control process: with its disk, its streams to the others,
 // and the calls to databases and the platform.
 type Process struct {
 	databases ports.Databases
@@ -35,7 +35,7 @@
 	config    ports.ProcessConfig
 	core      *Core   // of the loop; nil until the log is open
 	logWriter *writer // of the loop
-	links     *transport.Transport
+	transport *transport.Transport
 	inbox     chan loopInput
 	startedAt time.Time
 	replies   replies
@@ -96,13 +96,13 @@
 	}
 	defer func() { p.cancel(); p.logWriter.close() }()
 	self := p.config.ControlNodeAddress()
-	p.links = transport.New(p.ctx, self, transport.LocalAddress(self), p.deliver)
+	p.transport = transport.New(p.ctx, self, transport.LocalAddress(self), p.deliver)
 	listener, err := net.Listen("tcp", p.config.ListenAddress(self))
 	if err != nil {
 		return err
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- p.links.Serve(listener) }()
+	go func() { failed <- p.transport.Serve(listener) }()
 	p.core.Start(p.nowUs())
 	go p.serveState(p.ctx)
 	log.WithFields(log.Fields{"name": p.config.Name, "listen": self}).Info("stoneford-control is up")
@@ -171,7 +171,7 @@
 		p.logWriter.write(p.logEntries(effects.Log), effects.Watermark)
 	}
 	for _, message := range effects.Send {
-		p.links.Send(message.To, message.Envelope)
+		p.transport.Send(message.To, message.Envelope)
 	}
 	for _, effect := range effects.Do {
 		p.handleEffect(effect)
@@ -206,7 +206,7 @@
 	}
 }
 
-// deliver takes a message from the links. One that finds the inbox full is dropped:
+// deliver takes a message from the transport. One that finds the inbox full is dropped:
 // whatever matters is repeated by its sender.
 func (p *Process) deliver(envelope *schema.Envelope) {
 	select {
@@ -230,7 +230,7 @@
 
 // SetLinksBroken breaks the process's links to others, or restores them, for tests; the
 // process has to run.
-func (p *Process) SetLinksBroken(broken bool) { p.links.SetPartitioned(broken) }
+func (p *Process) SetLinksBroken(broken bool) { p.transport.SetPartitioned(broken) }
 
 func (p *Process) stateNow(withItems bool) fleetstate.ProcessState {
 	now := p.nowUs()
--- a/internal/coordinator/requests.go
+++ b/internal/coordinator/requests.go
@@ -139,7 +139,7 @@
 }
 
 // refuseEvent replies to the events that have a caller. The others are dropped: they
-// come from links and calls that do not exist yet.
+// come from streams and calls that do not exist yet.
 func (p *Process) refuseEvent(event Event) {
 	switch e := event.(type) {
 	case Announce:
--- a/internal/coordinator/roles.go
+++ b/internal/coordinator/roles.go
@@ -9,7 +9,7 @@
 )
 
 // Each group has a singleton role: one control process at a time commands its databases
-// (design 16). Package switchover claims and hands over the role; this file says how
+// (design 16). Package failover/fenced claims and hands over the role; this file says how
 // this process and the others stand towards it.
 
 // leaseStatusGroup stands in the place of a group's name in the status by which a
--- a/internal/coordinator/writer.go
+++ b/internal/coordinator/writer.go
@@ -40,7 +40,7 @@
 	return w
 }
 
-// write queues the entries of one statemachine.
+// write queues the entries of one step.
 func (w *writer) write(entries []*schema.WALEntry, watermark uint64) {
 	w.jobs <- writeJob{entries, watermark}
 }
