--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Run calls step until the context ends: with the events that are queued when one
-// arrives, and without events at each tick of the interval.
+// Run calls step until the context ends, when an event arrives and at each tick of the
+// interval, with the time and the events that are queued by then; there may be none.
 func (l *Loop[E]) Run(ctx context.Context, interval time.Duration, step func(now int64, events []E)) {
 	ticker := l.clock.NewTicker(interval)
 	defer ticker.Stop()
--- a/paxos/doc.go
+++ b/paxos/doc.go
@@ -24,8 +24,10 @@
 //   - One membership has each number from 2 on, and each is chosen by the voters of the
 //     one before it.
 //
-// They hold while fewer than half of a membership's voters lose their disks. Progress
-// needs a majority that is reachable.
+// A voter that loses its disk costs progress and never these guarantees, with one
+// exception: during the first start of all fewer than half of the founders may lose
+// theirs (design 3.3). Progress needs a majority of voters that reach each other and,
+// after a change of the voters, a majority whose disks last until the newcomer votes.
 //
 // # Contract with the caller
 //
--- a/paxos/history_test.go
+++ b/paxos/history_test.go
@@ -32,34 +32,45 @@
 	}
 }
 
+// recordOutcome checks the end of a change or read. Those that are Uncertain or found
+// NoQuorum show nothing.
 func (h *history) recordOutcome(o paxos.Outcome) {
 	if o.Verdict != paxos.Committed && o.Verdict != paxos.Conflict {
 		return
 	}
-	k, r := o.Change.Key, o.Value.GetRevision()
-	if r > 0 {
-		d := string(o.Value.Data)
-		if previous, ok := h.chosen[k][r]; ok && previous != d {
-			h.failf("%s revision %d is both %s and %s", k, r, previous, d)
+	key, revision := o.Change.Key, o.Value.GetRevision()
+	if revision > 0 {
+		data := string(o.Value.Data)
+		if previous, ok := h.chosen[key][revision]; ok && previous != data {
+			h.failf("%s revision %d is both %s and %s", key, revision, previous, data)
 		}
-		h.chosen[k][r] = d
+		h.chosen[key][revision] = data
 	}
-	if r < h.revisionAtStart[o.Change.ID] {
-		h.failf("%s: %s ended at revision %d, but %d was committed before it began", k, o.Change.ID, r, h.revisionAtStart[o.Change.ID])
-	}
-	if !o.Change.ReadOnly && o.Verdict == paxos.Committed {
-		h.committed++
-		// Its own revision is base+1, whatever came later.
-		if previous, ok := h.chosen[k][o.Change.BaseRevision+1]; ok && previous != string(o.Change.Data) {
-			h.failf("%s: %s was reported committed, but revision %d is %s", k, o.Change.ID, o.Change.BaseRevision+1, previous)
-		}
-		h.chosen[k][o.Change.BaseRevision+1] = string(o.Change.Data)
-	}
-	if !o.Change.ReadOnly && o.Verdict == paxos.Conflict && h.chosen[k][o.Change.BaseRevision+1] == string(o.Change.Data) {
-		h.failf("%s: %s was reported as a conflict and is in force", k, o.Change.ID)
+	if revision < h.revisionAtStart[o.Change.ID] {
+		h.failf("%s: %s ended at revision %d, but %d was committed before it began", key, o.Change.ID, revision, h.revisionAtStart[o.Change.ID])
 	}
 	if o.Change.ReadOnly {
 		h.reads++
+	} else {
+		h.recordChange(o)
+	}
+	h.committedRevision[key] = max(h.committedRevision[key], revision)
+}
+
+// recordChange checks a change against the value of its own revision, which is the one
+// after its base, whatever came later.
+func (h *history) recordChange(o paxos.Outcome) {
+	key, revision, data := o.Change.Key, o.Change.BaseRevision+1, string(o.Change.Data)
+	value, known := h.chosen[key][revision]
+	if o.Verdict == paxos.Conflict {
+		if value == data {
+			h.failf("%s: %s was reported as a conflict and is in force", key, o.Change.ID)
+		}
+		return
+	}
+	h.committed++
+	if known && value != data {
+		h.failf("%s: %s was reported committed, but revision %d is %s", key, o.Change.ID, revision, value)
 	}
-	h.committedRevision[k] = max(h.committedRevision[k], r)
+	h.chosen[key][revision] = data
 }
