--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -483,7 +483,7 @@
 		c.nextCompareAt = now + compareInterval
 		c.compareTurn++
 		if o := c.config.Seeds[c.compareTurn%len(c.config.Seeds)]; o != c.self {
-			c.effects.Send = append(c.effects.Send, c.records.CompareRange(o, crdt.KeyRange{}))
+			c.effects.Send = append(c.effects.Send, c.records.CompareRange(o, "", ""))
 		}
 	}
 	if now >= c.nextRolesAt {
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -376,7 +376,7 @@
 		c.nextCompare = now + compareInterval
 		c.compareTurn++
 		if o := c.learner.Voters()[c.compareTurn%len(c.learner.Voters())]; o != c.self {
-			c.send(c.databases.CompareRange(o, crdt.KeyRange{}))
+			c.send(c.databases.CompareRange(o, "", ""))
 		}
 		maps.DeleteFunc(c.pollers, func(_ string, f *poller) bool { return now-f.lastPoll > 10*pollerTimeout })
 	}
--- a/internal/pool/core.go
+++ b/internal/pool/core.go
@@ -352,7 +352,7 @@
 			to = c.nextSeed()
 		}
 		for _, r := range membership.ReplicatedRanges() {
-			c.effects.Send = append(c.effects.Send, c.records.CompareRange(to, r))
+			c.effects.Send = append(c.effects.Send, c.records.CompareRange(to, r[0], r[1]))
 		}
 	}
 	if now >= c.nextGroupsAt {
