--- a/emulator/fleetsimulation/statements.go
+++ b/emulator/fleetsimulation/statements.go
@@ -2,251 +2,165 @@
 
 import (
 	"maps"
-	"slices"
 
 	"stoneford/internal/ports"
 )
 
-type databaseConnection struct {
-	database    *Database
-	stream      *stream // nil: of a control process
-	open        bool
-	values      map[string]string
-	prepared    map[string]shape
-	state       ports.TransactionState
-	transaction *databaseTransaction
-	queue       []ports.Op
-	running     bool
-	closing     bool // closed at the far end: what came before is still run
-}
-
-type shape struct {
-	text   string
-	writes bool
-}
-
-type databaseTransaction struct {
-	begin  *Statement
-	plain  bool
-	term   uint64
-	writes []*Statement
-}
-
-func (d *Database) accept(group, id string, s *stream) (ports.Code, *databaseConnection) {
-	switch {
-	case group != d.group.name || id != "" && id != d.id:
-		return ports.WrongInstance, nil
-	case len(d.connections) >= d.group.limit:
-		return ports.TooManyConnections, nil
-	}
-	c := &databaseConnection{database: d, stream: s, open: true, values: map[string]string{}, prepared: map[string]shape{}}
-	d.connections = append(d.connections, c)
-	d.fleet.oracle.connections++
-	return ports.Done, c
-}
-
-// hangUp closes a connection once what came before has run.
-func (c *databaseConnection) hangUp() {
-	c.closing = true
-	if !c.running && len(c.queue) == 0 {
-		c.drop()
-	}
-}
-
-// drop closes a connection at once; its transaction is rolled back.
-func (c *databaseConnection) drop() {
-	if !c.open {
-		return
-	}
-	c.open, c.transaction, c.queue = false, nil, nil
-	c.database.connections = slices.DeleteFunc(c.database.connections, func(o *databaseConnection) bool { return o == c })
-}
-
-func (c *databaseConnection) push(ops []ports.Op, n *Node) {
-	for _, o := range ops {
-		if !o.Internal {
-			c.database.fleet.oracle.statementArrived(c.database, n, o)
-		}
-	}
-	c.queue = append(c.queue, ops...)
-	c.next()
-}
-
-func (c *databaseConnection) next() {
-	if c.running || !c.open {
-		return
-	}
-	if len(c.queue) == 0 {
-		if c.closing {
-			c.drop()
-		}
-		return
-	}
-	o := c.queue[0]
-	c.queue = c.queue[1:]
-	c.running = true
-	gen := c.database.generation
-	c.exec(o, func(a ports.Response) {
-		if !c.database.up || c.database.generation != gen {
-			return
-		}
-		c.running = false
-		if !c.open {
-			return
-		}
-		a.State, a.Position = c.state, c.database.position()
-		if c.stream != nil {
-			c.reply(o, a)
-		}
-		c.next()
-	})
-}
-
-// reply sends an answer, unless it is to be lost.
-func (c *databaseConnection) reply(o ports.Op, a ports.Response) {
-	d := c.database
-	if !o.Internal && o.Statement.Kind != ports.Begin && o.Statement.Kind != ports.BeginRead && d.fleet.Chance(d.lostReplyShare) {
-		if d.lostReplyKind == 0 {
-			return // never comes
-		}
-		s := c.stream
-		c.drop()
-		d.fleet.network.carry(d.ip, s.node.ip, func() { s.lost(true, "reset") })
-		return
-	}
-	c.stream.answer(a)
-}
-
-func bad(code ports.Code, text string) ports.Response {
-	return ports.Response{Code: code, Text: text, Body: []byte("error " + text)}
-}
-
-// lostLead says that a transaction that may write stands on a database that
-// leads no more.
+// lostLead says whether a transaction that may write is open on a database that is
+// not the primary of its term any more.
 func (c *databaseConnection) lostLead() bool {
-	return c.transaction != nil && c.transaction.plain && (!c.database.primary || c.database.term != c.transaction.term)
+	return c.transaction != nil && c.transaction.mayWrite && (!c.database.primary || c.database.term != c.transaction.term)
 }
 
-func (c *databaseConnection) checkPosition(p ports.Position) bool {
+// lacksPosition says whether the database does not show a position yet that a
+// statement has to come after.
+func (c *databaseConnection) lacksPosition(p ports.Position) bool {
 	return p.Known() && c.database.fleet.Plan.Mutation != AfterIgnored && c.database.position().Before(p)
 }
 
+// fail ends a statement that failed; it fails its transaction too.
 func (c *databaseConnection) fail(code ports.Code, text string) ports.Response {
 	if c.transaction != nil {
 		c.state = ports.TransactionFailed
 	}
-	return bad(code, text)
+	return errorResponse(code, text)
 }
 
+// beginTimeUs is how long a database takes to begin a transaction.
+const beginTimeUs = 50
+
+// exec runs one operation; done hears its response, or nothing where the connection
+// is dropped before.
 func (c *databaseConnection) exec(o ports.Op, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
-	statement := o.Statement
 	if o.Internal {
-		c.execOwn(o, done)
+		c.execInternal(o, done)
 		return
 	}
-	truth := f.oracle.statement(statement.ID)
-	if truth == nil {
-		f.oracle.violation("UNASKED: %s was sent statement %q, which no caller sent", d.id, statement.ID)
-		done(bad(ports.Malformed, "unknown"))
+	sent := f.oracle.statement(o.Statement.ID)
+	if sent == nil {
+		f.oracle.violation("UNASKED: %s was sent statement %q, which no caller sent", d.id, o.Statement.ID)
+		done(errorResponse(ports.Malformed, "unknown"))
 		return
 	}
-	if string(statement.Raw) != truth.raw {
-		f.oracle.violation("UNASKED: %s was sent %q as %q", d.id, truth.raw, statement.Raw)
+	if string(o.Statement.Raw) != sent.raw {
+		f.oracle.violation("UNASKED: %s was sent %q as %q", d.id, sent.raw, o.Statement.Raw)
 	}
 	if c.state == ports.TransactionFailed {
-		if statement.Kind == ports.Commit {
-			c.transaction, c.state = nil, ports.Idle
-			done(bad(ports.RolledBack, "failed before"))
-			return
-		}
-		done(bad(ports.Malformed, "only its end is taken"))
+		done(c.endFailedTransaction(o.Statement.Kind))
 		return
 	}
-	switch statement.Kind {
+	switch o.Statement.Kind {
 	case ports.Begin, ports.BeginRead:
-		us := int64(50)
-		f.After(us, func() {
-			switch {
-			case c.state != ports.Idle:
-				done(bad(ports.Malformed, "inside a transaction"))
-			case c.checkPosition(o.After):
-				if f.failedBeginBreaksConnection {
-					c.state = ports.TransactionFailed
-				}
-				done(bad(ports.Lagging, d.id))
-			case statement.Kind == ports.Begin && !d.primary:
-				if f.failedBeginBreaksConnection {
-					c.state = ports.TransactionFailed
-				}
-				done(bad(ports.ReadOnly, d.id))
-			default:
-				c.transaction = &databaseTransaction{begin: truth, plain: statement.Kind == ports.Begin, term: d.term}
-				c.state = ports.InTransaction
-				done(ports.Response{Body: []byte("complete -")})
-			}
-		})
+		f.After(beginTimeUs, func() { done(c.begin(o, sent)) })
 	case ports.Read, ports.Write, ports.Execute:
-		writes := statement.Kind == ports.Write
-		if statement.Kind == ports.Execute {
-			sh, ok := c.prepared[o.Name]
-			if !ok {
-				done(c.fail(ports.UnknownPreparedStatement, "no such name"))
-				return
-			}
-			writes = sh.writes
-			f.oracle.preparedRan(d, truth, sh)
-		}
-		x := c.transaction
-		if !d.work(truth.workUs, false, func() {
-			if c.transaction != x {
-				return // rolled back meanwhile
-			}
-			c.execRun(o, truth, writes, done)
-		}) {
-			done(bad(ports.Busy, "the line is full"))
-		}
+		c.startStatement(o, sent, done)
 	case ports.Commit:
-		if c.transaction == nil {
-			done(bad(ports.Malformed, "no transaction"))
+		c.startCommit(sent, done)
+	default:
+		f.oracle.violation("%s was sent %q", d.id, sent.raw)
+		done(errorResponse(ports.Malformed, "not a statement"))
+	}
+}
+
+// endFailedTransaction is all that a failed transaction takes: its end.
+func (c *databaseConnection) endFailedTransaction(kind ports.StatementKind) ports.Response {
+	if kind != ports.Commit {
+		return errorResponse(ports.Malformed, "only its end is taken")
+	}
+	c.transaction, c.state = nil, ports.Idle
+	return errorResponse(ports.RolledBack, "failed before")
+}
+
+// begin begins a transaction.
+func (c *databaseConnection) begin(o ports.Op, sent *Statement) ports.Response {
+	d := c.database
+	mayWrite := o.Statement.Kind == ports.Begin
+	switch {
+	case c.state != ports.Idle:
+		return errorResponse(ports.Malformed, "inside a transaction")
+	case c.lacksPosition(o.After):
+		return c.failBegin(ports.Lagging)
+	case mayWrite && !d.primary:
+		return c.failBegin(ports.ReadOnly)
+	}
+	c.transaction = &databaseTransaction{begin: sent, mayWrite: mayWrite, term: d.term}
+	c.state = ports.InTransaction
+	return ports.Response{Body: []byte("complete -")}
+}
+
+// failBegin rejects a beginning. Some databases then take the rest of the transaction
+// that was sent along for statements on their own, others fail the connection.
+func (c *databaseConnection) failBegin(code ports.Code) ports.Response {
+	if c.database.fleet.failedBeginBreaksConnection {
+		c.state = ports.TransactionFailed
+	}
+	return errorResponse(code, c.database.id)
+}
+
+// startStatement runs a read, a write or a prepared statement once the database has
+// a slot for it.
+func (c *databaseConnection) startStatement(o ports.Op, sent *Statement, done func(ports.Response)) {
+	writes := o.Statement.Kind == ports.Write
+	if o.Statement.Kind == ports.Execute {
+		prepared, ok := c.prepared[o.Name]
+		if !ok {
+			done(c.fail(ports.UnknownPreparedStatement, "no such name"))
 			return
 		}
-		if !d.work(f.Between(500, 2_000), false, func() { c.execCommit(truth, done) }) {
-			done(bad(ports.Busy, "the line is full"))
+		writes = prepared.writes
+		c.database.fleet.oracle.preparedRan(c.database, sent, prepared)
+	}
+	transaction := c.transaction
+	accepted := c.database.work(sent.workUs, false, func() {
+		if c.transaction == transaction { // else it was rolled back meanwhile
+			c.execStatement(o, sent, writes, done)
 		}
-	default:
-		f.oracle.violation("%s was sent %q", d.id, truth.raw)
-		done(bad(ports.Malformed, "not a statement"))
+	})
+	if !accepted {
+		done(errorResponse(ports.Busy, "the line is full"))
+	}
+}
+
+// startCommit commits once the database has a slot for it.
+func (c *databaseConnection) startCommit(sent *Statement, done func(ports.Response)) {
+	if c.transaction == nil {
+		done(errorResponse(ports.Malformed, "no transaction"))
+		return
+	}
+	if !c.database.work(c.database.fleet.Between(500, 2_000), false, func() { c.execCommit(sent, done) }) {
+		done(errorResponse(ports.Busy, "the line is full"))
 	}
 }
 
-func (c *databaseConnection) execRun(o ports.Op, statement *Statement, writes bool, done func(ports.Response)) {
+// execStatement runs a read, a write or a prepared statement in the slot it got.
+func (c *databaseConnection) execStatement(o ports.Op, statement *Statement, writes bool, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
 	switch {
 	case c.lostLead():
 		done(c.fail(ports.ReadOnly, d.id))
 		return
-	case c.checkPosition(o.After):
+	case c.lacksPosition(o.After):
 		done(c.fail(ports.Lagging, d.id))
 		return
-	case writes && (!d.primary || c.transaction != nil && !c.transaction.plain):
+	case writes && (!d.primary || c.transaction != nil && !c.transaction.mayWrite):
 		done(c.fail(ports.ReadOnly, d.id))
 		return
 	}
 	f.oracle.statementRan(c, statement)
-	if f.Chance(d.failedStatementShare) {
+	if f.Chance(d.failureProbability) {
 		if writes && c.transaction == nil && f.Chance(0.5) {
 			d.append(statement, []*Statement{statement})
 		}
 		done(c.fail(ports.Failed, "it failed"))
 		return
 	}
-	if f.Chance(f.Plan.ConflictShare) {
+	if f.Chance(f.Plan.ConflictProbability) {
 		c.state = ports.Idle
 		if c.transaction != nil {
 			c.state = ports.TransactionFailed
 		}
-		done(bad(ports.RolledBack, "a conflict"))
+		done(errorResponse(ports.RolledBack, "a conflict"))
 		return
 	}
 	body := f.oracle.makeResult(statement, d)
@@ -257,7 +171,7 @@
 	case writes:
 		e := d.append(statement, []*Statement{statement})
 		if f.Plan.Mutation == BusyThatRan && f.Chance(0.05) {
-			done(bad(ports.Busy, "planted"))
+			done(errorResponse(ports.Busy, "planted"))
 			return
 		}
 		if f.Plan.Mutation == RunsTwice && f.Chance(0.01) {
@@ -269,26 +183,12 @@
 	}
 }
 
-func (c *databaseConnection) await(e *entry, body []byte, done func(ports.Response)) {
-	d := c.database
-	d.confirmed(e, func(ok bool) {
-		if ok {
-			done(ports.Response{Stamped: true, Body: body})
-			return
-		}
-		// Nobody can tell: it breaks off.
-		if s := c.stream; s != nil {
-			c.drop()
-			d.fleet.network.carry(d.ip, s.node.ip, func() { s.lost(true, "reset") })
-		}
-	})
-}
-
+// execCommit commits the open transaction.
 func (c *databaseConnection) execCommit(statement *Statement, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
 	x := c.transaction
-	if x == nil { // dropped meanwhile
-		done(bad(ports.RolledBack, "gone"))
+	if x == nil { // it was dropped meanwhile
+		done(errorResponse(ports.RolledBack, "gone"))
 		return
 	}
 	if len(x.writes) > 0 && c.lostLead() {
@@ -297,8 +197,8 @@
 	}
 	f.oracle.statementRan(c, statement)
 	c.transaction, c.state = nil, ports.Idle
-	if f.Chance(f.Plan.ConflictShare) {
-		done(bad(ports.RolledBack, "a conflict"))
+	if f.Chance(f.Plan.ConflictProbability) {
+		done(errorResponse(ports.RolledBack, "a conflict"))
 		return
 	}
 	body := f.oracle.makeResult(statement, d)
@@ -309,17 +209,21 @@
 	c.await(d.append(statement, x.writes), body, done)
 }
 
-func (c *databaseConnection) execOwn(o ports.Op, done func(ports.Response)) {
+// internalTimeUs is how long a database takes for an operation on its connection.
+const internalTimeUs = 30
+
+// execInternal runs an operation of the node itself, which changes only the connection.
+func (c *databaseConnection) execInternal(o ports.Op, done func(ports.Response)) {
 	d, f := c.database, c.database.fleet
 	statement := o.Statement
 	name := statement.Name
 	if o.Name != "" {
 		name = o.Name
 	}
-	f.After(30, func() {
+	f.After(internalTimeUs, func() {
 		ok := ports.Response{Body: []byte("complete -")}
 		if c.state == ports.TransactionFailed && statement.Kind != ports.Rollback {
-			done(bad(ports.Malformed, "only its end is taken"))
+			done(errorResponse(ports.Malformed, "only its end is taken"))
 			return
 		}
 		switch statement.Kind {
@@ -337,7 +241,7 @@
 		case ports.Rollback:
 			c.transaction, c.state = nil, ports.Idle
 		default:
-			f.oracle.violation("%s was sent an own statement of kind %d", d.id, statement.Kind)
+			f.oracle.violation("%s was sent an internal statement of kind %d", d.id, statement.Kind)
 		}
 		done(ok)
 	})
