--- a/failover/fenced/group_test.go
+++ b/failover/fenced/group_test.go
@@ -10,15 +10,15 @@
 	"stoneford/schema"
 )
 
-// testGroup is one group as a decider meets it: databases that answer at once, a
-// register that agrees to each change, a platform.
+// testGroup is one group as a core sees it: databases that answer at once, a register
+// that commits each proposal, a platform.
 type testGroup struct {
 	t            *testing.T
 	group        *Group
 	now          int64
 	input        Input
-	statuses     map[string]*ports.DatabaseStatus // nil: nobody listens there
-	unresponsive map[string]bool                  // it does not answer
+	statuses     map[string]*ports.DatabaseStatus // nil: nothing listens there
+	unresponsive map[string]bool                  // does not answer
 	calls        []DatabaseCall
 	promotions   []Promote
 }
@@ -61,7 +61,7 @@
 		switch e := e.(type) {
 		case ProposeState:
 			if e.BaseRevision != w.input.Revision {
-				w.t.Fatalf("a change on revision %d of %d", e.BaseRevision, w.input.Revision)
+				w.t.Fatalf("a proposal on revision %d of %d", e.BaseRevision, w.input.Revision)
 			}
 			w.input.State = &schema.Leadership{}
 			if err := proto.Unmarshal(e.Data, w.input.State); err != nil {
@@ -107,7 +107,7 @@
 	w.group.HandleDatabaseReply(w.now, DatabaseReply{ID: e.ID, Status: *s})
 }
 
-// promote is what the platform does some time after it was asked.
+// promote is what the platform does some time after a call.
 func (w *testGroup) promote(id string) {
 	w.statuses[id].Primary, w.statuses[id].Term, w.statuses[id].FrozenTerm = true, 2, 0
 	for i := range w.input.Instances {
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestEmergencyReparent: the furthest of the held followers is promoted, the others resume and
-// the old primary steps down when it is back.
+// TestEmergencyReparent: the most advanced frozen replica is promoted, the others are
+// resumed and the old primary steps down when it is back.
 func TestEmergencyReparent(t *testing.T) {
 	w := newTestGroup(t)
 	w.statuses["c"].Received = pos(12)
@@ -138,7 +138,7 @@
 	w.advance(100_000)
 	w.requirePhase(ports.PhasePromoting)
 	if len(w.promotions) != 1 || w.promotions[0].ID != "c" || w.statuses["b"].FrozenTerm != 2 || w.statuses["c"].FrozenTerm != 2 {
-		t.Fatalf("asked for %v with %v", w.promotions, w.statuses["b"])
+		t.Fatalf("promotions %v with %v", w.promotions, w.statuses["b"])
 	}
 	w.promote("c")
 	w.advance(200_000)
@@ -150,7 +150,7 @@
 	w.statuses["a"] = &ports.DatabaseStatus{Primary: true, Term: 1, Received: pos(12)}
 	w.advance(1_000_000)
 	if w.statuses["a"].Primary || w.statuses["b"].FrozenTerm != 0 {
-		t.Fatalf("not tidied up: %v %v", w.statuses["a"], w.statuses["b"])
+		t.Fatalf("not cleaned up: %v %v", w.statuses["a"], w.statuses["b"])
 	}
 }
 
@@ -168,18 +168,18 @@
 	w.reportUnreachable("a", true)
 	w.advance(3_000_000)
 	if len(w.promotions) != 0 {
-		t.Fatalf("asked for %v without a member's word", w.promotions)
+		t.Fatalf("promotions %v without a member's position", w.promotions)
 	}
 	w.input.Instances = all
 	w.statuses["c"].Received = pos(11)
 	w.advance(200_000)
 	if len(w.promotions) != 1 || w.promotions[0].ID != "c" {
-		t.Fatalf("asked for %v", w.promotions)
+		t.Fatalf("promotions %v", w.promotions)
 	}
 }
 
-// TestEmergencyReparentWithMissingReplica: one that may hold the newest commit is waited for, unless
-// what was acknowledged is known to lie within what the other holds.
+// TestEmergencyReparentWithMissingReplica: a replica that may have the newest commit is
+// waited for, unless the other one is known to have every acknowledged commit.
 func TestEmergencyReparentWithMissingReplica(t *testing.T) {
 	for _, c := range []struct {
 		acknowledged int64
@@ -192,13 +192,13 @@
 		w.reportUnreachable("a", true)
 		w.advance(2_000_000)
 		if min(len(w.promotions), 1) != c.up {
-			t.Fatalf("%+v: asked for %v", c, w.promotions)
+			t.Fatalf("%+v: promotions %v", c, w.promotions)
 		}
 	}
 }
 
-// TestPromotionWaitsForOlderRevision: the platform is asked only once no node relies on the old
-// primary any more.
+// TestPromotionWaitsForOlderRevision: the platform is called only once no node relies on
+// the old primary any more.
 func TestPromotionWaitsForOlderRevision(t *testing.T) {
 	w := newTestGroup(t)
 	w.statuses["a"] = nil
@@ -207,17 +207,17 @@
 	w.advance(1_000_000)
 	w.requirePhase(ports.PhaseFreezing)
 	if len(w.promotions) != 0 {
-		t.Fatal("the platform was asked while a node relied on the old primary")
+		t.Fatal("the platform was called while a node relied on the old primary")
 	}
 	w.input.NoOlderRevisionInUse = true
 	w.advance(200_000)
 	if len(w.promotions) != 1 {
-		t.Fatal("the platform was not asked")
+		t.Fatal("the platform was not called")
 	}
 }
 
-// TestOldPrimaryReturns: a primary that is back before anyone was asked for leads on, and its
-// followers resume.
+// TestOldPrimaryReturns: a primary that is back before the platform was called stays the
+// primary, and its replicas are resumed.
 func TestOldPrimaryReturns(t *testing.T) {
 	w := newTestGroup(t)
 	w.input.NoOlderRevisionInUse = false
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestPlannedReparent: a primary that says that it leaves is switched away from, with
-// nothing new begun first, and not to one that leaves as well.
+// TestPlannedReparent: a primary that drains is replaced, after nothing new is sent to
+// it, and not by a replica that drains as well.
 func TestPlannedReparent(t *testing.T) {
 	w := newTestGroup(t)
 	w.input.Instances[0].Draining, w.input.Instances[1].Draining = true, true
@@ -248,12 +248,12 @@
 	}
 	w.requirePhase(ports.PhaseDraining)
 	if len(w.promotions) != 0 {
-		t.Fatal("the platform was asked before anything was closed")
+		t.Fatal("the platform was called before the primary was drained")
 	}
 	w.input.Idle = true
 	w.advance(200_000)
 	if len(w.promotions) != 1 || w.promotions[0].ID != "c" {
-		t.Fatalf("asked for %v", w.promotions)
+		t.Fatalf("promotions %v", w.promotions)
 	}
 }
 
@@ -271,17 +271,17 @@
 	}
 	w.advance(1_000_000)
 	if len(w.promotions) != 2 {
-		t.Fatalf("asked %d times while the answer may come", len(w.promotions))
+		t.Fatalf("called %d times while the response may come", len(w.promotions))
 	}
 	w.statuses["c"] = nil
 	w.advance(2_000_000)
 	if last := w.promotions[len(w.promotions)-1]; last.ID != "b" && !slices.ContainsFunc(w.promotions, func(p Promote) bool { return p.ID == "b" }) {
-		t.Fatalf("never asked for the other: %v", w.promotions)
+		t.Fatalf("never called for the other: %v", w.promotions)
 	}
 }
 
-// TestMembers: one that is gone is left out only once the others hold what the
-// primary held after it went.
+// TestMembers: a member that is gone is removed only once the others have what the
+// primary had after it went.
 func TestMembers(t *testing.T) {
 	w := newTestGroup(t)
 	w.input.Instances = w.input.Instances[:2]
@@ -289,7 +289,7 @@
 	w.statuses["a"].Received = pos(20)
 	w.advance(2_000_000)
 	if !slices.Contains(w.input.Members, "c") {
-		t.Fatal("left out while the other lacks what the primary holds")
+		t.Fatal("removed while the other one lacks commits of the primary")
 	}
 	w.statuses["b"].Received = pos(20)
 	w.advance(1_000_000)
--- a/failover/fenced/site_move_test.go
+++ b/failover/fenced/site_move_test.go
@@ -10,8 +10,8 @@
 	"stoneford/schema"
 )
 
-// moveTest drives one group's decider: d1 leads at a, d2 follows at b, d3 at c; a
-// move to b by table 5 is agreed.
+// moveTest drives one group's core: d1 is the primary at a, d2 and d3 are replicas at
+// b and c; a move to b by table 5 is committed.
 type moveTest struct {
 	t            *testing.T
 	group        *Group
@@ -19,7 +19,7 @@
 	input        Input
 	status       map[string]ports.DatabaseStatus
 	unresponsive map[string]bool // does not answer
-	commands     []string        // what databases and the platform were asked
+	commands     []string        // to databases and the platform
 }
 
 func newMoveTest(t *testing.T) *moveTest {
@@ -35,7 +35,7 @@
 	return x
 }
 
-// run lets time pass, answers questions and has what is proposed agreed.
+// run lets time pass, answers calls and commits proposals.
 func (x *moveTest) run(us int64) {
 	for until := x.now + us; x.now < until; x.now += 10_000 {
 		for _, id := range x.input.Members {
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestSiteMove: the group ends at the site, under the floor, and the old primary
-// stepped down before the platform was asked.
+// TestSiteMove: the group ends at the site, under its table, and the old primary
+// stepped down before the platform was called.
 func TestSiteMove(t *testing.T) {
 	x := newMoveTest(t)
 	x.run(3_000_000)
@@ -91,19 +91,19 @@
 	}
 }
 
-// TestSiteMoveCancelledWhenReplicaLags where the database at the site does not come level: nobody is
-// promoted, and the floor is kept.
+// TestSiteMoveCancelledWhenReplicaLags: no replica is promoted where that at the site
+// does not catch up, and the table is kept.
 func TestSiteMoveCancelledWhenReplicaLags(t *testing.T) {
 	x := newMoveTest(t)
 	x.status["d2"] = ports.DatabaseStatus{Term: 1, Received: ports.Position{Term: 1, Number: 6}}
 	x.run(3_000_000)
 	if l := x.input.State; l.Primary != "d1" || l.Phase != uint32(ports.PhaseServing) || l.TableRevision != 5 || l.Term != 1 || len(x.commands) > 0 {
-		t.Errorf("%v, asked %v", l, x.commands)
+		t.Errorf("%v, commands %v", l, x.commands)
 	}
 }
 
-// TestSiteMoveCancelledWhenAnotherIsAhead: what the held followers have decides, and
-// the old primary leads on; those that were held go on.
+// TestSiteMoveCancelledWhenAnotherIsAhead: the positions of the frozen replicas decide,
+// and the old primary stays the primary; the replicas are resumed.
 func TestSiteMoveCancelledWhenAnotherIsAhead(t *testing.T) {
 	x := newMoveTest(t)
 	for x.input.State.Phase != uint32(ports.PhaseFreezing) {
@@ -112,17 +112,17 @@
 	x.status["d3"] = ports.DatabaseStatus{Term: 1, Received: ports.Position{Term: 1, Number: 8}}
 	x.run(4_000_000)
 	if l := x.input.State; l.Primary != "d1" || l.Phase != uint32(ports.PhaseServing) || len(x.commands) > 0 {
-		t.Errorf("%v, asked %v", l, x.commands)
+		t.Errorf("%v, commands %v", l, x.commands)
 	}
 	for id, s := range x.status {
 		if s.FrozenTerm > 0 {
-			t.Errorf("%s is held", id)
+			t.Errorf("%s is frozen", id)
 		}
 	}
 }
 
-// TestSiteMoveWithLostPrimary: one that is lost in the middle is taken over from,
-// and of equals the one at the site is chosen.
+// TestSiteMoveWithLostPrimary: a primary that is lost in the middle is replaced, and of
+// equally advanced replicas the one at the site is chosen.
 func TestSiteMoveWithLostPrimary(t *testing.T) {
 	x := newMoveTest(t)
 	for x.input.State.Phase != uint32(ports.PhaseDraining) {
@@ -131,6 +131,6 @@
 	x.unresponsive["d1"] = true
 	x.run(4_000_000)
 	if l := x.input.State; l.Primary != "d2" || l.Phase != uint32(ports.PhaseServing) || l.TableRevision != 5 {
-		t.Errorf("%v, asked %v", l, x.commands)
+		t.Errorf("%v, commands %v", l, x.commands)
 	}
 }
--- a/failover/sealed/sealed_test.go
+++ b/failover/sealed/sealed_test.go
@@ -115,7 +115,7 @@
 	g.run(5_000_000)
 	g.requireState(t, schema.Phase_OPEN, "b", 2)
 	if got := strings.Join(g.reparents, " "); !strings.Contains(got, "b@2") || strings.Contains(got, "c@2") {
-		t.Errorf("the platform was asked for %s", got)
+		t.Errorf("the platform was called for %s", got)
 	}
 	// The old primary is ahead by two commits that were never acknowledged, in an older
 	// epoch: it is not preferred, and follows.
@@ -154,7 +154,7 @@
 func TestOneSealSufficesAfterSetAside(t *testing.T) {
 	g := newGroup()
 	g.run(2_000_000)
-	g.write(3, "a", "c") // acknowledged on the word of c; b is behind
+	g.write(3, "a", "c") // acknowledged by c; b is behind
 	g.input.SetAside = "c"
 	g.run(2_000_000)
 	if m := g.input.State.Members[2]; m.Identity == "" || g.databases["c"].Role != "sealed" || g.input.State.Epoch != 1 {
@@ -174,7 +174,7 @@
 	g.run(5_000_000)
 	g.requireState(t, schema.Phase_OPEN, "b", 0)
 	if m := g.input.State.Members[2]; m.Identity != "c#2" || m.Retiring != "" {
-		t.Errorf("the new copy counts as %v", m)
+		t.Errorf("the new database counts as %v", m)
 	}
 }
 
--- a/internal/fleetstate/fleet_test.go
+++ b/internal/fleetstate/fleet_test.go
@@ -31,7 +31,7 @@
 type provider struct{}
 
 func (provider) Promote(context.Context, string, string, string, uint64) (int, error) {
-	return 0, errors.New("nobody is asked in this test")
+	return 0, errors.New("no database is called in this test")
 }
 
 // quietEdge serves nobody.
@@ -82,7 +82,7 @@
 	first := freeRange(t, ips)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 4)
-	boot := func(n int) ports.ProcessConfig {
+	config := func(n int) ports.ProcessConfig {
 		b := ports.ProcessConfig{Name: fmt.Sprintf("machine-%d", n+1), Zone: fmt.Sprintf("zone-%d", n+1), IP: ips[n], PortFirst: first, PortLast: first + 3,
 			DataFolder: filepath.Join(t.TempDir(), ips[n]), Bootstrap: true}
 		for _, ip := range ips {
@@ -92,14 +92,14 @@
 	}
 	var controls []ports.ControlProcess
 	for n := range ips {
-		p, err := coordinator.NewProcess(boot(n), databases{}, provider{})
+		p, err := coordinator.NewProcess(config(n), databases{}, provider{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		controls = append(controls, p)
 		go func() { ended <- p.Run(ctx) }()
 	}
-	node := sessionpool.NewProcess(boot(0), clockwork.NewRealClock(), sessionpool.Edges{Frontend: quietCallers{}, Readiness: quietProbe{}, Dialer: quietEdge{}}, sessiontable.Options{})
+	node := sessionpool.NewProcess(config(0), clockwork.NewRealClock(), sessionpool.Edges{Frontend: quietCallers{}, Readiness: quietProbe{}, Dialer: quietEdge{}}, sessiontable.Options{})
 	go func() { ended <- node.Run(ctx) }()
 	defer func() {
 		stop()
