--- a/failover/fenced/analysis.go
+++ b/failover/fenced/analysis.go
@@ -122,8 +122,8 @@
 	Primary ports.Instance
 	// Target is the database that becomes, or already is, the next primary.
 	Target ports.Instance
-	// Freeze is which replicas are frozen, where that counts.
-	Freeze freezeState
+	// freeze is which replicas are frozen, where that counts.
+	freeze freezeState
 
 	// polls are the databases whose answers would make the analysis more certain.
 	polls []statusPoll
@@ -337,12 +337,12 @@
 		a.Code, a.Target = PromotionTookEffect, promoted
 		return a
 	}
-	a.Freeze = g.freezeState(input, g.change.since)
-	if len(a.Freeze.frozen) == 0 {
+	a.freeze = g.freezeState(input, g.change.since)
+	if len(a.freeze.frozen) == 0 {
 		return a
 	}
-	a.Target = g.newestReplica(input, a.Freeze.frozen)
-	if !g.missingReplicasDispensable(now, input, a.Target, a.Freeze) {
+	a.Target = g.newestReplica(input, a.freeze.frozen)
+	if !g.missingReplicasDispensable(now, input, a.Target, a.freeze) {
 		return a
 	}
 	if !input.NoOlderRevisionInUse {
@@ -427,19 +427,19 @@
 	if g.promotion.requestedAt == 0 {
 		frozenSince = g.change.since
 	}
-	a.Freeze = g.freezeState(input, frozenSince)
-	if !slices.ContainsFunc(a.Freeze.frozen, func(i ports.Instance) bool { return i.ID == target.ID }) {
+	a.freeze = g.freezeState(input, frozenSince)
+	if !slices.ContainsFunc(a.freeze.frozen, func(i ports.Instance) bool { return i.ID == target.ID }) {
 		if g.promotion.requestedAt == 0 && g.lease.mayCommand && g.commandedFor(now) > targetTimeout {
 			a.Code, a.Reason = TargetUnusable, "the chosen one cannot be held"
 		}
 		return a
 	}
-	newest := g.databases[g.newestReplica(input, a.Freeze.frozen).ID]
+	newest := g.databases[g.newestReplica(input, a.freeze.frozen).ID]
 	if newest.status.Received.Compare(g.databases[target.ID].status.Received) > 0 {
 		a.Code, a.Reason = TargetUnusable, "another is further by now"
 		return a
 	}
-	if !g.allDispensable(now, input, a.Freeze, departureGracePeriod) {
+	if !g.allDispensable(now, input, a.freeze, departureGracePeriod) {
 		return a
 	}
 	a.Code = PromotionDue
--- a/failover/fenced/emergency_reparent.go
+++ b/failover/fenced/emergency_reparent.go
@@ -47,29 +47,29 @@
 
 // continueFreeze freezes the replicas that are not frozen yet.
 func (g *Group) continueFreeze(now int64, input Input, a Analysis) {
-	g.freezeReplicas(now, input, a.Freeze)
+	g.freezeReplicas(now, input, a.freeze)
 }
 
 // chooseTarget commits the most advanced replica as the next primary. The
 // platform may be called as soon as that is committed, so the state says already
 // that it was.
 func (g *Group) chooseTarget(now int64, input Input, a Analysis) {
-	g.freezeReplicas(now, input, a.Freeze)
+	g.freezeReplicas(now, input, a.freeze)
 	next := nextState(input, ports.PhasePromoting, input.State.Cause)
 	next.Primary, next.Address, next.PromotionRequested = a.Target.ID, a.Target.Address, true
 	var positions []string
-	for _, i := range a.Freeze.frozen {
+	for _, i := range a.freeze.frozen {
 		received := g.databases[i.ID].status.Received
 		positions = append(positions, fmt.Sprintf("%s at %d.%d", i.ID, received.Term, received.Number))
 	}
-	g.logf(result.FailoverTargetChosen, "%s: %s is the most advanced of %v, %d missing", input.Group, a.Target.ID, positions, a.Freeze.missing())
+	g.logf(result.FailoverTargetChosen, "%s: %s is the most advanced of %v, %d missing", input.Group, a.Target.ID, positions, a.freeze.missing())
 	g.propose(now, input, next)
 }
 
 // chooseAnotherTarget goes back to phase Freezing. What was observed frozen
 // before does not count any more.
 func (g *Group) chooseAnotherTarget(now int64, input Input, a Analysis) {
-	g.freezeReplicas(now, input, a.Freeze)
+	g.freezeReplicas(now, input, a.freeze)
 	for _, database := range g.databases {
 		if database.known {
 			database.frozenTerm = 0
--- a/failover/fenced/promotion.go
+++ b/failover/fenced/promotion.go
@@ -34,7 +34,7 @@
 
 // promoteTarget calls the platform once the old primary has stepped down.
 func (g *Group) promoteTarget(now int64, input Input, a Analysis) {
-	g.freezeReplicas(now, input, a.Freeze)
+	g.freezeReplicas(now, input, a.freeze)
 	if !g.oldPrimarySteppedDown(now, input) {
 		return
 	}
--- a/failover/fenced/site_move.go
+++ b/failover/fenced/site_move.go
@@ -122,7 +122,7 @@
 // abandonOvertakenSiteMove ends a move where a replica elsewhere turned out to be
 // more advanced, if the old primary can serve on.
 func (g *Group) abandonOvertakenSiteMove(now int64, input Input, a Analysis) {
-	g.freezeReplicas(now, input, a.Freeze)
+	g.freezeReplicas(now, input, a.freeze)
 	old, _ := input.instance(input.State.PreviousPrimary)
 	if !g.leadsOn(input, old) {
 		g.poll(now, old, promotionPollInterval)
