--- a/connectionlease/lessor.go
+++ b/connectionlease/lessor.go
@@ -89,7 +89,9 @@
 
 // HandleRequest answers a node's request. limits are the databases' connection
 // limits; eligible says whether the node is to have any connections at all.
-func (l *Lessor) HandleRequest(now int64, node string, request *schema.ConnectionLeaseRequest, limits map[string]int32, eligible bool) *schema.ConnectionLeaseResponse {
+func (l *Lessor) HandleRequest(
+	now int64, node string, request *schema.ConnectionLeaseRequest, limits map[string]int32, eligible bool,
+) *schema.ConnectionLeaseResponse {
 	maps.DeleteFunc(l.leases, func(_ lesseeKey, lease *lease) bool { return now >= lease.expiresAt })
 	own := l.lease(lesseeKey{node, request.Run})
 	if request.RequestNumber > own.requestNumber {
--- a/failover/fenced/analysis.go
+++ b/failover/fenced/analysis.go
@@ -17,14 +17,14 @@
 	// longer one adds to each emergency reparent.
 	primaryTimeout = 450 * time.Millisecond
 	// announcementTimeout is how late an announcement has to be for the primary to
-	// be checked although no node reports it. Databases announce themselves every
-	// second or so, and announcements may be lost.
+	// be checked although no node reports it. Single announcements may be lost.
 	announcementTimeout = 4 * time.Second
 	// departureGracePeriod is how long a primary that departed, or a replica that is
 	// missed, is waited for: it may announce itself again under another identity.
 	departureGracePeriod = 300 * time.Millisecond
-	// drainTimeout is the longest time that statements in flight hold up a planned
-	// change. Those that still run then end with the primary's role.
+	// drainTimeout is the longest time that a planned change waits for open
+	// transactions. A longer one would let more of them end by themselves, and makes
+	// everything new wait for that long.
 	drainTimeout = 250 * time.Millisecond
 	// targetTimeout is how long a target may be absent, or resist being frozen, and
 	// how long the old primary's step-down is waited for.
--- a/failover/fenced/cleanup.go
+++ b/failover/fenced/cleanup.go
@@ -13,8 +13,7 @@
 	// resumeRetryInterval is between two commands to a frozen replica to resume.
 	resumeRetryInterval = 250 * time.Millisecond
 	// cleanUpPeriod is how long after a change former primaries are made to step
-	// down and frozen replicas are resumed. Whatever returns later is found by
-	// resumeStrayFrozen or announces itself.
+	// down and frozen replicas are resumed.
 	cleanUpPeriod = 8 * time.Second
 	// strayFreezeWatchPeriod is how long after a claim replicas are watched for a
 	// freeze that the owner before commanded and that took effect late.
--- a/failover/fenced/planned_reparent.go
+++ b/failover/fenced/planned_reparent.go
@@ -16,8 +16,8 @@
 	// change starts; it receives them while the primary drains.
 	maxReplicaLagCommits = 400
 	// plannedReparentTimeout is when a primary that drains is replaced whatever the
-	// state of its replicas. It has to fit into the time that the platform gives a
-	// database to stop.
+	// state of its replicas: later it may stop by itself, and the change would be an
+	// emergency reparent.
 	plannedReparentTimeout = 4500 * time.Millisecond
 )
 
--- a/failover/sealed/sealing.go
+++ b/failover/sealed/sealing.go
@@ -16,8 +16,7 @@
 	// sealRetryInterval is between two requests to a member to seal itself.
 	sealRetryInterval = 150 * time.Millisecond
 	// lastMemberGracePeriod is how long a member that answers is waited for once
-	// enough others are sealed: it may be the most advanced one, and a primary
-	// without it would have it discard commits.
+	// enough others are sealed: it may be the most advanced one.
 	lastMemberGracePeriod = 300 * time.Millisecond
 	// sealLogDelay is how long members may take to be sealed before the log says
 	// so, and sealLogInterval is between two such entries.
--- a/internal/fleetstate/describe.go
+++ b/internal/fleetstate/describe.go
@@ -50,10 +50,22 @@
 
 // resultNames are the names of results as operators see them.
 var resultNames = [ports.UnknownCode + 1]string{
-	ports.Done: "done", ports.Busy: "busy", ports.RolledBack: "rolled back", ports.Lagging: "lagging", ports.ReadOnly: "read only",
-	ports.WrongInstance: "wrong instance", ports.TooManyConnections: "too many connections", ports.Failed: "failed", ports.UnknownPreparedStatement: "no prepared name",
-	ports.Timeout: "timeout", ports.InDoubt: "in doubt", ports.Malformed: "malformed", ports.DatabaseUnavailable: "no database",
-	ports.TooLarge: "too large", ports.Denied: "denied", ports.UnknownCode: "unknown",
+	ports.Done:                     "done",
+	ports.Busy:                     "busy",
+	ports.RolledBack:               "rolled back",
+	ports.Lagging:                  "lagging",
+	ports.ReadOnly:                 "read only",
+	ports.WrongInstance:            "wrong instance",
+	ports.TooManyConnections:       "too many connections",
+	ports.Failed:                   "failed",
+	ports.UnknownPreparedStatement: "no prepared name",
+	ports.Timeout:                  "timeout",
+	ports.InDoubt:                  "in doubt",
+	ports.Malformed:                "malformed",
+	ports.DatabaseUnavailable:      "no database",
+	ports.TooLarge:                 "too large",
+	ports.Denied:                   "denied",
+	ports.UnknownCode:              "unknown",
 }
 
 // CountsByResult are counts of statements by the names of their results; results
--- a/internal/fleetstate/server.go
+++ b/internal/fleetstate/server.go
@@ -18,8 +18,7 @@
 	// requestTimeout bounds each part of a request: its reading, its answer by the
 	// Source, and the rest of an idle connection.
 	requestTimeout = 3 * time.Second
-	// writeTimeout bounds the writing of an answer: a state with all routes is large
-	// and may go to a distant operator.
+	// writeTimeout bounds the writing of an answer; a state with all routes is large.
 	writeTimeout = 4 * requestTimeout
 	// shutdownTimeout is how long requests in flight hold up the end of the server.
 	shutdownTimeout = 100 * time.Millisecond
--- a/internal/fleetstate/tables.go
+++ b/internal/fleetstate/tables.go
@@ -27,8 +27,7 @@
 		if r.Err != nil {
 			continue
 		}
-		t.row()
-		fmt.Fprintf(t, "%s\n", r.State.Name)
+		t.heading(r.State)
 		r.State.writeVoters(t)
 		if p := r.State.Pool; p != nil {
 			p.writeTotals(t)
@@ -93,55 +92,74 @@
 // pool node uses them.
 func WriteDatabases(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
-	if s, err := FirstControl(results); err == nil {
+	if control, err := FirstControl(results); err == nil {
 		t.row("GROUP", "DATABASE", "ROLE", "ADDRESS", "ZONE", "SLOTS", "STANDING", "HEARD")
-		for _, d := range s.Control.Databases {
+		for _, d := range control.Control.Databases {
+			role := lo.Ternary(d.Primary, "primary", "follower")
 			standing := lo.Ternary(d.Gone, "gone", lo.Ternary(d.Draining, "leaving", "serves"))
-			t.row(d.Group, d.ID, lo.Ternary(d.Primary, "primary", "follower"), d.Address, d.Zone, d.Capacity, standing, formatDuration(d.HeardUs))
+			t.row(d.Group, d.ID, role, d.Address, d.Zone, d.Capacity, standing, formatDuration(d.HeardUs))
 		}
 	}
-	for _, r := range results {
-		if r.Err != nil || r.State.Pool == nil {
-			continue
-		}
-		t.row()
-		fmt.Fprintf(t, "%s\n", r.State.Name)
+	for _, node := range poolNodes(results) {
+		t.heading(node)
 		t.row("  GROUP", "DATABASE", "CONNECTIONS", "IDLE", "RUNNING", "SLOTS", "WAITING", "TRANSACTIONS", "LEVEL", "NAMED", "FAILING")
-		for _, g := range r.State.Pool.Groups {
+		for _, g := range node.Pool.Groups {
 			for _, d := range g.Databases {
-				t.row("  "+g.Group, d.ID, fmt.Sprintf("%d of %d", d.Connections, d.MaxConnections), d.Idle, d.Running, fmt.Sprintf("%.1f", d.Slots), d.Waiting, d.OpenTransactions,
-					lo.Ternary(d.AppliedPosition == Unknown, "", fmt.Sprintf("%d of %d", d.AppliedPosition, g.PrimaryPosition)), formatPosition(d.HighestNamed), lo.Ternary(d.FailingUs == Unknown, "", formatDuration(d.FailingUs)))
+				g.writeDatabase(t, d)
 			}
 		}
 	}
 	return t.Flush()
 }
 
+func (g PoolGroup) writeDatabase(t tableWriter, d PoolDatabase) {
+	connections := fmt.Sprintf("%d of %d", d.Connections, d.MaxConnections)
+	level := ifSet(d.AppliedPosition != Unknown, fmt.Sprintf("%d of %d", d.AppliedPosition, g.PrimaryPosition))
+	failing := ifSet(d.FailingUs != Unknown, formatDuration(d.FailingUs))
+	t.row("  "+g.Group, d.ID, connections, d.Idle, d.Running, fmt.Sprintf("%.1f", d.Slots), d.Waiting, d.OpenTransactions,
+		level, formatPosition(d.HighestNamed), failing)
+}
+
 // WriteLeaders writes the groups' leaderships as a control process knows them, then
 // as each pool node works by them.
 func WriteLeaders(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
-	if s, err := FirstControl(results); err == nil {
+	if control, err := FirstControl(results); err == nil {
 		t.row("GROUP", "TERM", "PHASE", "PRIMARY", "ADDRESS", "REVISION", "HOLDER", "FENCE", "LAST CHANGE TOOK", "MEMBERS", "CAUSE")
-		for _, l := range s.Control.Leaders {
-			t.row(l.Group, l.Term, l.Phase+ifSet(l.Unconfirmed, " (in doubt)"), l.Primary, l.Address, l.Revision, l.RoleOwner, l.FencingToken,
-				lo.Ternary(l.LastFailoverUs == 0, "", formatDuration(l.LastFailoverUs)), strings.Join(l.Members, " "), l.Cause)
+		for _, l := range control.Control.Leaders {
+			phase := l.Phase + ifSet(l.Unconfirmed, " (in doubt)")
+			lastChange := ifSet(l.LastFailoverUs != 0, formatDuration(l.LastFailoverUs))
+			t.row(l.Group, l.Term, phase, l.Primary, l.Address, l.Revision, l.RoleOwner, l.FencingToken, lastChange, strings.Join(l.Members, " "), l.Cause)
 		}
 	}
-	for _, r := range results {
-		if r.Err != nil || r.State.Pool == nil {
-			continue
-		}
-		t.row()
-		fmt.Fprintf(t, "%s\n", r.State.Name)
+	for _, node := range poolNodes(results) {
+		t.heading(node)
 		t.row("  GROUP", "TERM", "PHASE", "PRIMARY", "REVISION", "SURE FOR", "WAITING", "ACKED")
-		for _, g := range r.State.Pool.Groups {
-			t.row("  "+g.Group, g.Term, g.Phase+ifSet(g.Unconfirmed, " (in doubt)"), g.Primary, g.Revision, formatRemaining(g.ConfirmedForUs), g.Waiting, formatPosition(g.Acknowledged))
+		for _, g := range node.Pool.Groups {
+			phase := g.Phase + ifSet(g.Unconfirmed, " (in doubt)")
+			t.row("  "+g.Group, g.Term, phase, g.Primary, g.Revision, formatRemaining(g.ConfirmedForUs), g.Waiting, formatPosition(g.Acknowledged))
 		}
 	}
 	return t.Flush()
 }
 
+// poolNodes are the pool nodes among the results.
+func poolNodes(results []FetchResult) []ProcessState {
+	var nodes []ProcessState
+	for _, r := range results {
+		if r.Err == nil && r.State.Pool != nil {
+			nodes = append(nodes, r.State)
+		}
+	}
+	return nodes
+}
+
+// heading writes the name of a process above its tables.
+func (t tableWriter) heading(s ProcessState) {
+	t.row()
+	fmt.Fprintf(t, "%s\n", s.Name)
+}
+
 // WriteNodes writes the processes that polled a control process lately. own has what
 // those of them reported that were asked, by their node addresses.
 func WriteNodes(w io.Writer, s ProcessState, own map[string]ProcessState) error {
--- a/internal/routingtable/orders.go
+++ b/internal/routingtable/orders.go
@@ -13,8 +13,8 @@
 // 18).
 
 const (
-	// recentOrderLimit is how many of the newest orders a table names. Each adds
-	// about 20 bytes to every table; an operator's retry comes within a few orders.
+	// recentOrderLimit is how many of the newest orders a table names: an order that is
+	// sent again later than that is Forgotten. Each adds some 20 bytes to every table.
 	recentOrderLimit = 32
 	// digestSize is how many bytes of an order's hash a table keeps.
 	digestSize = 12
