--- a/emulator/simulation/control_process.go
+++ b/emulator/simulation/control_process.go
@@ -31,7 +31,7 @@
 	f.ticks(&c.processState, 20_000, func() { f.stepControl(c, control.WallClock{UnixMicro: f.Now}) })
 }
 
-func (f *Fleet) stepControl(c *controlProcess, events ...any) {
+func (f *Fleet) stepControl(c *controlProcess, events ...control.Event) {
 	effects := c.core.Step(f.Now, events...)
 	if c.syncUs == 0 || len(effects.Log) == 0 {
 		f.afterSync(c, effects)
@@ -119,13 +119,13 @@
 
 // toControl hands an event to a control process, later where it is frozen or
 // slow.
-func (f *Fleet) toControl(c *controlProcess, gen int, e any) {
+func (f *Fleet) toControl(c *controlProcess, gen int, e control.Event) {
 	f.enter(&c.processState, gen, func() { f.stepControl(c, e) })
 }
 
 // Operate puts an operator's event to a control process; done is called unless
 // the process dies first.
-func (f *Fleet) Operate(c *controlProcess, e func(id uint64) any, done func(control.ConfigurationResult)) {
+func (f *Fleet) Operate(c *controlProcess, e func(id uint64) control.Event, done func(control.ConfigurationResult)) {
 	f.lastID++
 	id := f.lastID
 	f.pendingReturns[id] = done
@@ -236,7 +236,7 @@
 func (f *Fleet) arrive(to string, e *schema.Envelope) {
 	for _, c := range f.Controls {
 		if c.boot.Listen == to {
-			f.toControl(c, c.generation, e)
+			f.toControl(c, c.generation, control.Received{Envelope: e})
 			return
 		}
 	}
@@ -264,7 +264,7 @@
 			f.After(200_000, try)
 			return
 		}
-		f.Operate(c, func(id uint64) any { return control.PutConfiguration{ID: id, Partner: partner, Text: b} }, func(r control.ConfigurationResult) {
+		f.Operate(c, func(id uint64) control.Event { return control.PutConfiguration{ID: id, Partner: partner, Text: b} }, func(r control.ConfigurationResult) {
 			if r.Revision == 0 {
 				f.After(200_000, try)
 				return
--- a/emulator/simulation/day_end.go
+++ b/emulator/simulation/day_end.go
@@ -73,7 +73,7 @@
 		was := f.Oracle.accepted[p]
 		var try func()
 		try = func() {
-			f.Operate(cs[(i+len(read))%len(cs)], func(id uint64) any { return control.GetConfiguration{ID: id, Partner: p} }, func(r control.ConfigurationResult) {
+			f.Operate(cs[(i+len(read))%len(cs)], func(id uint64) control.Event { return control.GetConfiguration{ID: id, Partner: p} }, func(r control.ConfigurationResult) {
 				switch {
 				case r.Code != result.OK:
 					f.After(300_000, try)
@@ -106,7 +106,7 @@
 	p := f.Partners()[f.Random.IntN(len(f.texts))]
 	ci, kind, done := f.Random.IntN(3), f.Random.IntN(5), false
 	base := f.Oracle.accepted[p].Revision
-	f.Operate(f.Controls[f.Random.IntN(3)], func(id uint64) any {
+	f.Operate(f.Controls[f.Random.IntN(3)], func(id uint64) control.Event {
 		return control.PutConfiguration{ID: id, Partner: p, Base: base, Patch: true, Text: fmt.Appendf(nil, `{"time_zone":"Etc/GMT+%d"}`, f.Random.IntN(12))}
 	}, func(r control.ConfigurationResult) {
 		done = true
--- a/emulator/simulation/random_faults.go
+++ b/emulator/simulation/random_faults.go
@@ -397,7 +397,7 @@
 		var send func(on uint64)
 		var heard func(r control.ConfigurationResult)
 		send = func(on uint64) {
-			f.Operate(c, func(id uint64) any {
+			f.Operate(c, func(id uint64) control.Event {
 				e := control.PutConfiguration{ID: id, Partner: p, Base: on, Patch: true, Text: []byte(text)}
 				if f.Plan.Mutation == UncheckedChange && !good {
 					e.Text = []byte(`{"time_zone":"UTC"}`)
--- /dev/null
+++ b/internal/control/calls.go
@@ -0,0 +1,86 @@
+package control
+
+import (
+	"context"
+	"time"
+
+	"github.com/apex/log"
+
+	"stoneford/failover/sealed"
+	"stoneford/internal/databaseclient"
+)
+
+const (
+	// databaseCallTimeout bounds a call to a database. The failover decision
+	// counts a database as unreachable after it.
+	databaseCallTimeout = 500 * time.Millisecond
+	// platformCallTimeout bounds a request to the platform. It is longer than a
+	// call to a database, since the platform may have to reach several.
+	platformCallTimeout = 2 * time.Second
+	// wallClockInterval is the time between two events that bring the time of day.
+	wallClockInterval = time.Second
+)
+
+// runWallClock brings the core the time of day until the context ends.
+func (p *Process) runWallClock(ctx context.Context) {
+	t := p.clock.NewTicker(wallClockInterval)
+	defer t.Stop()
+	for {
+		p.loop.Post(WallClock{UnixMicro: p.clock.Now().UnixMicro()})
+		select {
+		case <-ctx.Done():
+			return
+		case <-t.Chan():
+		}
+	}
+}
+
+// callDatabase asks a database for its status, or seals it.
+func (p *Process) callDatabase(d DatabaseCall) {
+	ctx, stop := context.WithTimeout(p.ctx, databaseCallTimeout)
+	defer stop()
+	var s databaseclient.Status
+	var err error
+	if d.SealEpoch > 0 {
+		s, err = p.databases.Seal(ctx, d.Address, d.SealEpoch)
+	} else {
+		s, err = p.databases.Poll(ctx, d.Address, 0, 0, 0)
+	}
+	p.loop.Post(DatabaseReply{Group: d.Group, ID: d.ID, Failed: err != nil, Status: sealed.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch,
+		LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Draining}})
+}
+
+// requestFailover asks the platform to make a database the primary of its group.
+func (p *Process) requestFailover(d FailoverRequest) {
+	members := make([]databaseclient.Member, len(d.Members))
+	for i, m := range d.Members {
+		members[i] = databaseclient.Member(m)
+	}
+	p.callPlatform("takeover", func(ctx context.Context) error {
+		return p.databases.Takeover(ctx, p.config.Platform, d.Group, d.Target, d.Identity, d.Epoch, members)
+	})
+}
+
+// requestReplacement asks the platform for a new, empty database in place of one.
+func (p *Process) requestReplacement(d ReplaceDatabase) {
+	p.callPlatform("replace", func(ctx context.Context) error {
+		return p.databases.Replace(ctx, p.config.Platform, d.Database, d.Address, d.Identity)
+	})
+}
+
+// requestStop asks the platform to stop a machine's pool node.
+func (p *Process) requestStop(d StopMachine) {
+	p.callPlatform("stop", func(ctx context.Context) error {
+		return p.databases.StopMachine(ctx, p.config.Platform, d.Machine)
+	})
+}
+
+// callPlatform makes a request to the platform and logs its failure: the core
+// repeats the request until a status shows that it was carried out.
+func (p *Process) callPlatform(request string, call func(context.Context) error) {
+	ctx, stop := context.WithTimeout(p.ctx, platformCallTimeout)
+	defer stop()
+	if err := call(ctx); err != nil {
+		log.WithFields(log.Fields{"asked_for": request}).WithError(err).Warn("the platform rejected a request, which is repeated")
+	}
+}
--- /dev/null
+++ b/internal/control/http.go
@@ -0,0 +1,158 @@
+package control
+
+import (
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+
+	"stoneford/internal/settings"
+	"stoneford/result"
+	"stoneford/schema"
+)
+
+const (
+	maxBodyBytes     = 4 << 20  // of a change of a configuration
+	maxSentenceBytes = 64 << 10 // of a sentence
+)
+
+// Reply is the body of every reply about configurations, and of every error.
+type Reply struct {
+	Code          result.Code        `json:"code"`
+	Text          string             `json:"text"` // of the code
+	Detail        string             `json:"detail,omitempty"`
+	Partner       string             `json:"partner,omitempty"`
+	Revision      uint64             `json:"revision"`
+	Configuration json.RawMessage    `json:"configuration,omitempty"`
+	Problems      []settings.Problem `json:"problems,omitempty"`
+	Applied       map[string]uint64  `json:"applied,omitempty"` // revision in force, by process
+}
+
+// ConfigurationBody is the body of a change of a configuration.
+type ConfigurationBody struct {
+	BasedOn       uint64          `json:"based_on"`
+	Configuration json.RawMessage `json:"configuration"` // or a merge patch of it
+}
+
+// SentenceBody is the body of a sentence.
+type SentenceBody struct {
+	Text string `json:"text"`
+}
+
+// SentenceReply is the body of the reply to a sentence.
+type SentenceReply struct {
+	Code     result.Code                 `json:"code"`
+	Text     string                      `json:"text"` // of the code
+	Return   string                      `json:"return,omitempty"`
+	Bookings []*schema.MaintenanceWindow `json:"bookings,omitempty"`
+}
+
+// handler serves the operators' HTTP interface (docs/operating.md).
+func (p *Process) handler() http.Handler {
+	m := http.NewServeMux()
+	m.HandleFunc("GET /v1/configuration", p.serveConfiguration)
+	m.HandleFunc("PUT /v1/configuration", func(w http.ResponseWriter, r *http.Request) { p.serveChange(w, r, false) })
+	m.HandleFunc("PATCH /v1/configuration", func(w http.ResponseWriter, r *http.Request) { p.serveChange(w, r, true) })
+	m.HandleFunc("GET /v1/status", p.serveStatus)
+	m.HandleFunc("GET /v1/ready", p.serveReady)
+	m.HandleFunc("POST /v1/say", p.serveSentence)
+	m.Handle("GET /metrics", p.metrics())
+	m.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
+		writeReply(w, Reply{Code: result.UnknownPath, Detail: r.Method + " " + r.URL.Path})
+	})
+	return m
+}
+
+// writeJSON writes a body. An error means that the caller is gone: there is
+// nobody to report to.
+func writeJSON(w http.ResponseWriter, status int, body any) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(body)
+}
+
+func writeReply(w http.ResponseWriter, r Reply) {
+	r.Text = r.Code.String()
+	writeJSON(w, r.Code.Row().HTTP, r)
+}
+
+// readBody decodes a body in which every field must be known.
+func readBody(body io.Reader, v any) error {
+	d := json.NewDecoder(body)
+	d.DisallowUnknownFields()
+	return d.Decode(v)
+}
+
+// partner returns the partner whose token a request has. Where it has none, or
+// names another partner, it writes the reply and returns false.
+func (p *Process) partner(w http.ResponseWriter, r *http.Request) (string, bool) {
+	token, bearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+	partner, known := (*p.tokens.Load())[token]
+	if !known || !bearer || token == "" {
+		writeReply(w, Reply{Code: result.BadOperatorToken})
+		return "", false
+	}
+	if named := r.URL.Query().Get("partner"); named != "" && named != partner {
+		writeReply(w, Reply{Code: result.NotOwner, Detail: named})
+		return "", false
+	}
+	return partner, true
+}
+
+func (p *Process) serveConfiguration(w http.ResponseWriter, r *http.Request) {
+	partner, ok := p.partner(w, r)
+	if !ok {
+		return
+	}
+	v, ok := await[ConfigurationResult](p, func(id uint64) Event { return GetConfiguration{ID: id, Partner: partner} })
+	if !ok {
+		v.Code = result.NoVoterMajority
+	}
+	reply := Reply{Code: v.Code, Partner: partner, Revision: v.Revision, Configuration: v.Text}
+	if r.URL.Query().Get("applied") != "" {
+		p.inspect(func(c *Core, _ int64) { reply.Applied = c.AppliedRevisions(ConfigurationKeyPrefix + partner) })
+	}
+	writeReply(w, reply)
+}
+
+func (p *Process) serveChange(w http.ResponseWriter, r *http.Request, patch bool) {
+	partner, ok := p.partner(w, r)
+	if !ok {
+		return
+	}
+	var body ConfigurationBody
+	err := readBody(http.MaxBytesReader(w, r.Body, maxBodyBytes), &body)
+	if err == nil && len(body.Configuration) == 0 {
+		err = errors.New("configuration: required")
+	}
+	if err != nil {
+		writeReply(w, Reply{Code: result.OperatorBadJSON, Detail: err.Error(), Partner: partner})
+		return
+	}
+	dryRun := r.URL.Query().Get("dry_run") != ""
+	v, ok := await[ConfigurationResult](p, func(id uint64) Event {
+		return PutConfiguration{ID: id, Partner: partner, Base: body.BasedOn, Patch: patch, DryRun: dryRun, Text: body.Configuration}
+	})
+	if !ok {
+		v.Code = result.ChangeUncertain // the process stopped while the change was under way
+	}
+	writeReply(w, Reply{Code: v.Code, Partner: partner, Revision: v.Revision, Configuration: v.Text, Problems: v.Problems})
+}
+
+func (p *Process) serveSentence(w http.ResponseWriter, r *http.Request) {
+	partner, ok := p.partner(w, r)
+	if !ok {
+		return
+	}
+	var body SentenceBody
+	if err := readBody(http.MaxBytesReader(w, r.Body, maxSentenceBytes), &body); err != nil {
+		writeReply(w, Reply{Code: result.OperatorBadJSON, Detail: err.Error(), Partner: partner})
+		return
+	}
+	v, ok := await[CommandResult](p, func(id uint64) Event { return Command{ID: id, Partner: partner, Text: body.Text} })
+	if !ok {
+		v.Code = result.ChangeUncertain
+	}
+	writeJSON(w, v.Code.Row().HTTP, SentenceReply{Code: v.Code, Text: v.Code.String(), Return: v.Text, Bookings: v.Bookings})
+}
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -13,7 +13,7 @@
 		desc         *prometheus.Desc
 		name, labels string
 	}{
-		{votesMetric, "stoneford_control_votes", "{}"},
+		{votingMetric, "stoneford_control_votes", "{}"},
 		{revisionMetric, "stoneford_control_revision", "{register}"},
 		{epochMetric, "stoneford_control_group_epoch", "{group}"},
 		{openMetric, "stoneford_control_group_open", "{group}"},
--- a/internal/control/names_test.go
+++ b/internal/control/names_test.go
@@ -8,8 +8,8 @@
 	"stoneford/schema"
 )
 
-// TestJSONNames: what operators are told with messages of the schema in it has the names
-// that it had: a field's name in the schema is its name here.
+// TestJSONNames: replies to operators that hold messages of the schema have the names
+// that they had: a field's name in the schema is its name here.
 func TestJSONNames(t *testing.T) {
 	for _, x := range []struct {
 		shape string
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -16,8 +16,6 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/zeebo/errs"
 
-	"stoneford/failover/sealed"
-	"stoneford/internal/cleanup"
 	"stoneford/internal/config"
 	"stoneford/internal/databaseclient"
 	"stoneford/internal/eventloop"
@@ -28,229 +26,184 @@
 )
 
 const (
-	tickInterval        = 20 * time.Millisecond
-	eventQueueLength    = 16384
-	databaseCallTimeout = 500 * time.Millisecond
-	platformCallTimeout = 2 * time.Second
+	// tickInterval is the longest time between two steps of the core, and so the
+	// resolution of its timers.
+	tickInterval = 20 * time.Millisecond
+	// eventQueueLength is how many events may wait for the core. Beyond it
+	// envelopes are dropped, which their senders repeat, and calls wait.
+	eventQueueLength = 16384
+	// headerTimeout bounds how long an operator's connection may take to send the
+	// header of a request.
+	headerTimeout = 10 * time.Second
+	// handoverPeriod is how long a process that has to stop goes on, so that
+	// its roles are handed over. A process that has not done so by then could not.
+	handoverPeriod = time.Second
 )
 
-// Process is one control process: the core, its log on disk, links and HTTP.
+// Process is one control process: a Core with its log on disk, its connections to
+// other processes, databases and the platform, and the operators' HTTP interface.
+// Make it with NewProcess and call Run once.
 type Process struct {
-	boot      *schema.Boot
-	tokens    atomic.Pointer[map[string]string]
+	config    *schema.Boot
+	tokens    atomic.Pointer[map[string]string] // partner by token
 	clock     clockwork.Clock
-	core      *Core
+	core      *Core // used by the goroutine of loop only
 	loop      *eventloop.Loop
 	links     *transport.Transport
 	databases *databaseclient.Client
 	voterLog  *wal.Log
-	waiters   sync.Map // id to chan any
+	waiters   sync.Map // ID to the channel of the result that is awaited
 	lastID    atomic.Uint64
-	ctx       context.Context
-	fail      func(error)
+	ctx       context.Context // ends with the process
+	fail      func(error)     // ends Run with an error
 }
 
-// inspection has the loop run f between two steps; operators' questions use it.
+// inspection has the loop call a function between two steps.
 type inspection struct {
 	inspect func(c *Core, now int64)
-	done    chan struct{}
+	done    chan struct{} // closed after the call
 }
 
-// NewProcess makes a control process and plays its log back.
-func NewProcess(b *schema.Boot, clock clockwork.Clock) (*Process, error) {
-	if b.DataFolder == "" {
+// NewProcess makes a control process and restores its voter from the log in the
+// configured folder. A damaged log is kept aside and the process starts with an
+// empty one: what its voter promised is unknown then, so it must join as a new
+// voter (design 3.3).
+func NewProcess(config *schema.Boot, clock clockwork.Clock) (*Process, error) {
+	if config.DataFolder == "" {
 		return nil, errs.New("boot: data_folder: required on a control process")
 	}
-	var n [8]byte
-	_, err := rand.Read(n[:])
+	diskID, err := randomDiskID()
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{boot: b, clock: clock, loop: eventloop.New(clock, clock.Now(), eventQueueLength), databases: databaseclient.New(transport.LocalAddress(b.Bind, b.Listen))}
-	p.SetTokens(b.Tokens)
-	newCore := func() *Core {
-		return NewCore(b, uint64(clock.Now().UnixMicro()), binary.LittleEndian.Uint64(n[:])|1)
-	}
-	p.core = newCore()
-	dir := filepath.Join(b.DataFolder, "voter")
-	if err := os.MkdirAll(b.DataFolder, 0o755); err != nil {
+	if err := os.MkdirAll(config.DataFolder, 0o755); err != nil {
 		return nil, err
 	}
-	p.voterLog, err = wal.Open(dir, p.core.Restore)
+	p := &Process{
+		config:    config,
+		clock:     clock,
+		loop:      eventloop.New(clock, clock.Now(), eventQueueLength),
+		databases: databaseclient.New(transport.LocalAddress(config.Bind, config.Listen)),
+	}
+	p.SetTokens(config.Tokens)
+	folder := filepath.Join(config.DataFolder, "voter")
+	err = p.restore(folder, diskID)
 	if wal.ErrCorrupt.Has(err) {
-		// What this voter once said can't be known any more: it is a voter
-		// without a disk, and joins anew (design 3.3).
-		to, aside := wal.Quarantine(dir)
-		log.WithFields(log.Fields{"code": int(result.LogDamaged), "kept_in": to}).WithError(err).Error(result.LogDamaged.String())
-		if aside != nil {
-			return nil, aside
+		movedTo, moveErr := wal.Quarantine(folder)
+		log.WithFields(log.Fields{"code": int(result.LogDamaged), "kept_in": movedTo}).WithError(err).Error(result.LogDamaged.String())
+		if moveErr != nil {
+			return nil, moveErr
 		}
-		p.core = newCore()
-		p.voterLog, err = wal.Open(dir, p.core.Restore)
+		err = p.restore(folder, diskID)
 	}
 	return p, err
 }
 
-// SetTokens replaces the partners' tokens.
-func (p *Process) SetTokens(m map[string]string) {
-	t := make(map[string]string, len(m))
-	for k, v := range m {
-		t[v] = k
+// restore makes the core and opens the log that it goes on from.
+func (p *Process) restore(folder string, diskID uint64) (err error) {
+	p.core = NewCore(p.config, uint64(p.clock.Now().UnixMicro()), diskID)
+	p.voterLog, err = wal.Open(folder, p.core.Restore)
+	return err
+}
+
+// randomDiskID returns the identity of a new disk, which is never 0.
+func randomDiskID() (uint64, error) {
+	var b [8]byte
+	_, err := rand.Read(b[:])
+	return binary.LittleEndian.Uint64(b[:]) | 1, err
+}
+
+// SetTokens replaces the tokens by which partners are known. tokens is by partner.
+func (p *Process) SetTokens(tokens map[string]string) {
+	partners := make(map[string]string, len(tokens))
+	for partner, token := range tokens {
+		partners[token] = partner
 	}
-	p.tokens.Store(&t)
+	p.tokens.Store(&partners)
 }
 
-// Run serves until the context ends.
+// Run serves until the context ends or a listener fails. It then hands the roles
+// over, closes what it opened and returns the errors of all of that.
 func (p *Process) Run(ctx context.Context) (err error) {
-	var cleanups cleanup.Stack
-	defer func() { err = errors.Join(err, cleanups.Run()) }()
-	cleanups.Push(p.voterLog.Close)
+	defer func() { err = errors.Join(err, p.voterLog.Close()) }()
 	work, stop := context.WithCancelCause(context.WithoutCancel(ctx))
 	p.ctx, p.fail = work, func(err error) { stop(err) }
-	p.links = transport.New(work, p.boot.Listen, transport.LocalAddress(p.boot.Bind, p.boot.Listen), func(e *schema.Envelope) { p.loop.TryPost(e) })
-	nodeListener, httpListener, err := config.Listen(p.boot)
+	p.links = transport.New(work, p.config.Listen, transport.LocalAddress(p.config.Bind, p.config.Listen), func(e *schema.Envelope) { p.loop.TryPost(Received{e}) })
+	nodeListener, httpListener, err := config.Listen(p.config)
 	if err != nil {
 		return err
 	}
-	httpServer := &http.Server{Handler: p.handler(), ReadHeaderTimeout: 10 * time.Second}
-	cleanups.Push(httpServer.Close)
+	httpServer := &http.Server{Handler: p.handler(), ReadHeaderTimeout: headerTimeout}
+	defer func() { err = errors.Join(err, httpServer.Close()) }()
 	go p.runWallClock(work)
 	ended := make(chan struct{})
 	go func() { p.fail(p.links.Serve(nodeListener)) }()
 	go func() { p.fail(httpServer.Serve(httpListener)) }()
-	go func() { p.loop.Run(work, tickInterval, p.step); close(ended) }()
-	cleanups.Push(func() error { stop(nil); <-ended; return nil })
-	log.WithFields(log.Fields{"name": p.boot.Name, "listen": p.boot.Listen, "http": p.boot.Http}).Info("stoneford-control is up")
+	go func() {
+		p.loop.Run(work, tickInterval, p.step)
+		close(ended)
+	}()
+	defer func() {
+		stop(nil)
+		<-ended
+	}()
+	log.WithFields(log.Fields{"name": p.config.Name, "listen": p.config.Listen, "http": p.config.Http}).Info("stoneford-control is up")
 	select {
 	case <-work.Done():
 		return context.Cause(work)
 	case <-ctx.Done():
 	}
-	// Duties are handed over first; a second is enough for that or for never.
 	p.loop.Post(Stop{})
-	<-p.clock.After(time.Second)
+	<-p.clock.After(handoverPeriod)
 	return nil
 }
 
-// step runs the core. What it logs is synced before anything it says leaves.
+// step runs the core on the events that have arrived and carries out its effects.
+// The voter's log is synced first: a vote that is lost would break agreement.
 func (p *Process) step(now int64, events []any) {
-	var coreEvents []any
+	coreEvents := make([]Event, 0, len(events))
 	var inspections []inspection
 	for _, e := range events {
-		if k, ok := e.(inspection); ok {
-			inspections = append(inspections, k)
-		} else {
+		switch e := e.(type) {
+		case inspection:
+			inspections = append(inspections, e)
+		case Event:
 			coreEvents = append(coreEvents, e)
 		}
 	}
 	effects := p.core.Step(now, coreEvents...)
 	if err := p.voterLog.Write(effects.Log, p.core.Snapshot); err != nil {
-		// A voter that cannot keep its word must not speak.
 		p.fail(errs.New("voter's log: %w", err))
 		return
 	}
 	for _, s := range effects.Send {
 		p.links.Send(s.To, s.Envelope)
 	}
-	for _, d := range effects.Do {
-		switch d := d.(type) {
-		case ConfigurationResult:
-			if ch, ok := p.waiters.LoadAndDelete(d.ID); ok {
-				ch.(chan ConfigurationResult) <- d
-			}
-		case CommandResult:
-			if ch, ok := p.waiters.LoadAndDelete(d.ID); ok {
-				ch.(chan CommandResult) <- d
-			}
-		case ReplaceDatabase:
-			go p.callPlatform("replace", func(ctx context.Context) error {
-				return p.databases.Replace(ctx, p.boot.Platform, d.Database, d.Address, d.Identity)
-			})
-		case StopMachine:
-			go p.callPlatform("stop", func(ctx context.Context) error { return p.databases.StopMachine(ctx, p.boot.Platform, d.Machine) })
-		case DatabaseCall:
-			go p.callDatabase(d)
-		case FailoverRequest:
-			go p.requestFailover(d)
-		case LogEntry:
-			log.WithFields(log.Fields{"code": int(d.Code), "what": d.Text}).Info(d.Code.String())
-		}
+	for _, e := range effects.Do {
+		p.apply(e)
 	}
-	for _, k := range inspections {
-		k.inspect(p.core, now)
-		close(k.done)
+	for _, i := range inspections {
+		i.inspect(p.core, now)
+		close(i.done)
 	}
 }
 
-// runWallClock tells the core the wall clock, which only the calendar goes by.
-func (p *Process) runWallClock(ctx context.Context) {
-	t := p.clock.NewTicker(time.Second)
-	defer t.Stop()
-	for {
-		p.loop.Post(WallClock{UnixMicro: p.clock.Now().UnixMicro()})
-		select {
-		case <-ctx.Done():
-			return
-		case <-t.Chan():
-		}
-	}
-}
-
-func (p *Process) callDatabase(d DatabaseCall) {
-	ctx, stop := context.WithTimeout(p.ctx, databaseCallTimeout)
-	defer stop()
-	var s databaseclient.Status
-	var err error
-	if d.SealEpoch > 0 {
-		s, err = p.databases.Seal(ctx, d.Address, d.SealEpoch)
-	} else {
-		s, err = p.databases.Poll(ctx, d.Address, 0, 0, 0)
-	}
-	p.loop.Post(DatabaseReply{Group: d.Group, ID: d.ID, Failed: err != nil, Status: sealed.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch,
-		LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Draining}})
-}
-
-func (p *Process) requestFailover(d FailoverRequest) {
-	ms := make([]databaseclient.Member, len(d.Members))
-	for i, m := range d.Members {
-		ms[i] = databaseclient.Member(m)
-	}
-	p.callPlatform("takeover", func(ctx context.Context) error {
-		return p.databases.Takeover(ctx, p.boot.Platform, d.Group, d.Target, d.Identity, d.Epoch, ms)
-	})
-}
-
-// callPlatform asks the platform for something that is asked again until it is
-// seen to be done.
-func (p *Process) callPlatform(what string, f func(context.Context) error) {
-	ctx, stop := context.WithTimeout(p.ctx, platformCallTimeout)
-	defer stop()
-	if err := f(ctx); err != nil {
-		log.WithFields(log.Fields{"asked_for": what}).WithError(err).Warn("the platform did not do it; it is asked again")
-	}
-}
-
-// await posts an event and waits for its end, which the core always gives.
-func await[R any](p *Process, e func(id uint64) any) (R, bool) {
-	id := p.lastID.Add(1)
-	ch := make(chan R, 1)
-	p.waiters.Store(id, ch)
-	p.loop.Post(e(id))
-	select {
-	case r := <-ch:
-		return r, true
-	case <-p.ctx.Done():
-		var r R
-		return r, false
-	}
-}
-
-// inspect runs f on the core between two steps.
-func (p *Process) inspect(f func(c *Core, now int64)) {
-	k := inspection{inspect: f, done: make(chan struct{})}
-	p.loop.Post(k)
-	select {
-	case <-k.done:
-	case <-p.ctx.Done():
+// apply carries out an effect; what may take time is done on a goroutine of its own.
+func (p *Process) apply(effect Effect) {
+	switch e := effect.(type) {
+	case ConfigurationResult:
+		finish(p, e.ID, e)
+	case CommandResult:
+		finish(p, e.ID, e)
+	case DatabaseCall:
+		go p.callDatabase(e)
+	case FailoverRequest:
+		go p.requestFailover(e)
+	case ReplaceDatabase:
+		go p.requestReplacement(e)
+	case StopMachine:
+		go p.requestStop(e)
+	case LogEntry:
+		log.WithFields(log.Fields{"code": int(e.Code), "what": e.Text}).Info(e.Code.String())
 	}
 }
--- a/internal/control/stored_test.go
+++ b/internal/control/stored_test.go
@@ -19,7 +19,7 @@
 // written again: see testdata/README.md.
 var record = flag.Bool("record", false, "write the fixture under testdata if it is missing")
 
-func readDuty(v *schema.Value) proto.Message {
+func readRoleState(v *schema.Value) proto.Message {
 	d := &schema.RoleState{}
 	if proto.Unmarshal(v.GetData(), d) != nil {
 		return nil
@@ -41,7 +41,7 @@
 		Members: []*schema.GroupMember{{Database: "orders-a", Identity: "copy-1", Retiring: "copy-0"}, {Database: "orders-b", Identity: "copy-2"}}},
 		func(v *schema.Value) proto.Message { return GroupState(v) }},
 	{"duty/shop/orders", &schema.RoleState{Leader: "10.0.0.2:7001", Term: 5, HandedOver: true, Run: 88,
-		ConnectionLeases: &schema.ConnectionLeases{Leases: []*schema.ConnectionLease{{Node: "10.0.0.9:7001", Run: 3, RequestNumber: 4, Connections: map[string]int32{"orders-a": 17}}}}}, readDuty},
+		ConnectionLeases: &schema.ConnectionLeases{Leases: []*schema.ConnectionLease{{Node: "10.0.0.9:7001", Run: 3, RequestNumber: 4, Connections: map[string]int32{"orders-a": 17}}}}}, readRoleState},
 }
 
 // TestRegisterKeys: registers are found under the keys that they were stored under.
@@ -90,8 +90,8 @@
 	}
 }
 
-// holds compares what a process restored from the fixture holds.
-func holds(t *testing.T, s *schema.WALEntry) {
+// expectRestored compares the state that a process restored from the fixture.
+func expectRestored(t *testing.T, s *schema.WALEntry) {
 	t.Helper()
 	if s.DiskId != 21 || s.ActiveMembership != 4 || s.Membership.GetNumber() != 4 || len(s.Membership.GetVoters()) != 3 || len(s.Registers) != len(storedRegisters) {
 		t.Fatalf("life %d, active %d, membership %v, %d registers", s.DiskId, s.ActiveMembership, s.Membership, len(s.Registers))
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestStoredData: a data folder that earlier code wrote is read whole by a process
+// TestStoredData: a data folder that earlier code wrote is read completely by a process
 // that starts on it, and by what reads each register.
 func TestStoredData(t *testing.T) {
 	fixture := filepath.Join("testdata", "data")
@@ -133,5 +133,5 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = p.voterLog.Close() }()
-	holds(t, p.core.Snapshot())
+	expectRestored(t, p.core.Snapshot())
 }
--- /dev/null
+++ b/internal/typeswitch/typeswitch_test.go
@@ -0,0 +1,41 @@
+package typeswitch
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+const source = `package p
+
+type A struct{}
+type B struct{}
+type C struct{}
+
+func (A) isEvent()  {}
+func (*B) isEvent() {}
+func (C) isEvent()  {}
+
+func handle(e any) {
+	switch e.(type) {
+	case A, other.C:
+	case *B:
+	}
+}
+`
+
+func TestMissing(t *testing.T) {
+	folder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(folder, "p.go"), []byte(source), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	if missing, err := Missing(folder, "isEvent", "handle"); err != nil || !reflect.DeepEqual(missing, []string{"C"}) {
+		t.Errorf("missing %v, %v", missing, err)
+	}
+	for _, names := range [][2]string{{"isEvent", "nothing"}, {"isEffect", "handle"}} {
+		if missing, err := Missing(folder, names[0], names[1]); err == nil {
+			t.Errorf("%v: no error, missing %v", names, missing)
+		}
+	}
+}
