--- a/language/example_test.go
+++ b/language/example_test.go
@@ -10,11 +10,11 @@
 func Example() {
 	now := time.Date(2027, 1, 30, 18, 0, 0, 0, time.UTC)
 	s, _ := language.Parse("book the Cluj replica for replacement at 02:00", now)
-	places := []language.Target{
+	targets := []language.Target{
 		{Name: "stock-a", Partner: "shop", Group: "shop/stock", Zone: "iasi", Primary: true},
 		{Name: "stock-b", Partner: "shop", Group: "shop/stock", Zone: "cluj"},
 	}
-	p, _ := language.Resolve(s.Name, places, false)
+	p, _ := language.Resolve(s.Name, targets, false)
 	fmt.Println(s.Verb, s.Kind, p, s.At.Format("Jan 2 15:04"))
 	_, err := language.Parse("book the Cluj replica for dinner", now)
 	fmt.Println(err)
--- /dev/null
+++ b/language/parse.go
@@ -0,0 +1,245 @@
+package language
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"stoneford/maintenance"
+)
+
+// parser goes over the tokens of a text from left to right.
+type parser struct {
+	tokens    []Token
+	index     int // of the next token
+	endColumn int
+	now       time.Time
+}
+
+// Parse parses a text. now is the time in the time zone in which times of the text
+// are read. The error is an *Error.
+func Parse(text string, now time.Time) (Sentence, error) {
+	tokens, end := tokenize(strings.TrimRight(strings.TrimRight(text, " \t\n?."), " "))
+	p := &parser{tokens: tokens, endColumn: end, now: now}
+	s, err := p.sentence()
+	if err != nil {
+		return s, err
+	}
+	if t := p.peek(); t.Text != "" {
+		return s, errorAt(t.Column, fmt.Sprintf("nothing is expected here, found %q", t.Text))
+	}
+	return s, nil
+}
+
+func (p *parser) sentence() (Sentence, error) {
+	first := p.next()
+	switch strings.ToLower(first.Text) {
+	case "":
+		return Sentence{}, errorAt(1, "nothing was said; try help")
+	case "book":
+		return p.schedule()
+	case "confirm":
+		return p.window(VerbConfirm)
+	case "cancel":
+		return p.window(VerbCancel)
+	case "move":
+		return p.move()
+	case "what":
+		return p.listWindows()
+	case "status":
+		return Sentence{Verb: VerbStatus}, nil
+	case "who":
+		return p.applied()
+	case "why":
+		return p.why()
+	case "help":
+		return Sentence{Verb: VerbHelp}, nil
+	}
+	return Sentence{}, errorAt(first.Column, fmt.Sprintf("%q begins no sentence; these do: book, confirm, cancel, move, what, why, status, who, help", first.Text))
+}
+
+// peek returns the next token without going past it.
+func (p *parser) peek() Token {
+	if p.index < len(p.tokens) {
+		return p.tokens[p.index]
+	}
+	return Token{Column: p.endColumn}
+}
+
+func (p *parser) next() Token {
+	t := p.peek()
+	p.index++
+	return t
+}
+
+// skip goes past the next token if it is a keyword, in any case.
+func (p *parser) skip(keyword string) bool {
+	if !strings.EqualFold(p.peek().Text, keyword) {
+		return false
+	}
+	p.next()
+	return true
+}
+
+// expect goes past words that must come next.
+func (p *parser) expect(keywords ...string) error {
+	for _, keyword := range keywords {
+		if t := p.next(); !strings.EqualFold(t.Text, keyword) {
+			return errorAt(t.Column, fmt.Sprintf("expected %q, found %s", keyword, describe(t)))
+		}
+	}
+	return nil
+}
+
+func describe(t Token) string {
+	if t.Text == "" {
+		return "the end"
+	}
+	return strconv.Quote(t.Text)
+}
+
+// schedule parses "NAME for KIND at TIME".
+func (p *parser) schedule() (Sentence, error) {
+	s := Sentence{Verb: VerbSchedule}
+	for !strings.EqualFold(p.peek().Text, "for") {
+		t := p.next()
+		if t.Text == "" {
+			return s, errorAt(t.Column, `expected "for" and what is to be done`)
+		}
+		s.Name = append(s.Name, t)
+	}
+	forToken := p.next()
+	if len(s.Name) == 0 {
+		return s, errorAt(forToken.Column, "expected what is to be moved")
+	}
+	var err error
+	if s.Kind, err = p.kind(); err != nil {
+		return s, err
+	}
+	if !p.skip("at") {
+		p.skip("on")
+	}
+	s.At, err = p.time()
+	return s, err
+}
+
+func (p *parser) kind() (string, error) {
+	t := p.next()
+	switch strings.ToLower(t.Text) {
+	case "replacement", "replacing":
+		return maintenance.Replacement, nil
+	case "switch", "switching":
+		return maintenance.Switch, nil
+	case "stop", "stopping":
+		return maintenance.Stop, nil
+	}
+	return "", errorAt(t.Column, "expected replacement, switch or stop, found "+describe(t))
+}
+
+// window parses a sentence of a verb and a window's number.
+func (p *parser) window(verb string) (Sentence, error) {
+	id, err := p.windowID()
+	return Sentence{Verb: verb, WindowID: id}, err
+}
+
+// windowID parses "[booking] N" or "[booking] #N".
+func (p *parser) windowID() (uint64, error) {
+	p.skip("booking")
+	t := p.next()
+	id, err := strconv.ParseUint(strings.TrimPrefix(t.Text, "#"), 10, 64)
+	if err != nil {
+		return 0, errorAt(t.Column, "expected a booking's number, found "+describe(t))
+	}
+	return id, nil
+}
+
+// move parses "[booking] N to TIME".
+func (p *parser) move() (Sentence, error) {
+	s, err := p.window(VerbMove)
+	if err != nil {
+		return s, err
+	}
+	if err := p.expect("to"); err != nil {
+		return s, err
+	}
+	s.At, err = p.time()
+	return s, err
+}
+
+// listWindows parses "is booked [[on] DAY] [for SUBJECT]".
+func (p *parser) listWindows() (Sentence, error) {
+	s := Sentence{Verb: VerbListWindows}
+	if err := p.expect("is", "booked"); err != nil {
+		return s, err
+	}
+	if t := p.peek(); t.Text != "" && !strings.EqualFold(t.Text, "for") {
+		if p.skip("on") {
+			t = p.peek()
+		}
+		p.next()
+		day, ok := p.day(t)
+		if !ok {
+			return s, errorAt(t.Column, "expected today, tomorrow, a date such as 2027-01-31 or for and whom, found "+describe(t))
+		}
+		s.From, s.Until = day, p.midnight(day, 1)
+	}
+	if p.skip("for") {
+		if s.Subject = p.next(); s.Subject.Text == "" {
+			return s, errorAt(s.Subject.Column, "expected a partner, group, database or machine behind for")
+		}
+	}
+	return s, nil
+}
+
+// applied parses "applied [what]".
+func (p *parser) applied() (Sentence, error) {
+	s := Sentence{Verb: VerbApplied}
+	if err := p.expect("applied"); err != nil {
+		return s, err
+	}
+	p.skip("what")
+	return s, nil
+}
+
+// why parses "is read ID [on its copy]" or "are reads of GROUP [where they are]".
+func (p *parser) why() (Sentence, error) {
+	s := Sentence{Verb: VerbWhy}
+	t := p.next()
+	switch strings.ToLower(t.Text) {
+	case "is":
+		if err := p.expect("read"); err != nil {
+			return s, err
+		}
+		id := p.next()
+		if s.ReadID = id.Text; s.ReadID == "" {
+			return s, errorAt(id.Column, "expected the id that the read's caller gave")
+		}
+		return s, p.whyTail("on", "its", "copy")
+	case "are":
+		if err := p.expect("reads", "of"); err != nil {
+			return s, err
+		}
+		if s.Group = p.next(); s.Group.Text == "" {
+			return s, errorAt(s.Group.Column, "expected a group")
+		}
+		return s, p.whyTail("where", "they", "are")
+	}
+	return s, errorAt(t.Column, "expected is or are, found "+describe(t))
+}
+
+// whyTail parses the words that may end a question; "this" may stand for "its".
+func (p *parser) whyTail(keywords ...string) error {
+	if p.peek().Text == "" {
+		return nil
+	}
+	for _, keyword := range keywords {
+		if keyword == "its" && p.skip("this") {
+			continue
+		}
+		if err := p.expect(keyword); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/maintenance/next.go
@@ -0,0 +1,186 @@
+package maintenance
+
+import (
+	"time"
+
+	"stoneford/schema"
+)
+
+const (
+	// minDrain is how long a window stays in a state that waits for connections to
+	// fall idle: the pool nodes learn of the state within it.
+	minDrain = 300 * time.Millisecond
+	// maxDrain bounds the wait for open transactions and reads. What has not ended
+	// by then is interrupted.
+	maxDrain = 4 * time.Second
+	// maxClosing bounds the wait for single statements on a primary that is closed.
+	// Callers are rejected during it.
+	maxClosing = time.Second
+	// switchTimeout bounds the wait until another database is the primary, or the
+	// group can spare one.
+	switchTimeout = time.Minute
+	// platformTimeout bounds the wait for the platform to replace a database or to
+	// stop a machine.
+	platformTimeout = 10 * time.Minute
+)
+
+// Observation is what the process that carries out a window observes of its target.
+type Observation struct {
+	WallUs           int64  // time of day
+	InStateUs        int64  // how long the process has seen the window in its state
+	Obstacle         string // why the group could not bear the window now, "" if it could
+	Primary          string // of the group, "" while its epoch is not open
+	Target           string // name of the database
+	Identity         string // committed one of the database's data
+	MemberRetired    bool   // the group no longer counts the data to be replaced as a member
+	BusyConnections  int    // to the database
+	OpenTransactions int    // of these
+	MachineStopped   bool
+}
+
+func (o Observation) targetIsPrimary() bool { return o.Target != "" && o.Primary == o.Target }
+
+// otherPrimary reports whether a database other than the target is the primary.
+func (o Observation) otherPrimary() bool { return o.Primary != "" && o.Primary != o.Target }
+
+// inStateFor reports whether the window has been in its state for a time.
+func (o Observation) inStateFor(d time.Duration) bool { return o.InStateUs >= d.Microseconds() }
+
+// exceeds reports whether the window has been in its state for longer than a time.
+func (o Observation) exceeds(d time.Duration) bool { return o.InStateUs > d.Microseconds() }
+
+// replaced reports whether the group counts other data as a member in place of the
+// data to be replaced.
+func (o Observation) replaced(w *schema.MaintenanceWindow) bool {
+	return o.Identity != "" && o.Identity != w.Identity
+}
+
+// transition is the next state of a window, "" if it stays in its state.
+type transition struct{ state, detail string }
+
+var stay transition
+
+// Next returns the state that a window goes on to, "" if it stays as it is, and the
+// detail to be stored with it. request says that in this state the platform, or the
+// group's failover decision, has to be asked to act.
+func Next(w *schema.MaintenanceWindow, o Observation) (state, detail string, request bool) {
+	var t transition
+	switch w.State {
+	case Proposed:
+		t = nextProposed(w, o)
+	case Confirmed:
+		t = nextConfirmed(w, o)
+	case Draining:
+		t = nextDraining(w, o)
+	case Closing:
+		t = nextClosing(o)
+	case Switching:
+		t, request = nextSwitching(w, o), true
+	case Retiring:
+		t, request = nextRetiring(w, o), true
+	case AwaitingPlatform:
+		t, request = nextAwaitingPlatform(w, o), true
+	}
+	return t.state, t.detail, request && t == stay
+}
+
+func late(w *schema.MaintenanceWindow, o Observation) bool {
+	return o.WallUs > w.AtUs+StartTolerance.Microseconds()
+}
+
+func nextProposed(w *schema.MaintenanceWindow, o Observation) transition {
+	if late(w, o) {
+		return transition{Missed, "it was not confirmed in time"}
+	}
+	return stay
+}
+
+// nextConfirmed begins the window when its time has come and the group can bear it.
+func nextConfirmed(w *schema.MaintenanceWindow, o Observation) transition {
+	switch {
+	case o.WallUs < w.AtUs:
+		return stay
+	case late(w, o):
+		return transition{Missed, "it could not begin in time: " + o.Obstacle}
+	case o.Obstacle != "":
+		return stay
+	case w.Kind == Stop:
+		return transition{AwaitingPlatform, ""}
+	case w.Kind == Switch && o.Primary != o.Target:
+		return transition{Done, "it is not the primary"}
+	}
+	return transition{Draining, ""}
+}
+
+// nextDraining waits until transactions have ended. A primary goes on with single
+// statements meanwhile; a replica gets nothing new, so that all of its connections
+// fall idle.
+func nextDraining(w *schema.MaintenanceWindow, o Observation) transition {
+	primary := o.targetIsPrimary()
+	busy := o.OpenTransactions > 0 || o.BusyConnections > 0 && !primary
+	switch {
+	case !o.inStateFor(minDrain), !o.inStateFor(maxDrain) && busy:
+		return stay
+	case primary:
+		return transition{Closing, ""}
+	case w.Kind == Switch && o.Primary != "":
+		return transition{Done, o.Primary + " is the primary"}
+	case o.Primary != "":
+		return transition{Retiring, ""}
+	case o.exceeds(switchTimeout):
+		return transition{Failed, "the group could not bear it: " + o.Obstacle}
+	}
+	return stay
+}
+
+// nextClosing waits until the last statements on the primary have ended.
+func nextClosing(o Observation) transition {
+	idle := o.inStateFor(minDrain) && o.BusyConnections == 0
+	if o.Primary != o.Target || idle || o.inStateFor(maxClosing) {
+		return transition{Switching, ""}
+	}
+	return stay
+}
+
+// nextSwitching waits until another database is the primary.
+func nextSwitching(w *schema.MaintenanceWindow, o Observation) transition {
+	switch {
+	case o.otherPrimary() && w.Kind == Switch:
+		return transition{Done, o.Primary + " is the primary"}
+	case o.otherPrimary():
+		return transition{Retiring, o.Primary + " is the primary"}
+	case o.exceeds(switchTimeout):
+		return transition{Failed, "no other copy became the primary"}
+	}
+	return stay
+}
+
+// nextRetiring waits until the group no longer counts the database as a member.
+// The platform is asked only then, so that no acknowledged commit depends on the
+// database that goes (design 11.4).
+func nextRetiring(w *schema.MaintenanceWindow, o Observation) transition {
+	switch {
+	case o.MemberRetired:
+		return transition{AwaitingPlatform, ""}
+	case o.targetIsPrimary():
+		return transition{Switching, "a takeover made it the primary"}
+	case o.replaced(w):
+		return transition{Done, "another copy counts already"}
+	case o.exceeds(switchTimeout):
+		return transition{Failed, "the group could not spare it: " + o.Obstacle}
+	}
+	return stay
+}
+
+// nextAwaitingPlatform waits until the platform has done its part.
+func nextAwaitingPlatform(w *schema.MaintenanceWindow, o Observation) transition {
+	switch {
+	case w.Kind == Stop && o.MachineStopped:
+		return transition{Done, ""}
+	case w.Kind == Replacement && o.replaced(w):
+		return transition{Done, "the new copy counts"}
+	case o.exceeds(platformTimeout):
+		return transition{Failed, "the platform did not carry it out"}
+	}
+	return stay
+}
--- /dev/null
+++ b/maintenance/next_test.go
@@ -0,0 +1,116 @@
+package maintenance_test
+
+import (
+	"fmt"
+	"testing"
+
+	"stoneford/maintenance"
+	"stoneford/schema"
+)
+
+const startUs = 3_600_000_000 // an hour past 1970
+
+// A window is proposed by one partner, confirmed by the owner and then advances by
+// what is observed of the group.
+func Example() {
+	fleet := maintenance.Fleet{}
+	calendar, w, _ := maintenance.Propose(&schema.MaintenanceCalendar{}, &schema.MaintenanceWindow{
+		Kind:       maintenance.Replacement,
+		Target:     "shop/stock-b",
+		Group:      "shop/stock",
+		Owner:      "shop",
+		ProposedBy: "bank",
+		AtUs:       startUs,
+	}, startUs-1, fleet)
+	_, _, problem := maintenance.Confirm(calendar, w.Id, "bank", startUs-1, fleet)
+	fmt.Println(problem)
+	calendar, w, _ = maintenance.Confirm(calendar, w.Id, "shop", startUs-1, fleet)
+	o := maintenance.Observation{WallUs: startUs, Primary: "stock-a", Target: "stock-b", Identity: "old"}
+	for _, observe := range []func(){
+		func() { o.InStateUs = 1_000_000 },
+		func() {},
+		func() { o.MemberRetired, o.Identity = true, "" },
+		func() { o.Identity = "new" },
+	} {
+		observe()
+		state, _, _ := maintenance.Next(w, o)
+		calendar = maintenance.SetState(calendar, w.Id, state, "")
+		w = maintenance.Find(calendar, w.Id)
+		if state == maintenance.Draining {
+			w.Identity = "old"
+		}
+		fmt.Println(w.State)
+	}
+	// Output:
+	// 402 shop/stock-b belongs to shop
+	// draining
+	// setting aside
+	// handed to the platform
+	// done
+}
+
+// pendingStates are all states from which a window can go on.
+var pendingStates = []string{
+	maintenance.Proposed, maintenance.Confirmed, maintenance.Draining, maintenance.Closing,
+	maintenance.Switching, maintenance.Retiring, maintenance.AwaitingPlatform,
+}
+
+// observation returns one of 1<<13 windows with what is observed of it.
+func observation(i int) (*schema.MaintenanceWindow, maintenance.Observation) {
+	bit := func(n int) bool { return i>>n&1 == 1 }
+	pick := func(n int, a, b int64) int64 {
+		if bit(n) {
+			return a
+		}
+		return b
+	}
+	w := &schema.MaintenanceWindow{
+		Kind:     maintenance.Replacement,
+		Target:   "p/x",
+		Group:    "p/g",
+		Owner:    "p",
+		AtUs:     startUs,
+		Identity: "old",
+		State:    pendingStates[i%len(pendingStates)],
+	}
+	o := maintenance.Observation{
+		WallUs:           pick(0, startUs, startUs+20*60_000_000),
+		InStateUs:        pick(1, 400_000, 70_000_000),
+		Primary:          []string{"", "x", "y", "y"}[i>>2&3],
+		Target:           "x",
+		Identity:         []string{"old", "", "new", "old"}[i>>4&3],
+		MemberRetired:    bit(6),
+		BusyConnections:  int(pick(7, 0, 2)),
+		OpenTransactions: int(pick(8, 0, 1)),
+	}
+	if bit(9) {
+		o.Obstacle = "not well"
+	}
+	return w, o
+}
+
+// TestPlatformIsNeededOnlyAfterRetiring: whatever is observed, a database goes to the
+// platform only after the group stopped counting it as a member, and a primary is
+// never set aside.
+func TestPlatformIsNeededOnlyAfterRetiring(t *testing.T) {
+	handovers := 0
+	for i := range 1 << 13 {
+		w, o := observation(i)
+		next, _, request := maintenance.Next(w, o)
+		if next == maintenance.AwaitingPlatform {
+			handovers++
+			if w.State != maintenance.Retiring || !o.MemberRetired {
+				t.Errorf("%s goes to the platform: %+v", w.State, o)
+			}
+		}
+		if next == maintenance.Retiring && o.Primary == "x" {
+			t.Errorf("%s: a primary is set aside: %+v", w.State, o)
+		}
+		if request && w.State != maintenance.AwaitingPlatform && w.State != maintenance.Switching && w.State != maintenance.Retiring {
+			t.Errorf("%s makes a request", w.State)
+		}
+	}
+	if handovers == 0 {
+		t.Error("no database goes to the platform")
+	}
+}
--- /dev/null
+++ b/maintenance/window.go
@@ -0,0 +1,79 @@
+package maintenance
+
+import (
+	"slices"
+	"time"
+
+	"stoneford/schema"
+)
+
+// Kinds of maintenance windows. They are stored in the calendar.
+const (
+	Replacement = "replacement" // the platform puts a new, empty database in place of one
+	Switch      = "switch"      // another database of the group becomes the primary
+	Stop        = "stop"        // the platform stops the pool node of a machine
+)
+
+// States of a window. They are stored in the calendar.
+const (
+	Proposed         = "proposed"               // waits for the owner
+	Confirmed        = "confirmed"              // waits for its time
+	Draining         = "draining"               // no new transactions, and no new reads on a replica
+	Closing          = "closing"                // nothing new on the primary
+	Switching        = "switching"              // another database becomes the primary
+	Retiring         = "setting aside"          // the group stops counting the database as a member
+	AwaitingPlatform = "handed to the platform" // the platform replaces the database or stops the machine
+	Done             = "done"
+	Failed           = "failed"
+	Missed           = "missed" // it was not confirmed, or could not begin, in time
+	Cancelled        = "cancelled"
+)
+
+const (
+	// Length is the time on the calendar that a window takes up. Windows of the
+	// same group don't overlap.
+	Length = 10 * time.Minute
+	// StartTolerance is how much later than planned a window may begin. After that
+	// it is missed and has to be proposed anew.
+	StartTolerance = 15 * time.Minute
+	// retention is how long windows that have ended stay in the calendar.
+	retention = 14 * 24 * time.Hour
+	// clockTolerance is how far in the past the time of a new window may be, since
+	// the clocks of the partners and the control processes differ.
+	clockTolerance = time.Minute
+)
+
+// Pending reports whether a window has not ended.
+func Pending(w *schema.MaintenanceWindow) bool {
+	switch w.State {
+	case Done, Failed, Missed, Cancelled:
+		return false
+	}
+	return true
+}
+
+// InProgress reports whether a window has begun and not ended.
+func InProgress(w *schema.MaintenanceWindow) bool {
+	switch w.State {
+	case Draining, Closing, Switching, Retiring, AwaitingPlatform:
+		return true
+	}
+	return false
+}
+
+// IsDraining reports whether a window takes load off a database (PARTNER/DATABASE):
+// a replica gets no new reads and a primary no new transactions.
+func IsDraining(c *schema.MaintenanceCalendar, target string) bool {
+	return inState(c, target, Draining) || IsClosed(c, target)
+}
+
+// IsClosed reports whether a window keeps everything new from a database.
+func IsClosed(c *schema.MaintenanceCalendar, target string) bool {
+	return inState(c, target, Closing, Switching, Retiring, AwaitingPlatform)
+}
+
+func inState(c *schema.MaintenanceCalendar, target string, states ...string) bool {
+	return slices.ContainsFunc(c.GetWindows(), func(w *schema.MaintenanceWindow) bool {
+		return w.Target == target && w.Kind != Stop && slices.Contains(states, w.State)
+	})
+}
