--- a/cmd/stoneford-simulate/main.go
+++ b/cmd/stoneford-simulate/main.go
@@ -1,27 +1,35 @@
-// Command stoneford-simulate works out what-if questions about a deployment.
+// Command stoneford-simulate answers what-if questions about a deployment: it runs
+// the daemons' own cores on a simulated clock, with and without the changes that are
+// asked about, and compares (package whatif).
 package main
 
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 
-	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
-	"stoneford/emulator/checker"
 	"stoneford/emulator/whatif"
 	"stoneford/internal/settings"
 )
 
 func main() {
-	c := &cli.Command{
-		Name: "stoneford-simulate", Usage: "what would callers see if …",
+	if err := command().Run(context.Background(), os.Args); err != nil {
+		fmt.Fprintln(os.Stderr, "stoneford-simulate:", err)
+		os.Exit(1)
+	}
+}
+
+func command() *cli.Command {
+	return &cli.Command{
+		Name:      "stoneford-simulate",
+		Usage:     "what would callers see if …",
 		ArgsUsage: "[WHAT-IF...]",
 		Description: "Runs the daemons' own cores on a fake clock, with and without what is asked about, and compares.\n\n" + whatif.Help +
 			"\n\nExample: stoneford-simulate --example pharmacies \"the Cluj replica of inventory-2 out\" \"burden x2\"",
@@ -41,35 +49,42 @@
 		},
 		Action: run,
 	}
-	if err := c.Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "stoneford-simulate:", err)
-		os.Exit(1)
-	}
 }
 
 func run(_ context.Context, c *cli.Command) error {
+	scenario, err := readScenario(c)
+	if err != nil {
+		return err
+	}
+	changes, err := readChanges(c.Args().Slice())
+	if err != nil {
+		return err
+	}
+	seeds, err := readSeeds(c)
+	if err != nil {
+		return err
+	}
+	answers, err := compare(scenario, changes, seeds)
+	if err != nil {
+		return err
+	}
+	if c.Bool("json") {
+		e := json.NewEncoder(os.Stdout)
+		e.SetIndent("", "  ")
+		return e.Encode(answers)
+	}
+	return writeTable(os.Stdout, scenario, answers)
+}
+
+// readScenario returns the example that is named, with what the flags change in it.
+func readScenario(c *cli.Command) (whatif.Scenario, error) {
 	scenario, ok := whatif.Examples[c.String("example")]
 	if !ok {
-		return fmt.Errorf("no example %q", c.String("example"))
+		return scenario, fmt.Errorf("no example %q", c.String("example"))
 	}
-	if p := c.String("configuration"); p != "" {
-		b, err := os.ReadFile(p)
-		if err != nil {
-			return err
-		}
-		cf, ps := settings.ReadConfiguration(b)
-		if len(ps) > 0 {
-			for _, p := range ps {
-				fmt.Fprintln(os.Stderr, " ", p)
-			}
-			return fmt.Errorf("%s has errors", p)
-		}
-		scenario.Plan.Configuration = b
-		scenario.Plan.Zones = nil
-		for _, n := range slices.Sorted(maps.Keys(cf.Databases)) {
-			if z := cf.Databases[n].Zone; !slices.Contains(scenario.Plan.Zones, z) {
-				scenario.Plan.Zones = append(scenario.Plan.Zones, z)
-			}
+	if path := c.String("configuration"); path != "" {
+		if err := setConfiguration(&scenario, path); err != nil {
+			return scenario, err
 		}
 	}
 	if n := c.Int("machines"); n > 0 {
@@ -78,85 +93,68 @@
 	if n := c.Int("sessions"); n > 0 {
 		scenario.Plan.Sessions = n
 	}
-	if r := c.Float("rate"); r > 0 {
-		scenario.Rate = r
+	if rate := c.Float("rate"); rate > 0 {
+		scenario.Rate = rate
 	}
 	scenario.MeasureUs = int64(c.Int("seconds")) * 1_000_000
-	scenario.Plan.MaxDelayUs, scenario.Plan.CrossZoneDelayUs, scenario.Plan.ServiceUs = c.Int64("delay-us"), c.Int64("between-zones-us"), c.Int64("service-us")
+	scenario.Plan.MaxDelayUs = c.Int64("delay-us")
+	scenario.Plan.CrossZoneDelayUs = c.Int64("between-zones-us")
+	scenario.Plan.ServiceUs = c.Int64("service-us")
+	return scenario, nil
+}
+
+// setConfiguration puts the configuration of a file, and the zones of its databases,
+// in place of the example's.
+func setConfiguration(scenario *whatif.Scenario, path string) error {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	configuration, problems := settings.ReadConfiguration(text)
+	if len(problems) > 0 {
+		for _, p := range problems {
+			fmt.Fprintln(os.Stderr, " ", p)
+		}
+		return fmt.Errorf("%s has errors", path)
+	}
+	scenario.Plan.Configuration, scenario.Plan.Zones = text, nil
+	for _, name := range slices.Sorted(maps.Keys(configuration.Databases)) {
+		if zone := configuration.Databases[name].Zone; !slices.Contains(scenario.Plan.Zones, zone) {
+			scenario.Plan.Zones = append(scenario.Plan.Zones, zone)
+		}
+	}
+	return nil
+}
+
+func readChanges(texts []string) ([]whatif.Change, error) {
 	var changes []whatif.Change
-	for _, t := range c.Args().Slice() {
-		ch, err := whatif.Parse(t)
+	for _, text := range texts {
+		change, err := whatif.Parse(text)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		changes = append(changes, ch)
+		changes = append(changes, change)
 	}
+	return changes, nil
+}
+
+func readSeeds(c *cli.Command) ([]uint64, error) {
 	var seeds []uint64
 	for i := range c.Int("seeds") {
 		seeds = append(seeds, c.Uint64("seed")+uint64(i))
 	}
 	if len(seeds) == 0 {
-		return fmt.Errorf("at least one seed is needed")
-	}
-	answers := []whatif.Report{}
-	answer, err := whatif.Answer(scenario, nil, seeds)
-	if err != nil {
-		return err
-	}
-	answers = append(answers, answer)
-	if len(changes) > 0 {
-		if answer, err = whatif.Answer(scenario, changes, seeds); err != nil {
-			return err
-		}
-		answers = append(answers, answer)
+		return nil, errors.New("at least one seed is needed")
 	}
-	if c.Bool("json") {
-		e := json.NewEncoder(os.Stdout)
-		e.SetIndent("", "  ")
-		return e.Encode(answers)
-	}
-	return writeTable(scenario, answers)
+	return seeds, nil
 }
 
-func writeTable(scenario whatif.Scenario, answers []whatif.Report) error {
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	head := []string{"", "as it is"}
-	if len(answers) > 1 {
-		head = append(head, "what if "+strings.Join(answers[1].Changes, " and "))
-	}
-	fmt.Fprintln(w, strings.Join(head, "\t"))
-	row := func(name string, f func(whatif.Figures) float64) {
-		fmt.Fprintln(w, strings.Join(append([]string{name}, lo.Map(answers, func(a whatif.Report, _ int) string { return a.Figures(f).String() })...), "\t"))
-	}
-	row("queries", func(f whatif.Figures) float64 { return float64(f.Queries) })
-	row("served, share", func(f whatif.Figures) float64 { return f.Served })
-	row("at the first try, share", func(f whatif.Figures) float64 { return f.FirstTry })
-	row("p50, ms", func(f whatif.Figures) float64 { return float64(f.P50Us) / 1000 })
-	row("p99, ms", func(f whatif.Figures) float64 { return float64(f.P99Us) / 1000 })
-	for _, n := range slices.Sorted(maps.Keys(answers[0].Runs[0].Kinds)) {
-		row(n+", served", func(f whatif.Figures) float64 { return f.Kinds[n].Served })
-		row(n+", p99 ms", func(f whatif.Figures) float64 { return float64(f.Kinds[n].P99Us) / 1000 })
-	}
-	for _, n := range []string{checker.Lookup, checker.Pinned} {
-		row(n+", greatest age ms", func(f whatif.Figures) float64 { return float64(f.Ages[n].MaxUs) / 1000 })
-	}
-	row("status polls a query", func(f whatif.Figures) float64 { return f.Polls })
-	row("uncertain writes", func(f whatif.Figures) float64 { return float64(f.Uncertain) })
-	row("promises broken", func(f whatif.Figures) float64 { return float64(f.Broken) })
-	replicas := map[string]bool{}
-	for _, a := range answers {
-		for _, r := range a.Runs {
-			for c := range r.Copies {
-				replicas[c] = true
-			}
-		}
-	}
-	for _, c := range slices.Sorted(maps.Keys(replicas)) {
-		row("reads on "+c+", share", func(f whatif.Figures) float64 { return f.Copies[c] })
-	}
-	if err := w.Flush(); err != nil {
-		return err
+// compare returns the answer without the changes and, if there are any, that with them.
+func compare(scenario whatif.Scenario, changes []whatif.Change, seeds []uint64) ([]whatif.Report, error) {
+	answer, err := whatif.Answer(scenario, nil, seeds)
+	if err != nil || len(changes) == 0 {
+		return []whatif.Report{answer}, err
 	}
-	fmt.Printf("\nmedian (least to greatest) of %d seeds from %d, %d s each\n", len(answers[0].Seeds), answers[0].Seeds[0], scenario.MeasureUs/1_000_000)
-	return nil
+	changed, err := whatif.Answer(scenario, changes, seeds)
+	return []whatif.Report{answer, changed}, err
 }
--- a/cmd/stoneford/data.go
+++ b/cmd/stoneford/data.go
@@ -8,7 +8,6 @@
 	"os"
 	"path/filepath"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
@@ -17,16 +16,30 @@
 	"stoneford/schema"
 )
 
-// dataCommand looks at a voter's folder, without a fleet.
+// dataCommand looks at the folder of a control process, which need not run.
 func dataCommand() *cli.Command {
-	return &cli.Command{Name: "data", Usage: "look at the folder of a control process, or copy its log", Commands: []*cli.Command{
-		{Name: "inspect", Usage: "what the log holds; the process may run meanwhile", ArgsUsage: "FOLDER (the control process's own, or the voter folder in it)", Action: inspect},
-		{Name: "copy", Usage: "copy the log into a folder that holds none, and read it back", ArgsUsage: "FOLDER TO",
-			Description: "A voter never goes on from an older copy of its log: it would vote against what it said later.\nWhere its disk is lost it starts with an empty folder and joins anew.", Action: copyLog},
-	}}
+	return &cli.Command{
+		Name:  "data",
+		Usage: "look at the folder of a control process, or copy its log",
+		Commands: []*cli.Command{
+			{
+				Name:      "inspect",
+				Usage:     "what the log holds; the process may run meanwhile",
+				ArgsUsage: "FOLDER (the control process's own, or the voter folder in it)",
+				Action:    inspect,
+			},
+			{
+				Name:        "copy",
+				Usage:       "copy the log into a folder that holds none, and read it back",
+				ArgsUsage:   "FOLDER TO",
+				Description: "A voter never goes on from an older copy of its log: it would vote against what it said later.\nWhere its disk is lost it starts with an empty folder and joins anew.",
+				Action:      copyLog,
+			},
+		},
+	}
 }
 
-// dataReport is what inspect tells.
+// dataReport is what inspect prints.
 type dataReport struct {
 	Folder     string         `json:"folder"`
 	Format     int            `json:"format"`
@@ -49,9 +62,10 @@
 	DiskID  string `json:"life"`
 }
 
+// dataRegister is a register of which the voter accepted a value.
 type dataRegister struct {
 	Key      string   `json:"key"`
-	Revision uint64   `json:"revision"` // accepted here, not known to be agreed
+	Revision uint64   `json:"revision"` // accepted here, not known to be committed
 	Bytes    int      `json:"bytes"`
 	Changes  []string `json:"changes,omitempty"`
 }
@@ -76,22 +90,36 @@
 	return err == nil && s.IsDir()
 }
 
+// readData inspects the log in a folder. After an error the report holds what could
+// be read.
 func readData(arg string) (dataReport, error) {
 	folder, err := voterFolder(arg)
 	if err != nil {
 		return dataReport{}, err
 	}
 	r, err := wal.Inspect(folder)
-	d := dataReport{Folder: folder, Format: r.Format, File: r.File, Bytes: r.Bytes, Frames: r.Frames, Entries: r.Entries, TornBytes: r.TornBytes,
-		Leftover: r.Leftovers, DiskID: hexadecimal(r.DiskID), Membership: r.Membership.GetNumber(), Active: r.ActiveMembership,
-		Voters: lo.Map(r.Membership.GetVoters(), func(v *schema.Voter, _ int) dataVoter { return dataVoter{v.Address, hexadecimal(v.DiskId)} }),
-		Registers: lo.Map(r.Registers, func(c *schema.RegisterState, _ int) dataRegister {
-			return dataRegister{c.Key, c.Value.GetRevision(), len(c.Value.GetData()), c.Value.GetChangeIds()}
-		})}
 	if err == nil && r.File == "" {
 		err = fmt.Errorf("%s holds no log", folder)
 	}
-	return d, err
+	return dataReport{
+		Folder:     folder,
+		Format:     r.Format,
+		File:       r.File,
+		Bytes:      r.Bytes,
+		Frames:     r.Frames,
+		Entries:    r.Entries,
+		TornBytes:  r.TornBytes,
+		Leftover:   r.Leftovers,
+		DiskID:     hexadecimal(r.DiskID),
+		Membership: r.Membership.GetNumber(),
+		Active:     r.ActiveMembership,
+		Voters: lo.Map(r.Membership.GetVoters(), func(v *schema.Voter, _ int) dataVoter {
+			return dataVoter{v.Address, hexadecimal(v.DiskId)}
+		}),
+		Registers: lo.Map(r.Registers, func(c *schema.RegisterState, _ int) dataRegister {
+			return dataRegister{c.Key, c.Value.GetRevision(), len(c.Value.GetData()), c.Value.GetChangeIds()}
+		}),
+	}, err
 }
 
 // isVoter reports whether the disk's voter votes under the newest membership.
@@ -99,8 +127,9 @@
 
 func hexadecimal(diskID uint64) string { return fmt.Sprintf("%016x", diskID) }
 
+// write prints the report as tables.
 func (d dataReport) write(out io.Writer) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	w := newTable(out)
 	fmt.Fprintf(w, "%s: format %d, %d bytes, %d frames, %d entries\n", filepath.Join(d.Folder, d.File), d.Format, d.Bytes, d.Frames, d.Entries)
 	if d.TornBytes > 0 {
 		fmt.Fprintf(w, "%d bytes at its end were never synced; the next start drops them\n", d.TornBytes)
--- a/cmd/stoneford/data_test.go
+++ b/cmd/stoneford/data_test.go
@@ -11,9 +11,10 @@
 	"stoneford/schema"
 )
 
-func TestInspectVoterFolder(t *testing.T) {
-	own := t.TempDir()
-	l, err := wal.Open(filepath.Join(own, "voter"), func(*schema.WALEntry) {})
+// writeVoterLog writes the log of a voter with disk 7 and one register.
+func writeVoterLog(t *testing.T, folder string) {
+	t.Helper()
+	l, err := wal.Open(folder, func(*schema.WALEntry) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,39 +29,70 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	to := filepath.Join(t.TempDir(), "copy")
-	if err := wal.Copy(filepath.Join(own, "voter"), to); err != nil {
+}
+
+// TestInspectVoterFolder: the log is found in the process's folder, in the voter
+// folder in it and in a copy, and read completely.
+func TestInspectVoterFolder(t *testing.T) {
+	own, to := t.TempDir(), filepath.Join(t.TempDir(), "copy")
+	voter := filepath.Join(own, "voter")
+	writeVoterLog(t, voter)
+	if err := wal.Copy(voter, to); err != nil {
 		t.Fatal(err)
 	}
-	for _, folder := range []string{own, filepath.Join(own, "voter"), to} {
-		d, err := readData(folder)
-		if err != nil || !d.isVoter() || d.Membership != 2 || len(d.Voters) != 1 || d.Voters[0] != (dataVoter{"10.1.0.8:7440", "0000000000000007"}) || len(d.Registers) != 1 || d.Registers[0].Revision != 3 || d.Registers[0].Bytes != 4 {
-			t.Fatalf("%s: %v %+v", folder, err, d)
-		}
-		var b bytes.Buffer
-		if err := d.write(&b); err != nil || !strings.Contains(b.String(), "it votes") || !strings.Contains(b.String(), "newest") {
-			t.Errorf("%v %s", err, &b)
-		}
+	for name, folder := range map[string]string{"process": own, "voter": voter, "copy": to} {
+		t.Run(name, func(t *testing.T) { expectVoterLog(t, folder) })
+	}
+}
+
+func expectVoterLog(t *testing.T, folder string) {
+	t.Helper()
+	d, err := readData(folder)
+	if err != nil || !d.isVoter() || d.Membership != 2 {
+		t.Fatalf("%v %+v", err, d)
 	}
-	for _, folder := range []string{"", filepath.Join(own, "nothing"), t.TempDir()} {
+	if len(d.Voters) != 1 || d.Voters[0] != (dataVoter{"10.1.0.8:7440", "0000000000000007"}) {
+		t.Errorf("voters %+v", d.Voters)
+	}
+	if len(d.Registers) != 1 || d.Registers[0].Revision != 3 || d.Registers[0].Bytes != 4 {
+		t.Errorf("registers %+v", d.Registers)
+	}
+	var b bytes.Buffer
+	if err := d.write(&b); err != nil || !strings.Contains(b.String(), "it votes") || !strings.Contains(b.String(), "newest") {
+		t.Errorf("%v %s", err, &b)
+	}
+}
+
+func TestInspectRejectsFoldersWithoutLog(t *testing.T) {
+	for name, folder := range map[string]string{"no name": "", "no folder": filepath.Join(t.TempDir(), "nothing"), "empty folder": t.TempDir()} {
 		if d, err := readData(folder); err == nil {
-			t.Errorf("%q: %+v", folder, d)
+			t.Errorf("%s: %+v", name, d)
 		}
 	}
-	es, err := os.ReadDir(to)
-	if err != nil || len(es) == 0 {
-		t.Fatal(es, err)
+}
+
+// TestInspectReportsDamage: a changed byte in the first frame of a copy, with a sound
+// frame behind it, is an error and not the end of the log.
+func TestInspectReportsDamage(t *testing.T) {
+	original, folder := t.TempDir(), filepath.Join(t.TempDir(), "copy")
+	writeVoterLog(t, original)
+	if err := wal.Copy(original, folder); err != nil {
+		t.Fatal(err)
+	}
+	files, err := os.ReadDir(folder)
+	if err != nil || len(files) == 0 {
+		t.Fatal(files, err)
 	}
-	p := filepath.Join(to, es[0].Name())
-	b, err := os.ReadFile(p)
+	path := filepath.Join(folder, files[0].Name())
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b[20] ^= 0xff // in the first frame, with a sound one behind it
-	if err := os.WriteFile(p, b, 0o644); err != nil {
+	content[20] ^= 0xff
+	if err := os.WriteFile(path, content, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if d, err := readData(to); err == nil {
+	if d, err := readData(folder); err == nil {
 		t.Errorf("damage passed: %+v", d)
 	}
 }
--- a/cmd/stoneford/fleet.go
+++ b/cmd/stoneford/fleet.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 	"errors"
+	"io"
 	"os"
-	"strings"
 
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
@@ -12,55 +12,104 @@
 	"stoneford/internal/fleetstate"
 )
 
-// fleetCommand asks processes whose databases announce themselves (design 14).
+// view is what a fleet command shows: data as JSON, or what write prints.
+type view struct {
+	data  any
+	write func() error
+}
+
+// showFunc makes a view of the processes' states.
+type showFunc func(context.Context, []fleetstate.FetchResult) (view, error)
+
+// fleetCommand asks processes on a platform of databases that announce themselves
+// (design 14).
 func fleetCommand() *cli.Command {
-	at := func() []cli.Flag {
-		return []cli.Flag{&cli.StringFlag{Name: "at", Usage: "addresses at which processes tell their state, separated by commas", Sources: cli.EnvVars("STONEFORD_AT"), Required: true}}
+	commands := []*cli.Command{
+		fleetSubcommand("status", "each process asked: voters, registers, routing table, sessions", false, showStates(fleetstate.WriteStatus)),
+		fleetSubcommand("voters", "who votes, under which membership, how far each is, and who asks to vote", false, showStates(fleetstate.WriteVoters)),
+		fleetSubcommand("databases", "databases known, and how pool nodes asked use them", false, showStates(fleetstate.WriteDatabases)),
+		fleetSubcommand("leaders", "each group's term, primary, phase, cause, holder and members", false, showStates(fleetstate.WriteLeaders)),
+		fleetSubcommand("nodes", "processes that looked lately; each is asked for itself", false, showNodes),
+		fleetSubcommand("table", "the routing table in force, and what changed it lately", true, showTable),
+	}
+	return &cli.Command{
+		Name:     "fleet",
+		Usage:    "ask processes on a platform of databases that announce themselves (docs/platform.md)",
+		Commands: append(commands, moveCommands()...),
+	}
+}
+
+// atFlags returns the flag of the addresses of processes.
+func atFlags() []cli.Flag {
+	return []cli.Flag{&cli.StringFlag{
+		Name:     "at",
+		Usage:    "addresses at which processes tell their state, separated by commas",
+		Sources:  cli.EnvVars("STONEFORD_AT"),
+		Required: true,
+	}}
+}
+
+// fleetSubcommand fetches the states of the processes named, with the routing table
+// if asked to, and shows them.
+func fleetSubcommand(name, usage string, withTable bool, show showFunc) *cli.Command {
+	return &cli.Command{
+		Name:  name,
+		Usage: usage,
+		Flags: atFlags(),
+		Action: func(ctx context.Context, c *cli.Command) error {
+			return showFleet(ctx, c, withTable, show)
+		},
+	}
+}
+
+func showFleet(ctx context.Context, c *cli.Command, withTable bool, show showFunc) error {
+	results := fleetstate.FetchAll(ctx, splitAddresses(c.String("at")), withTable)
+	failures := lo.FilterMap(results, func(r fleetstate.FetchResult, _ int) (error, bool) { return r.Err, r.Err != nil })
+	if len(failures) == len(results) {
+		return errors.Join(append(failures, errors.New("none of the processes named replied"))...)
+	}
+	v, err := show(ctx, results)
+	if err != nil {
+		return err
+	}
+	if c.Bool("json") {
+		err = printJSON(v.data)
+	} else {
+		err = v.write()
 	}
-	subcommand := func(name, usage string, withTable bool, show func(context.Context, []fleetstate.FetchResult) (any, func() error, error)) *cli.Command {
-		return &cli.Command{Name: name, Usage: usage, Flags: at(), Action: func(ctx context.Context, c *cli.Command) error {
-			return runFleetCommand(ctx, c, withTable, show)
-		}}
+	return errors.Join(append(failures, err)...)
+}
+
+// showStates shows the states of all processes that replied.
+func showStates(write func(io.Writer, []fleetstate.FetchResult) error) showFunc {
+	return func(_ context.Context, results []fleetstate.FetchResult) (view, error) {
+		states := lo.FilterMap(results, func(r fleetstate.FetchResult, _ int) (fleetstate.ProcessState, bool) { return r.State, r.Err == nil })
+		return view{states, func() error { return write(os.Stdout, results) }}, nil
 	}
-	states := func(rs []fleetstate.FetchResult) any {
-		return lo.FilterMap(rs, func(r fleetstate.FetchResult, _ int) (fleetstate.ProcessState, bool) { return r.State, r.Err == nil })
+}
+
+// showTable shows the routing table of a control process, or a pool node's if no
+// control process replied.
+func showTable(_ context.Context, results []fleetstate.FetchResult) (view, error) {
+	s, err := fleetstate.FirstControl(results)
+	for _, r := range results {
+		if err != nil && r.Err == nil {
+			s, err = r.State, nil
+		}
 	}
-	return &cli.Command{Name: "fleet", Usage: "ask processes on a platform of databases that announce themselves (docs/platform.md)", Commands: append([]*cli.Command{
-		subcommand("status", "each process asked: voters, registers, routing table, sessions", false, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
-			return states(rs), func() error { return fleetstate.WriteStatus(os.Stdout, rs) }, nil
-		}),
-		subcommand("voters", "who votes, under which membership, how far each is, and who asks to vote", false, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
-			return states(rs), func() error { return fleetstate.WriteVoters(os.Stdout, rs) }, nil
-		}),
-		subcommand("databases", "databases known, and how pool nodes asked use them", false, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
-			return states(rs), func() error { return fleetstate.WriteDatabases(os.Stdout, rs) }, nil
-		}),
-		subcommand("leaders", "each group's term, primary, phase, cause, holder and members", false, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
-			return states(rs), func() error { return fleetstate.WriteLeaders(os.Stdout, rs) }, nil
-		}),
-		subcommand("nodes", "processes that looked lately; each is asked for itself", false, nodes),
-		subcommand("table", "the routing table in force, and what changed it lately", true, func(_ context.Context, rs []fleetstate.FetchResult) (any, func() error, error) {
-			s, err := fleetstate.FirstControl(rs)
-			for _, r := range rs {
-				if err != nil && r.Err == nil {
-					s, err = r.State, nil // a pool node's own
-				}
-			}
-			return s.Table, func() error { return fleetstate.WriteTable(os.Stdout, s) }, err
-		}),
-	}, moveCommands(at)...)}
+	return view{s.Table, func() error { return fleetstate.WriteTable(os.Stdout, s) }}, err
 }
 
-// nodes asks those that the first control process named heard of.
-func nodes(ctx context.Context, replies []fleetstate.FetchResult) (any, func() error, error) {
-	s, err := fleetstate.FirstControl(replies)
+// showNodes asks the pool nodes that the first control process heard of.
+func showNodes(ctx context.Context, results []fleetstate.FetchResult) (view, error) {
+	s, err := fleetstate.FirstControl(results)
 	if err != nil {
-		return nil, nil, err
+		return view{}, err
 	}
 	var addresses []string
 	for _, n := range s.Control.Nodes {
-		if a, err := fleetstate.StateAddress(n.Node); err == nil {
-			addresses = append(addresses, a)
+		if address, err := fleetstate.StateAddress(n.Node); err == nil {
+			addresses = append(addresses, address)
 		}
 	}
 	own := map[string]fleetstate.ProcessState{}
@@ -69,27 +118,9 @@
 			own[r.State.Node] = r.State
 		}
 	}
-	return struct {
+	data := struct {
 		Seen []fleetstate.Node                  `json:"seen"`
 		Own  map[string]fleetstate.ProcessState `json:"own"`
-	}{s.Control.Nodes, own}, func() error { return fleetstate.WriteNodes(os.Stdout, s, own) }, nil
-}
-
-func runFleetCommand(ctx context.Context, c *cli.Command, withTable bool, show func(context.Context, []fleetstate.FetchResult) (any, func() error, error)) error {
-	addresses := lo.Compact(strings.Split(c.String("at"), ","))
-	replies := fleetstate.FetchAll(ctx, addresses, withTable)
-	failed := lo.FilterMap(replies, func(r fleetstate.FetchResult, _ int) (error, bool) { return r.Err, r.Err != nil })
-	if len(failed) == len(replies) {
-		return errors.Join(append(failed, errors.New("none of the processes named replied"))...)
-	}
-	v, tables, err := show(ctx, replies)
-	if err != nil {
-		return err
-	}
-	if c.Bool("json") {
-		err = printJSON(v)
-	} else {
-		err = tables()
-	}
-	return errors.Join(append(failed, err)...)
+	}{s.Control.Nodes, own}
+	return view{data, func() error { return fleetstate.WriteNodes(os.Stdout, s, own) }}, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestWatchReportsChanges: a file that is rewritten in place with no signal, well,
-// half, with a wrong value, and back, is read anew each time; a bad one is told and
-// the next good one still comes.
+// TestWatchReportsChanges: a file that is rewritten in place without a signal — valid,
+// truncated, with an invalid value and valid again — is read each time. An invalid one
+// is reported, and the next valid one still comes.
 func TestWatchReportsChanges(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "boot.json")
 	write := func(s string) {
@@ -74,7 +74,7 @@
 	})
 }
 
-// TestFlagsOverrideFile: a flag stands over the file, lists too, and all is checked.
+// TestFlagsOverrideFile: a flag overrides the file, also for a list, and the result is checked.
 func TestFlagsOverrideFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "boot.json")
 	if err := os.WriteFile(file, []byte(good), 0o644); err != nil {
@@ -95,7 +95,7 @@
 	}, "--seeds", "10.0.0.4:3,10.0.0.2:3")
 }
 
-// FuzzCheck: no text ends the process; what passes has what must be there.
+// FuzzCheck: no text ends the process; what passes has the required settings.
 func FuzzCheck(f *testing.F) {
 	for _, s := range []string{good, "", "null", "[]", `{"name":3}`, good[:40], `{"tokens":{"a":1},"seeds":"x"}`, `{"nobody":"knows"}`, strings.Repeat("[", 10000)} {
 		f.Add([]byte(s))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon is what the two daemons' mains share: flags, logs as JSON
-// lines, the container of services and a stop on SIGTERM.
+// Package daemon is what the main functions of the daemons of our own interface
+// share: the command line, the log as JSON lines, the container of services, the
+// watch over the configuration file and the stop at SIGTERM.
 package daemon
 
 import (
@@ -21,46 +22,63 @@
 	"stoneford/schema"
 )
 
-// Service is a process's library.
+// Service is what a daemon runs. Run serves until the context ends, then shuts down
+// in order and returns what went wrong.
 type Service interface{ Run(context.Context) error }
 
-// Main runs a daemon. provide tells the container how the service is made;
-// changed is called when the boot file has changed.
+// Main runs a daemon and exits with 1 if that fails. provide makes the service from
+// the configuration and the clock in the container. changed takes a configuration
+// that was changed while the service runs.
 func Main(name, usage string, provide func(do.Injector) (Service, error), changed func(Service, *schema.Boot)) {
-	c := &cli.Command{Name: name, Usage: usage, Flags: config.Flags(), Action: func(ctx context.Context, c *cli.Command) error {
-		b, err := config.Read(c)
-		if err != nil {
-			return err
-		}
-		log.SetHandler(jsonlog.New(os.Stderr))
-		setLevel(b)
-		in := do.New()
-		do.ProvideValue(in, b)
-		do.ProvideValue[clockwork.Clock](in, clockwork.NewRealClock())
-		do.Provide(in, provide)
-		s, err := do.Invoke[Service](in)
-		if err != nil {
-			return err
-		}
-		ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
-		defer stop()
-		go config.Watch(ctx, c, b, func(b *schema.Boot, err error) {
-			if err != nil {
-				log.WithFields(log.Fields{"code": int(result.ConfigInvalid)}).WithError(err).Error(result.ConfigInvalid.String())
-				return
-			}
-			setLevel(b)
-			changed(s, b)
-			log.WithFields(log.Fields{"code": int(result.ConfigChanged)}).Info(result.ConfigChanged.String())
-		})
-		return s.Run(ctx)
-	}}
-	if err := c.Run(context.Background(), os.Args); err != nil {
-		for _, l := range strings.Split(strings.TrimSpace(err.Error()), "\n") {
-			fmt.Fprintln(os.Stderr, name+": "+l)
+	command := &cli.Command{
+		Name:  name,
+		Usage: usage,
+		Flags: config.Flags(),
+		Action: func(ctx context.Context, c *cli.Command) error {
+			return run(ctx, c, provide, changed)
+		},
+	}
+	if err := command.Run(context.Background(), os.Args); err != nil {
+		for _, line := range strings.Split(strings.TrimSpace(err.Error()), "\n") {
+			fmt.Fprintln(os.Stderr, name+": "+line)
 		}
 		os.Exit(1)
 	}
 }
 
-func setLevel(b *schema.Boot) { log.SetLevel(log.MustParseLevel(b.LogLevel)) }
+func run(ctx context.Context, c *cli.Command, provide func(do.Injector) (Service, error), changed func(Service, *schema.Boot)) error {
+	boot, err := config.Read(c)
+	if err != nil {
+		return err
+	}
+	log.SetHandler(jsonlog.New(os.Stderr))
+	setLogLevel(boot)
+	service, err := newService(boot, provide)
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	go config.Watch(ctx, c, boot, func(boot *schema.Boot, err error) {
+		if err != nil {
+			log.WithFields(log.Fields{"code": int(result.ConfigInvalid)}).WithError(err).Error(result.ConfigInvalid.String())
+			return
+		}
+		setLogLevel(boot)
+		changed(service, boot)
+		log.WithFields(log.Fields{"code": int(result.ConfigChanged)}).Info(result.ConfigChanged.String())
+	})
+	return service.Run(ctx)
+}
+
+// newService makes the service in a container of its own.
+func newService(boot *schema.Boot, provide func(do.Injector) (Service, error)) (Service, error) {
+	container := do.New()
+	do.ProvideValue(container, boot)
+	do.ProvideValue[clockwork.Clock](container, clockwork.NewRealClock())
+	do.Provide(container, provide)
+	return do.Invoke[Service](container)
+}
+
+// setLogLevel sets the log level, whose name the configuration's check has allowed.
+func setLogLevel(boot *schema.Boot) { log.SetLevel(log.MustParseLevel(boot.LogLevel)) }
--- /dev/null
+++ b/internal/operators/calls.go
@@ -0,0 +1,63 @@
+package operators
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"stoneford/internal/control"
+	"stoneford/result"
+)
+
+const configurationPath = "/v1/configuration"
+
+// Configuration reads the partner's configuration through a majority of the voters;
+// with applied, the reply also says which revision is in force on which process.
+func (c Client) Configuration(ctx context.Context, applied bool) (control.Reply, error) {
+	path := configurationPath
+	if applied {
+		path += "?applied=1"
+	}
+	var reply control.Reply
+	err := c.Call(ctx, http.MethodGet, path, nil, &reply)
+	return reply, err
+}
+
+// Change sends a complete configuration, or with patch a JSON merge patch, based on
+// a revision. With dryRun it is only checked. After an error the change may or may
+// not come into force.
+func (c Client) Change(ctx context.Context, base uint64, configuration json.RawMessage, patch, dryRun bool) (control.Reply, error) {
+	method, path := http.MethodPut, configurationPath
+	if patch {
+		method = http.MethodPatch
+	}
+	if dryRun {
+		path += "?dry_run=1"
+	}
+	var reply control.Reply
+	err := c.Call(ctx, method, path, control.ConfigurationBody{BasedOn: base, Configuration: configuration}, &reply)
+	return reply, err
+}
+
+// Status reads what a control process knows of the fleet.
+func (c Client) Status(ctx context.Context) (control.Status, error) {
+	var reply struct {
+		control.Status
+		Code result.Code `json:"code"`
+		Text string      `json:"text"`
+	}
+	err := c.Call(ctx, http.MethodGet, "/v1/status", nil, &reply)
+	if err == nil && reply.Code != result.OK {
+		err = fmt.Errorf("%d %s", reply.Code, reply.Text)
+	}
+	return reply.Status, err
+}
+
+// Run carries out a sentence (package language). After an error it may or may not
+// have been carried out.
+func (c Client) Run(ctx context.Context, sentence string) (control.SentenceReply, error) {
+	var reply control.SentenceReply
+	err := c.Call(ctx, http.MethodPost, "/v1/say", control.SentenceBody{Text: sentence}, &reply)
+	return reply, err
+}
--- a/internal/operators/client.go
+++ b/internal/operators/client.go
@@ -1,4 +1,3 @@
-// Package operators is the operators' side of a control process's HTTP.
 package operators
 
 import (
@@ -8,141 +7,105 @@
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"net/http"
 	"time"
 
-	"stoneford/internal/control"
 	"stoneford/result"
 )
 
-// Client asks any of the control processes.
-type Client struct {
-	Addresses []string
-	Token     string
-}
-
 const (
-	callTimeout   = 7 * time.Second
+	// callTimeout bounds a call to one control process. It is longer than a control
+	// process takes to give up on a majority of the voters.
+	callTimeout = 7 * time.Second
+	// maxReplyBytes bounds the reply that is read.
 	maxReplyBytes = 64 << 20
 )
 
-// HTTP sends operators' calls. A call leaves once: each has a connection of its
-// own, and a redirection, which would have it sent again, is an answer.
+// ErrNoAddress is returned by a Client without addresses.
+var ErrNoAddress = errors.New("no control process is named (STONEFORD_CONTROL or --control)")
+
+// Client calls any of the control processes. It may be used by many goroutines.
+type Client struct {
+	Addresses []string // of the control processes' HTTP interfaces, tried in this order
+	Token     string   // of the partner
+}
+
+// HTTP sends operators' calls. Each call has a connection of its own, since
+// net/http may send a call again over a connection that it finds closed, and a
+// redirection is a reply and not followed, since that would send it again as well.
 var HTTP = &http.Client{
 	Transport:     &http.Transport{Proxy: http.ProxyFromEnvironment, DisableKeepAlives: true},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// ReadReply reads a control process's reply into out. It is a single JSON value
-// and, but for a status, holds a code; what is not is the word of another program,
-// or part of a reply.
-func ReadReply(response *http.Response, out any) error {
-	b, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
+// ReadReply decodes the reply of a control process into reply. It must be a single
+// JSON value and have a code unless it replies to a GET: anything else is from
+// another program, or incomplete.
+func ReadReply(response *http.Response, reply any) error {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
 		return err
 	}
 	var head struct {
 		Code *result.Code `json:"code"`
 	}
-	if err := json.Unmarshal(b, &head); err != nil {
+	if err := json.Unmarshal(body, &head); err != nil {
 		return fmt.Errorf("%s: %w", response.Status, err)
 	}
 	if head.Code == nil && response.Request.Method != http.MethodGet {
 		return fmt.Errorf("%s: this is no control process", response.Status)
 	}
-	return json.Unmarshal(b, out)
+	return json.Unmarshal(body, reply)
+}
+
+// IsDialError reports whether a call failed before any of it was sent, because the
+// other side could not be reached.
+func IsDialError(err error) bool {
+	var op *net.OpError
+	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Call puts a query to the control processes in turn until one replies. A change
-// goes to the next only when the one before it was never reached: after that,
-// whether it took effect is for the operator to read.
-func (c Client) Call(ctx context.Context, method, path string, in, out any) error {
+// Call calls the control processes in turn until one replies, and decodes the reply
+// into reply. Anything but a GET is sent to the next process only if the one before
+// could not be reached. The error has that of each process called.
+func (c Client) Call(ctx context.Context, method, path string, body, reply any) error {
 	if len(c.Addresses) == 0 {
-		return errors.New("no control process is named (STONEFORD_CONTROL or --control)")
+		return ErrNoAddress
 	}
-	var all []error
-	for _, a := range c.Addresses {
-		err := c.callOne(ctx, a, method, path, in, out)
+	var failures []error
+	for _, address := range c.Addresses {
+		err := c.callOne(ctx, address, method, path, body, reply)
 		if err == nil {
 			return nil
 		}
-		all = append(all, fmt.Errorf("%s: %w", a, err))
-		var d *dialError
-		if method != http.MethodGet && !errors.As(err, &d) {
+		failures = append(failures, fmt.Errorf("%s: %w", address, err))
+		if method != http.MethodGet && !IsDialError(err) {
 			break
 		}
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
-type dialError struct{ error }
-
-func (c Client) callOne(ctx context.Context, address, method, path string, in, out any) error {
+func (c Client) callOne(ctx context.Context, address, method, path string, body, reply any) error {
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	var body []byte
-	if in != nil {
+	var text []byte
+	if body != nil {
 		var err error
-		if body, err = json.Marshal(in); err != nil {
+		if text, err = json.Marshal(body); err != nil {
 			return err
 		}
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(text))
 	if err != nil {
 		return err
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Token)
 	response, err := HTTP.Do(request)
 	if err != nil {
-		if isDialError(err) {
-			return &dialError{err}
-		}
 		return err
 	}
 	defer response.Body.Close()
-	return ReadReply(response, out)
-}
-
-// Configuration reads the partner's configuration; applied asks who works by which
-// revision.
-func (c Client) Configuration(ctx context.Context, applied bool) (control.Reply, error) {
-	var r control.Reply
-	p := "/v1/configuration"
-	if applied {
-		p += "?applied=1"
-	}
-	return r, c.Call(ctx, http.MethodGet, p, nil, &r)
-}
-
-// Change sends a whole configuration or a merge patch based on a revision.
-func (c Client) Change(ctx context.Context, base uint64, configuration json.RawMessage, patch, dry bool) (control.Reply, error) {
-	var r control.Reply
-	m, p := http.MethodPut, "/v1/configuration"
-	if patch {
-		m = http.MethodPatch
-	}
-	if dry {
-		p += "?dry_run=1"
-	}
-	return r, c.Call(ctx, m, p, control.ConfigurationBody{BasedOn: base, Configuration: configuration}, &r)
-}
-
-// Status reads what a control process knows of the fleet.
-func (c Client) Status(ctx context.Context) (control.Status, error) {
-	var s struct {
-		control.Status
-		Code result.Code `json:"code"`
-		Text string      `json:"text"`
-	}
-	err := c.Call(ctx, http.MethodGet, "/v1/status", nil, &s)
-	if err == nil && s.Code != result.OK {
-		err = fmt.Errorf("%d %s", s.Code, s.Text)
-	}
-	return s.Status, err
-}
-
-// Run types a sentence of the language.
-func (c Client) Run(ctx context.Context, text string) (control.SentenceReply, error) {
-	var r control.SentenceReply
-	return r, c.Call(ctx, http.MethodPost, "/v1/say", map[string]string{"text": text}, &r)
+	return ReadReply(response, reply)
 }
--- a/internal/operators/client_test.go
+++ b/internal/operators/client_test.go
@@ -10,26 +10,36 @@
 	"testing"
 )
 
-// TestChangeIsSentOnce: a change goes to one control process that was reached,
-// and only a control process's own word is its answer.
+// serve starts an HTTP server that counts its calls.
+func serve(t *testing.T, handle http.HandlerFunc) (address string, calls *atomic.Int64) {
+	t.Helper()
+	calls = &atomic.Int64{}
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		io.Copy(io.Discard, r.Body)
+		calls.Add(1)
+		handle(w, r)
+	}))
+	t.Cleanup(s.Close)
+	return strings.TrimPrefix(s.URL, "http://"), calls
+}
+
+func replying(body string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, body) }
+}
+
+func redirecting(address string, status int) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "http://"+address, status) }
+}
+
+const acceptedReply = `{"code":0,"text":"ok","revision":9}`
+
+// TestChangeIsSentOnce: a change is sent to one control process that may have
+// received it, and only the complete reply of a control process counts.
 func TestChangeIsSentOnce(t *testing.T) {
-	serve := func(h http.HandlerFunc) (string, *atomic.Int64) {
-		calls := &atomic.Int64{}
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			io.Copy(io.Discard, r.Body)
-			calls.Add(1)
-			h(w, r)
-		}))
-		t.Cleanup(s.Close)
-		return strings.TrimPrefix(s.URL, "http://"), calls
-	}
-	replying := func(text string) http.HandlerFunc {
-		return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }
-	}
-	otherAddress, otherCalls := serve(replying(`{"code":0,"text":"ok","revision":9}`))
+	otherAddress, otherCalls := serve(t, replying(acceptedReply))
 	for name, react := range map[string]http.HandlerFunc{
-		"redirects, 307":      func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "http://"+otherAddress, 307) },
-		"redirects, 308":      func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "http://"+otherAddress, 308) },
+		"redirects, 307":      redirecting(otherAddress, http.StatusTemporaryRedirect),
+		"redirects, 308":      redirecting(otherAddress, http.StatusPermanentRedirect),
 		"hangs up":            func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"is another program":  replying(`{}`),
 		"has no code":         replying(`{"text":"ok","revision":9}`),
@@ -37,23 +47,31 @@
 		"half a value":        replying(`{"code":0,"text":"ok","revis`),
 		"more than one value": replying(`{"code":0,"text":"ok"}{"code":1}`),
 	} {
-		address, calls := serve(react)
-		r, err := Client{Addresses: []string{address, otherAddress}}.Change(t.Context(), 8, json.RawMessage(`{}`), false, false)
-		if err == nil {
-			t.Errorf("%s: %+v", name, r)
-		}
-		if n := calls.Load(); n != 1 {
-			t.Errorf("%s: %d calls", name, n)
-		}
+		t.Run(name, func(t *testing.T) {
+			address, calls := serve(t, react)
+			r, err := Client{Addresses: []string{address, otherAddress}}.Change(t.Context(), 8, json.RawMessage(`{}`), false, false)
+			if err == nil {
+				t.Errorf("no error, %+v", r)
+			}
+			if n := calls.Load(); n != 1 {
+				t.Errorf("%d calls", n)
+			}
+		})
 	}
 	if n := otherCalls.Load(); n != 0 {
-		t.Errorf("another process was sent %d changes", n)
+		t.Errorf("another process got %d changes", n)
 	}
-	// Where the first was never reached the second is asked.
+}
+
+// TestChangeGoesOnFromUnreachableProcess: a change is sent to the next process if the
+// first could not be reached.
+func TestChangeGoesOnFromUnreachableProcess(t *testing.T) {
+	address, calls := serve(t, replying(acceptedReply))
 	closed := httptest.NewServer(nil)
 	closed.Close()
-	r, err := Client{Addresses: []string{strings.TrimPrefix(closed.URL, "http://"), otherAddress}}.Change(t.Context(), 8, json.RawMessage(`{}`), false, false)
-	if err != nil || r.Revision != 9 || otherCalls.Load() != 1 {
-		t.Error(r, err)
+	unreachable := strings.TrimPrefix(closed.URL, "http://")
+	r, err := Client{Addresses: []string{unreachable, address}}.Change(t.Context(), 8, json.RawMessage(`{}`), false, false)
+	if err != nil || r.Revision != 9 || calls.Load() != 1 {
+		t.Error(r, err, calls.Load())
 	}
 }
--- a/internal/settings/stored_test.go
+++ b/internal/settings/stored_test.go
@@ -36,7 +36,7 @@
 	}},
 }
 
-// TestStoredSettings: files and registers that earlier code took are read whole by
+// TestStoredSettings: files and registers that earlier code took are read completely by
 // their names, and written with the same names.
 func TestStoredSettings(t *testing.T) {
 	for _, x := range storedSettings {
