--- a/emulator/simulation/control_process.go
+++ b/emulator/simulation/control_process.go
@@ -7,6 +7,7 @@
 	"stoneford/emulator/databasereplica"
 	"stoneford/failover/sealed"
 	"stoneford/internal/control"
+	"stoneford/internal/pool"
 	"stoneford/maintenance"
 	"stoneford/schema"
 )
@@ -242,7 +243,7 @@
 	}
 	for _, n := range f.Nodes {
 		if n.boot.Listen == to {
-			f.toNode(n, n.generation, func() { f.stepNode(n, e) })
+			f.toNode(n, n.generation, func() { f.stepNode(n, pool.Received{Envelope: e}) })
 			return
 		}
 	}
--- a/emulator/simulation/node_process.go
+++ b/emulator/simulation/node_process.go
@@ -33,7 +33,7 @@
 	n.tables, n.routes = map[string]*querytable.Table{}, map[string]pool.Route{}
 	n.waiters, n.wanted, n.drainingSinceUs = map[uint64]func(querytable.Reply){}, map[string]querytable.Desired{}, map[string]int64{}
 	f.ticks(&n.processState, f.Plan.StepIntervalUs, func() {
-		var events []any
+		var events []pool.Event
 		for _, k := range slices.Sorted(maps.Keys(n.tables)) {
 			f.stepTable(n, k, querytable.Tick{})
 			_, _, in := n.tables[k].Gauges()
@@ -46,7 +46,7 @@
 
 func (f *Fleet) toNode(n *nodeProcess, gen int, do func()) { f.enter(&n.processState, gen, do) }
 
-func (f *Fleet) stepNode(n *nodeProcess, events ...any) {
+func (f *Fleet) stepNode(n *nodeProcess, events ...pool.Event) {
 	effects := n.core.Step(f.Now, events...)
 	for _, s := range effects.Send {
 		f.Network.Send(n.boot.Listen, s)
@@ -106,7 +106,7 @@
 	}
 }
 
-func (f *Fleet) stepTable(n *nodeProcess, group string, events ...any) {
+func (f *Fleet) stepTable(n *nodeProcess, group string, events ...querytable.Event) {
 	t := n.tables[group]
 	for _, e := range t.Step(f.Now, events...) {
 		f.observeTable(n, group, e)
@@ -130,7 +130,7 @@
 	}
 }
 
-func (f *Fleet) returnNearest(n *nodeProcess, gen int, group string, e any) {
+func (f *Fleet) returnNearest(n *nodeProcess, gen int, group string, e querytable.Event) {
 	f.toNode(n, gen, func() {
 		if n.tables[group] != nil {
 			f.stepTable(n, group, e)
--- a/emulator/simulation/sessions.go
+++ b/emulator/simulation/sessions.go
@@ -199,7 +199,7 @@
 
 // put brings an event to the session's node and waits for its return; a caller
 // that never hears back does not know.
-func (s *session) put(n *nodeProcess, id uint64, e any, then func(querytable.Reply)) {
+func (s *session) put(n *nodeProcess, id uint64, e querytable.Event, then func(querytable.Reply)) {
 	f, g := s.fleet, s.generation
 	ended := false
 	f.waiting++
--- /dev/null
+++ b/internal/pool/decisions.go
@@ -0,0 +1,54 @@
+package pool
+
+import (
+	"maps"
+	"slices"
+
+	"stoneford/internal/querytable"
+	"stoneford/schema"
+)
+
+// requestDecisions asks the tables of the requesting partner's groups, or of the one
+// group that is named, for their decisions.
+func (c *Core) requestDecisions(from string, request *schema.ReadDecisionRequest) {
+	for _, key := range slices.Sorted(maps.Keys(c.groups)) {
+		if c.groups[key].partner == request.Partner && (request.Group == "" || request.Group == key) {
+			c.do(DecisionsRequest{From: from, Number: request.RequestNumber, Group: key, Query: request.Query})
+		}
+	}
+}
+
+// handleDecisions sends the decisions of a table to the control process that asked.
+func (c *Core) handleDecisions(e Decisions) {
+	response := &schema.ReadDecisionResponse{RequestNumber: e.Request.Number}
+	for _, d := range e.Decisions {
+		response.Decisions = append(response.Decisions, &schema.ReadDecision{
+			Node:        c.config.Name,
+			Group:       e.Group,
+			Query:       d.Name,
+			Class:       d.Class,
+			AgoUs:       e.AtUs - d.AtUs,
+			Replica:     d.Database,
+			Reason:      d.Reason,
+			MinPosition: d.Floor,
+			Candidates:  replicaCandidates(d),
+		})
+	}
+	c.sendTo(&schema.Envelope{From: c.self, Body: &schema.Envelope_ReadDecisionResponse{ReadDecisionResponse: response}}, e.Request.From)
+}
+
+func replicaCandidates(d querytable.Decision) []*schema.ReplicaCandidate {
+	var candidates []*schema.ReplicaCandidate
+	for _, r := range d.Candidates {
+		candidates = append(candidates, &schema.ReplicaCandidate{
+			Replica:          r.Name,
+			AppliedPosition:  r.AppliedPosition,
+			RequiredPosition: r.RequiredPosition,
+			LoadUs:           r.LoadUs,
+			RunUs:            r.AverageRunUs,
+			WaitUs:           r.WaitUs,
+			Eligible:         r.Eligible,
+		})
+	}
+	return candidates
+}
--- a/internal/pool/metrics.go
+++ b/internal/pool/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics reads the counters the process keeps anyway; docs/operating.md has
-// the table.
+// metrics collects the metrics of a node from what its tables report; docs/operating.md
+// describes them.
 type metrics struct{ process *Process }
 
 func metricDescription(name, help string, labels ...string) *prometheus.Desc {
@@ -30,46 +30,54 @@
 	nodesMetric        = metricDescription("nodes", "processes this node knows of", "standing")
 )
 
-// Describe names nothing beforehand: what there is to tell depends on the
-// configuration, and nothing can be collected before the process runs.
+// Describe implements prometheus.Collector. It describes nothing in advance: what
+// there is to collect depends on the configuration.
 func (m metrics) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
 func (m metrics) Collect(ch chan<- prometheus.Metric) {
-	put := func(d *prometheus.Desc, t prometheus.ValueType, v float64, ls ...string) {
-		ch <- prometheus.MustNewConstMetric(d, t, v, ls...)
-	}
-	for g, r := range *m.process.sharedRunners.Load() {
-		v := r.view.Load()
-		if v == nil {
-			continue
-		}
-		c := v.Counts
-		for end, n := range map[string]uint64{"done": c.Done, "bounced": c.Rejected, "uncertain": c.Uncertain, "failed": c.Failed} {
-			put(queriesMetric, prometheus.CounterValue, float64(n), g, end)
-		}
-		put(runsMetric, prometheus.CounterValue, float64(c.OnReplica), g, "replica")
-		put(runsMetric, prometheus.CounterValue, float64(c.OnPrimary), g, "primary")
-		put(pollsMetric, prometheus.CounterValue, float64(c.Polls), g)
-		put(opensMetric, prometheus.CounterValue, float64(c.Opens), g)
-		put(retriesMetric, prometheus.CounterValue, float64(c.Retried), g)
-		put(sessionsMetric, prometheus.GaugeValue, float64(v.Sessions), g)
-		put(inFlightMetric, prometheus.GaugeValue, float64(v.Queries), g)
-		for db, n := range v.Connections {
-			put(connectionsMetric, prometheus.GaugeValue, float64(n), g, db)
-		}
-		for _, w := range v.Databases {
-			put(unresponsiveMetric, prometheus.GaugeValue, float64(w.UnresponsiveUs), g, w.Name)
-			put(appliedMetric, prometheus.GaugeValue, float64(w.Status.Applied), g, w.Name)
+	for group, r := range *m.process.sharedRunners.Load() {
+		if v := r.view.Load(); v != nil {
+			collectTable(ch, group, v)
 		}
 	}
 	sent, dropped, received := m.process.links.Counts()
 	for direction, n := range map[string]uint64{"sent": sent, "dropped": dropped, "received": received} {
-		put(envelopesMetric, prometheus.CounterValue, float64(n), direction)
+		count(ch, envelopesMetric, n, direction)
+	}
+	view := m.process.nodeView.Load()
+	gauge(ch, nodesMetric, float64(view.Nodes), "known")
+	gauge(ch, nodesMetric, float64(view.Alive), "alive")
+}
+
+// collectTable collects the metrics of a group's table.
+func collectTable(ch chan<- prometheus.Metric, group string, v *tableView) {
+	c := v.Counts
+	for end, n := range map[string]uint64{"done": c.Done, "bounced": c.Rejected, "uncertain": c.Uncertain, "failed": c.Failed} {
+		count(ch, queriesMetric, n, group, end)
 	}
-	n := m.process.nodeView.Load()
-	put(nodesMetric, prometheus.GaugeValue, float64(n.Nodes), "known")
-	put(nodesMetric, prometheus.GaugeValue, float64(n.Alive), "alive")
+	count(ch, runsMetric, c.OnReplica, group, "replica")
+	count(ch, runsMetric, c.OnPrimary, group, "primary")
+	count(ch, pollsMetric, c.Polls, group)
+	count(ch, opensMetric, c.Opens, group)
+	count(ch, retriesMetric, c.Retried, group)
+	gauge(ch, sessionsMetric, float64(v.Sessions), group)
+	gauge(ch, inFlightMetric, float64(v.Queries), group)
+	for database, n := range v.Connections {
+		gauge(ch, connectionsMetric, float64(n), group, database)
+	}
+	for _, d := range v.Databases {
+		gauge(ch, unresponsiveMetric, float64(d.UnresponsiveUs), group, d.Name)
+		gauge(ch, appliedMetric, float64(d.Status.Applied), group, d.Name)
+	}
+}
+
+func count(ch chan<- prometheus.Metric, d *prometheus.Desc, n uint64, labels ...string) {
+	ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(n), labels...)
+}
+
+func gauge(ch chan<- prometheus.Metric, d *prometheus.Desc, v float64, labels ...string) {
+	ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 }
 
 func (p *Process) metrics() http.Handler {
--- a/internal/pool/names_test.go
+++ b/internal/pool/names_test.go
@@ -7,7 +7,7 @@
 	"stoneford/internal/querytable"
 )
 
-// TestJSONNames: the counts that a node tells have the names that they had.
+// TestJSONNames: the counts that a node reports have the names that they had.
 func TestJSONNames(t *testing.T) {
 	for _, x := range []struct {
 		shape string
--- /dev/null
+++ b/internal/pool/sessions.go
@@ -0,0 +1,197 @@
+package pool
+
+import (
+	"crypto/rand"
+	"net/http"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"github.com/samber/lo"
+
+	"stoneford/internal/querytable"
+	"stoneford/result"
+)
+
+// notConfiguredRetryDelay is when a call may be repeated at a node that has no
+// configuration yet.
+const notConfiguredRetryDelay = 300 * time.Millisecond
+
+// sessionBody is the body of a call that opens a session.
+type sessionBody struct {
+	Session  string            `json:"session"` // name, "" for one that the node makes
+	Route    string            `json:"route"`
+	Values   map[string]string `json:"values"`
+	Prepared map[string]string `json:"prepared"` // text of prepared statements, by name
+	Token    querytable.Token  `json:"token"`    // of a session at another node, to go on with
+}
+
+// valuesBody is the body of a call that changes a session; "" removes a name.
+type valuesBody struct {
+	Values   map[string]string `json:"values"`
+	Prepared map[string]string `json:"prepared"`
+}
+
+// queryBody is the body of a query.
+type queryBody struct {
+	Query      string                 `json:"query"` // the caller's ID of it
+	Class      string                 `json:"class"`
+	ReadOnly   bool                   `json:"read_only"`
+	Begin      bool                   `json:"begin"`
+	Commit     bool                   `json:"commit"`
+	Rollback   bool                   `json:"rollback"`
+	Statements []querytable.Statement `json:"statements"`
+	DeadlineUs int64                  `json:"expiry_us"` // from its arrival; 0 for the class's
+}
+
+// sessionRoute is the route of a session and the runner of its group.
+type sessionRoute struct {
+	runner *runner
+	route  string
+	ended  atomic.Bool // from now on its name may be another session's
+}
+
+func (p *Process) openSession(w http.ResponseWriter, r *http.Request) {
+	var b sessionBody
+	if !p.readBody(w, r, &b) {
+		return
+	}
+	runner, rejection := p.runnerFor(b)
+	if rejection != nil {
+		p.writeReply(w, *rejection)
+		return
+	}
+	id := b.Session
+	if id == "" {
+		id = rand.Text()
+	}
+	if _, exists := p.sessions.LoadOrStore(id, &sessionRoute{runner: runner, route: b.Route}); exists {
+		p.reject(w, result.SessionExists, id)
+		return
+	}
+	runner.loop.Post(querytable.OpenSession{Session: id, Values: b.Values, Prepared: b.Prepared, Token: b.Token})
+	p.writeReply(w, reply{Outcome: result.Done, Session: id, Token: lo.ToPtr(b.Token)})
+}
+
+// runnerFor returns the runner of the group that a session's route leads to, or why
+// the session can't be opened.
+func (p *Process) runnerFor(b sessionBody) (*runner, *reply) {
+	routes := *p.routes.Load()
+	route, known := routes[b.Route]
+	runner := (*p.sharedRunners.Load())[route.Group]
+	switch {
+	case p.stopping.Load():
+		return nil, &reply{Code: result.Stopping, Outcome: result.NoEffect}
+	case len(routes) == 0 || known && runner == nil:
+		return nil, &reply{Code: result.NotConfigured, Outcome: result.NoEffect, RetryAfterUs: notConfiguredRetryDelay.Microseconds()}
+	case !known:
+		return nil, &reply{Code: result.UnknownRoute, Detail: b.Route, Outcome: result.NoEffect}
+	case b.Token.Group != "" && b.Token.Group != route.Group:
+		return nil, &reply{Code: result.BadToken, Detail: "of " + b.Token.Group, Outcome: result.NoEffect}
+	}
+	return runner, nil
+}
+
+// endSession ends a session and makes its name free. It returns false if that was done
+// before: the name may be another session's by now.
+func (p *Process) endSession(id string, s *sessionRoute) bool {
+	if !s.ended.CompareAndSwap(false, true) {
+		return false
+	}
+	s.runner.loop.Post(querytable.CloseSession{Session: id}) // before the name is free
+	p.sessions.CompareAndDelete(id, s)
+	return true
+}
+
+// lookupSession returns the session that a call names, or rejects the call and returns
+// nil.
+func (p *Process) lookupSession(w http.ResponseWriter, r *http.Request) (string, *sessionRoute) {
+	id := r.PathValue("id")
+	v, ok := p.sessions.Load(id)
+	if !ok {
+		p.reject(w, lo.Ternary(p.stopping.Load(), result.Stopping, result.UnknownSession), id)
+		return id, nil
+	}
+	return id, v.(*sessionRoute)
+}
+
+func (p *Process) closeSession(w http.ResponseWriter, r *http.Request) {
+	id, s := p.lookupSession(w, r)
+	if s == nil {
+		return
+	}
+	if !p.endSession(id, s) {
+		p.reject(w, result.UnknownSession, id)
+		return
+	}
+	p.writeReply(w, reply{Outcome: result.Done, Session: id})
+}
+
+func (p *Process) changeSession(w http.ResponseWriter, r *http.Request) {
+	id, s := p.lookupSession(w, r)
+	if s == nil {
+		return
+	}
+	var b valuesBody
+	if !p.readBody(w, r, &b) {
+		return
+	}
+	n := p.queryID.Add(1)
+	v := s.runner.call(n, querytable.ChangeSession{ID: n, Session: id, Values: b.Values, Prepared: b.Prepared})
+	p.writeResult(w, id, s, v)
+}
+
+func (p *Process) querySession(w http.ResponseWriter, r *http.Request) {
+	id, s := p.lookupSession(w, r)
+	if s == nil {
+		return
+	}
+	var b queryBody
+	if !p.readBody(w, r, &b) {
+		return
+	}
+	route, known := (*p.routes.Load())[s.route]
+	switch {
+	case !known:
+		p.reject(w, result.UnknownRoute, s.route)
+		return
+	case !slices.Contains(route.Classes, b.Class):
+		p.reject(w, result.ClassNotOnRoute, b.Class)
+		return
+	}
+	n := p.queryID.Add(1)
+	v := s.runner.call(n, querytable.Query{
+		ID:         n,
+		Session:    id,
+		Name:       b.Query,
+		Class:      b.Class,
+		ReadOnly:   b.ReadOnly,
+		Begin:      b.Begin,
+		Commit:     b.Commit,
+		Rollback:   b.Rollback,
+		Statements: b.Statements,
+		DeadlineUs: b.DeadlineUs,
+	})
+	p.writeResult(w, id, s, v)
+}
+
+// writeResult writes the table's reply to a call. A session that the table no longer
+// knows was idle for long, and its name becomes free.
+func (p *Process) writeResult(w http.ResponseWriter, session string, s *sessionRoute, v querytable.Reply) {
+	if v.Code == result.UnknownSession {
+		p.endSession(session, s)
+	}
+	p.writeReply(w, reply{
+		Code:          v.Code,
+		Detail:        v.Text,
+		Outcome:       v.Outcome,
+		Session:       session,
+		Rows:          v.Rows,
+		RetryAfterUs:  v.RetryAfterUs,
+		Token:         lo.ToPtr(v.Token),
+		Database:      v.Database,
+		Replica:       v.FromReplica,
+		Position:      v.Position,
+		InTransaction: v.InTransaction,
+	})
+}
--- a/internal/pool/callers_test.go
+++ b/internal/pool/sessions_test.go
@@ -16,7 +16,7 @@
 	"stoneford/result"
 )
 
-// sessionEvents notes what the table of sessions is told, in order.
+// sessionEvents records the sessions that a table is asked to open and close, in order.
 type sessionEvents struct {
 	mu    sync.Mutex
 	names []string
@@ -25,12 +25,12 @@
 func (e *sessionEvents) step(_ int64, events []any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, ev := range events {
-		switch ev := ev.(type) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case querytable.OpenSession:
-			e.names = append(e.names, "open "+ev.Session)
+			e.names = append(e.names, "open "+event.Session)
 		case querytable.CloseSession:
-			e.names = append(e.names, "shut "+ev.Session)
+			e.names = append(e.names, "shut "+event.Session)
 		}
 	}
 }
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestReusedSessionNameIsNotEnded: what is late of an ended session does not end the
-// one that another caller has opened under its name.
+// TestReusedSessionNameIsNotEnded: a late reply to a session that has ended does not end
+// the one that another caller has opened under its name.
 func TestReusedSessionNameIsNotEnded(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	p := &Process{clock: clock}
@@ -59,8 +59,14 @@
 	seen := &sessionEvents{}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { r.loop.Run(ctx, time.Millisecond, seen.step); close(ended) }()
-	defer func() { stop(); <-ended }()
+	go func() {
+		r.loop.Run(ctx, time.Millisecond, seen.step)
+		close(ended)
+	}()
+	defer func() {
+		stop()
+		<-ended
+	}()
 	call := func(method, path, body string) int {
 		w := httptest.NewRecorder()
 		p.handler().ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
--- /dev/null
+++ b/internal/querytable/confirm.go
@@ -0,0 +1,71 @@
+package querytable
+
+import (
+	"time"
+
+	"stoneford/freshness"
+	"stoneford/result"
+)
+
+// majorityTimeout bounds how long the reply to a write waits for a majority. After it
+// the write is uncertain to its caller.
+const majorityTimeout = 2 * time.Second
+
+// releaseConfirmed replies to the queries whose commit, or whose read position, a majority
+// of the databases has in the epoch of the run (design 8.1).
+func (t *Table) releaseConfirmed(now int64) {
+	t.eachQuery(func(q *query) {
+		if q.state != awaitingMajority {
+			return
+		}
+		since := int64(0)
+		if q.class.isCurrent() {
+			since = q.arrivedAt
+		}
+		if t.majorityHas(q.epoch, q.majorityPosition, since) {
+			t.release(now, q)
+		} else {
+			t.endWithoutMajority(now, q)
+		}
+	})
+}
+
+// release replies to a confirmed query. A read that is no longer fresh is routed again.
+func (t *Table) release(now int64, q *query) {
+	if q.commit.position > 0 {
+		t.recordCommit(q)
+	}
+	if !q.class.isCurrent() && !t.isFresh(q, 0, q.majorityPosition, now) {
+		t.retryRead(now, q, false)
+		return
+	}
+	t.finish(now, q, q.reply)
+}
+
+// recordCommit takes a commit into its session's token and into the freshness queue.
+func (t *Table) recordCommit(q *query) {
+	s := t.sessions[q.Session]
+	s.token = Token{Group: t.desired.Group, Epoch: q.epoch, Position: max(s.token.Position, q.commit.position)}
+	if t.desired.PositionOnly {
+		return
+	}
+	atoms := []freshness.Atom{""} // of all relations, if the database doesn't say which
+	if len(q.commit.relations) > 0 {
+		atoms = nil
+		for _, r := range q.commit.relations {
+			atoms = append(atoms, freshness.Atom(r))
+		}
+	}
+	t.freshness.AddCommit(q.sentAt, q.commit.position, q.commit.tuples, atoms)
+}
+
+// endWithoutMajority ends a query that has waited too long for a majority.
+func (t *Table) endWithoutMajority(now int64, q *query) {
+	waitedUs := now - q.waitingSince
+	switch {
+	case q.write && waitedUs > majorityTimeout.Microseconds():
+		t.abandon(now, q, result.NoMajority, "")
+	case !q.write && waitedUs > queueTimeout.Microseconds():
+		t.reject(now, q, result.NoFreshReplica, primaryRetryDelay.Microseconds())
+	}
+}
--- /dev/null
+++ b/internal/querytable/connect.go
@@ -0,0 +1,168 @@
+package querytable
+
+import (
+	"time"
+
+	"stoneford/result"
+)
+
+const (
+	// queueTimeout bounds how long a query waits for a connection, beside the time that
+	// its class lets it wait for a replica.
+	queueTimeout = time.Second
+	// reconnectDelay is the time after a failed opening of a connection until the next
+	// to the same database.
+	reconnectDelay = 50 * time.Millisecond
+	// idleConnectionTimeout bounds how long an unused connection stays open.
+	idleConnectionTimeout = 10 * time.Second
+	// idleTransactionTimeout bounds how long a transaction without a query keeps its
+	// connection from others.
+	idleTransactionTimeout = 10 * time.Second
+	// drainGrace is how long the transactions on a database that is drained may go on.
+	drainGrace = 4 * time.Second
+)
+
+// assignConnections starts the runs of the queries that wait for a connection, in the
+// order of their arrival, and opens the connections that are missing.
+func (t *Table) assignConnections(now int64) {
+	missing := map[string]int{}
+	t.eachQuery(func(q *query) {
+		if q.state == awaitingConnection && !t.assignConnection(now, q) {
+			missing[q.database]++
+		}
+	})
+	if len(missing) == 0 {
+		return
+	}
+	for _, m := range t.desired.Members {
+		t.openConnections(now, m, missing[m.Name])
+	}
+}
+
+// assignConnection starts a query's run, or has the query do something else than wait
+// for a connection. It returns false if the query waits on.
+func (t *Table) assignConnection(now int64, q *query) bool {
+	if q.connection != 0 {
+		t.startRun(now, q, t.pool.byID[q.connection])
+		return true
+	}
+	m, ok := t.desired.member(q.database)
+	timedOut := now-q.waitingSince > queueTimeout.Microseconds()
+	switch {
+	case timedOut, q.write && (!ok || t.closedToQueries(m) || t.unresponsive(now, q.database)):
+		t.reject(now, q, result.NoConnections, primaryRetryDelay.Microseconds())
+		return true
+	case !ok, t.closedToQueries(m), t.unresponsive(now, q.database):
+		t.retryRead(now, q, false)
+		return true
+	case !q.class.isCurrent() && !q.onPrimary && !t.isFresh(q, q.class.MarginUs, t.members[q.database].status.Applied, now):
+		q.reroute()
+		return true
+	}
+	c := t.pool.takeIdle(q.database)
+	if c == nil {
+		return false
+	}
+	c.queryID, q.connection = q.ID, c.id
+	t.startRun(now, q, c)
+	return true
+}
+
+// openConnections opens connections to a database until as many are being opened as
+// queries wait for, as far as the leases go.
+func (t *Table) openConnections(now int64, m Member, missing int) {
+	total, opening := t.pool.count(m.Name)
+	if now < t.members[m.Name].reconnectAt {
+		return
+	}
+	for range min(missing-opening, m.usableLeases(now)-total) {
+		c := &connection{id: t.newID(), database: m.Name, address: m.Address, epoch: t.desired.Epoch, usedAt: now}
+		t.pool.add(c)
+		t.counts.Opens++
+		t.do(OpenConnection{Connection: c.id, Address: m.Address})
+	}
+}
+
+// finishOpen takes the end of the opening of a connection.
+func (t *Table) finishOpen(now int64, e ConnectionOpened) {
+	c := t.pool.byID[e.Connection]
+	switch {
+	case c == nil && e.Err == "": // it was closed meanwhile
+		t.do(CloseConnection{Connection: e.Connection, ID: e.ID, Address: e.Address})
+	case c == nil:
+	case e.Err != "":
+		delete(t.pool.byID, c.id)
+		if m := t.members[c.database]; m != nil {
+			m.reconnectAt = now + reconnectDelay.Microseconds()
+		}
+	default:
+		c.remoteID, c.established, c.usedAt = e.ID, true, now
+		t.pool.addIdle(c)
+	}
+}
+
+// releaseConnection gives a connection that a query used back to the pool, or closes it
+// if it may not be used again.
+func (t *Table) releaseConnection(now int64, c *connection) {
+	m, ok := t.desired.member(c.database)
+	total, _ := t.pool.count(c.database)
+	if !ok || c.epoch != t.desired.Epoch || c.address != m.Address || t.closedToQueries(m) || total > m.usableLeases(now) || c.sessionID != "" {
+		t.closeConnection(c)
+		return
+	}
+	c.queryID, c.usedAt = 0, now
+	t.pool.addIdle(c)
+}
+
+// closeConnection closes a connection and so rolls back the transaction open on it. Its
+// query, if any, has to be ended by the caller.
+func (t *Table) closeConnection(c *connection) {
+	t.pool.remove(c)
+	if s := t.sessions[c.sessionID]; s != nil && s.connection == c.id {
+		s.connection = 0
+	}
+	if c.established {
+		t.do(CloseConnection{Connection: c.id, Address: c.address, ID: c.remoteID})
+	}
+}
+
+// breakConnection closes a connection that may be in use. A query on it is lost; a
+// transaction without one is reported as lost with the session's next query.
+func (t *Table) breakConnection(now int64, c *connection) {
+	if q := t.queries[c.queryID]; q != nil {
+		t.runLost(now, q, result.TransactionLost, "its connection was closed")
+		return
+	}
+	if s := t.sessions[c.sessionID]; s != nil {
+		s.transactionLost = true
+	}
+	t.closeConnection(c)
+}
+
+// closeUnusedConnections closes the connections that nobody may or will use any more.
+func (t *Table) closeUnusedConnections(now int64) {
+	kept := map[string]int{}
+	t.pool.each(func(c *connection) {
+		m, ok := t.desired.member(c.database)
+		switch {
+		case !ok || c.address != m.Address || t.mustBreak(now, c, m):
+			t.breakConnection(now, c)
+		case c.isIdle() && c.established && (t.closedToQueries(m) || now-c.usedAt > idleConnectionTimeout.Microseconds()):
+			t.closeConnection(c)
+		case c.queryID == 0 && c.sessionID != "" && now-c.usedAt > idleTransactionTimeout.Microseconds():
+			t.breakConnection(now, c)
+		case c.isIdle() && c.established && kept[c.database]+1 > m.usableLeases(now):
+			t.closeConnection(c)
+		default:
+			kept[c.database]++
+		}
+	})
+}
+
+// mustBreak reports whether a connection has to be closed even if it is in use: the
+// grace of its database's drain, or of the shutdown, is over.
+func (t *Table) mustBreak(now int64, c *connection, m Member) bool {
+	drainingSince := t.members[c.database].drainingSince
+	drained := drainingSince > 0 && now-drainingSince > drainGrace.Microseconds()
+	return drained && (c.sessionID != "" || t.closedToQueries(m)) || t.stopping && now >= t.shutdownAt
+}
--- /dev/null
+++ b/internal/querytable/decisions.go
@@ -0,0 +1,54 @@
+package querytable
+
+import (
+	"slices"
+
+	"stoneford/freshness"
+)
+
+// maxDecisions is how many recent decisions are kept for DecisionsRequest.
+const maxDecisions = 256
+
+// Reasons of decisions. Operators read them.
+const (
+	leastSum         = "least burden, run time and wait together"
+	waitExceedsClass = "the primary, for the least sum's wait is longer than its class allows"
+	noReplica        = "the primary, for no replica takes part"
+	replicaTooSlow   = "the primary, for the copy chosen did not come up in time"
+)
+
+// decisionLog holds the newest decisions in a ring.
+type decisionLog struct {
+	ring   []Decision
+	oldest int // index, once the ring is full
+}
+
+func (l *decisionLog) add(d Decision) {
+	if len(l.ring) < maxDecisions {
+		l.ring = append(l.ring, d)
+		return
+	}
+	l.ring[l.oldest] = d
+	l.oldest = (l.oldest + 1) % maxDecisions
+}
+
+// recent returns the decisions on the query of a name or, without a name, the newest of
+// each class, oldest first.
+func (l *decisionLog) recent(name string) []Decision {
+	var recent []Decision
+	for i := range l.ring {
+		d := l.ring[(l.oldest+i)%len(l.ring)]
+		if name != "" && d.Name != name {
+			continue
+		}
+		if name == "" {
+			recent = slices.DeleteFunc(recent, func(o Decision) bool { return o.Class == d.Class })
+		}
+		recent = append(recent, d)
+	}
+	return recent
+}
+
+func (t *Table) recordDecision(now int64, q *query, database, reason string, floor int64, candidates []freshness.Replica) {
+	t.decisions.add(Decision{Name: q.Name, Class: q.class.Name, AtUs: now, Database: database, Reason: reason, Floor: floor, Candidates: candidates})
+}
--- a/internal/querytable/names_test.go
+++ b/internal/querytable/names_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestJSONNames: what a pool node tells of its tables has the names that it had.
+// TestJSONNames: what a pool node reports of its tables has the names that it had.
 func TestJSONNames(t *testing.T) {
 	for _, x := range []struct {
 		shape string
--- /dev/null
+++ b/internal/querytable/poll.go
@@ -0,0 +1,225 @@
+package querytable
+
+import "time"
+
+// Values of Status.Role.
+const (
+	replicaRole = "replica"
+	primaryRole = "primary"
+)
+
+const (
+	// pollInterval is the time between two polls of a database for which no query waits.
+	pollInterval = 100 * time.Millisecond
+	// longPollTimeout is how long a database may hold a poll back until it has reached
+	// the position asked for. A longer one delays the notice that it is gone.
+	longPollTimeout = 250 * time.Millisecond
+)
+
+// poll is a poll under way.
+type poll struct {
+	member    string
+	startedAt int64
+	received  int64 // position that the database may wait for, 0 for none
+	applied   int64
+}
+
+// finishPoll takes the status that a poll returned.
+func (t *Table) finishPoll(now int64, e PollEnded) {
+	p, ok := t.polls[e.Poll]
+	delete(t.polls, e.Poll)
+	m := t.members[p.member]
+	if !ok || m == nil {
+		return
+	}
+	m.endPoll(e.Poll)
+	if e.Err != "" {
+		if m.failingSince == 0 {
+			m.failingSince = p.startedAt
+		}
+		return
+	}
+	m.failingSince, m.lastSuccessAt = 0, now
+	desired, _ := t.desired.member(m.name)
+	if e.Status.Identity != desired.Identity {
+		// Data on another disk counts only once the group's state names it.
+		m.known, m.otherIdentity = false, true
+		t.freshness.RemoveReplica(m.name)
+		return
+	}
+	m.otherIdentity = false
+	m.updateDraining(now, e.Status, desired)
+	if m.overtaken(p, e.Status) {
+		return
+	}
+	t.updateStatus(now, m, p, e.Status)
+}
+
+func (m *member) endPoll(id uint64) {
+	if m.quickPoll == id {
+		m.quickPoll = 0
+	}
+	if m.longPoll == id {
+		m.longPoll = 0
+	}
+}
+
+func (m *member) updateDraining(now int64, s Status, desired Member) {
+	switch {
+	case s.Draining && m.drainingSince == 0:
+		m.drainingSince = now
+	case !s.Draining && !desired.Draining:
+		m.drainingSince = 0
+	}
+}
+
+// overtaken reports whether a newer poll has already returned a later status: positions
+// of the same data only grow within an epoch.
+func (m *member) overtaken(p poll, s Status) bool {
+	old := m.status
+	older := s.Epoch < old.Epoch || s.Epoch == old.Epoch && (s.Received < old.Received || s.Applied < old.Applied)
+	return m.known && older && p.startedAt < m.pollStartedAt
+}
+
+// updateStatus takes the newest status of a database and what follows from it.
+func (t *Table) updateStatus(now int64, m *member, p poll, s Status) {
+	t.measure(now, m, s)
+	if m.known && s.Applied == m.status.Applied && s.Applied < t.freshness.PrimaryPosition() {
+		if m.stalledSince == 0 {
+			m.stalledSince = now
+		}
+	} else {
+		m.stalledSince = 0
+	}
+	m.status, m.known, m.pollStartedAt = s, true, max(m.pollStartedAt, p.startedAt)
+	t.observePrimary()
+	if m.name == t.desired.Primary {
+		return
+	}
+	if t.eligible(now, m.name) {
+		t.freshness.ObserveReplica(m.name, s.Applied)
+	} else {
+		t.freshness.RemoveReplica(m.name)
+	}
+}
+
+// measure updates how fast a database applies commits and how far behind it is, if it
+// has applied some since the status before.
+func (t *Table) measure(now int64, m *member, s Status) {
+	before := m.status
+	if s.Epoch != before.Epoch || s.Applied <= before.Applied || m.applyTime.position >= s.Applied {
+		return
+	}
+	m.applyTime.observe(now, before.Applied, s.Applied, before.Applied < t.freshness.PrimaryPosition())
+	if committedAt, ok := t.freshness.CommitTime(s.Applied); ok {
+		m.lagUs += (now - committedAt - m.lagUs) / averageWeight
+	}
+}
+
+// observePrimary takes into the freshness queue how far the primary was when a majority,
+// itself among it, was last seen in its epoch. A primary that nobody follows any more
+// proves nothing about the present (design 7.4).
+func (t *Table) observePrimary() {
+	primary := t.members[t.desired.Primary]
+	if primary == nil || !primary.known || primary.status.Role != primaryRole || primary.status.Epoch != t.desired.Epoch {
+		return
+	}
+	seenAt := int64(-1)
+	for _, m := range t.desired.Members {
+		state := t.members[m.Name]
+		if m.Name != t.desired.Primary && t.inEpoch(state, t.desired.Epoch) {
+			seenAt = max(seenAt, min(primary.pollStartedAt, state.pollStartedAt))
+		}
+	}
+	if seenAt < 0 {
+		return
+	}
+	if !t.freshness.Known() || seenAt > t.freshness.PolledAt() || primary.status.Received > t.freshness.PrimaryPosition() {
+		t.freshness.ObservePrimary(seenAt, primary.status.Received)
+	}
+}
+
+// pollNeeds is what the queries under way need to know of the databases.
+type pollNeeds struct {
+	since    map[string]int64 // a status by a poll that began after this
+	received map[string]int64 // when the database has received this position
+	applied  map[string]int64 // when the database has applied this position
+}
+
+// pollMembers polls the databases as closely as the queries under way need: a quick poll
+// for those that need one that began after they came, a long poll for those that wait
+// for a position, and otherwise one from time to time.
+func (t *Table) pollMembers(now int64) {
+	needs := t.pollNeeds()
+	for _, m := range t.desired.Members {
+		t.pollMember(now, m, needs)
+	}
+}
+
+func (t *Table) pollNeeds() pollNeeds {
+	needs := pollNeeds{map[string]int64{}, map[string]int64{}, map[string]int64{}}
+	t.eachQuery(func(q *query) {
+		switch {
+		case q.state == routing && !q.write && q.class.isCurrent():
+			for _, m := range t.desired.Members {
+				needs.since[m.Name] = max(needs.since[m.Name], q.arrivedAt)
+			}
+		case q.state == awaitingPosition:
+			lower(needs.applied, q.database, q.requiredPosition)
+		case q.state == awaitingMajority:
+			t.addMajorityNeeds(needs, q)
+		}
+	})
+	return needs
+}
+
+// addMajorityNeeds adds what a query needs to know of the replicas before its reply.
+func (t *Table) addMajorityNeeds(needs pollNeeds, q *query) {
+	for _, m := range t.desired.Members {
+		if m.Name == t.desired.Primary {
+			continue
+		}
+		if q.class.isCurrent() {
+			needs.since[m.Name] = max(needs.since[m.Name], q.arrivedAt)
+		}
+		if t.members[m.Name].status.Received < q.majorityPosition {
+			lower(needs.received, m.Name, q.majorityPosition)
+		}
+	}
+}
+
+// lower sets a value of m unless it is lower already.
+func lower(m map[string]int64, key string, v int64) {
+	if old, ok := m[key]; !ok || v < old {
+		m[key] = v
+	}
+}
+
+func (t *Table) pollMember(now int64, desired Member, needs pollNeeds) {
+	m := t.members[desired.Name]
+	since, received, applied := needs.since[m.name], needs.received[m.name], needs.applied[m.name]
+	backingOff := m.failingSince > 0 && now < m.nextPollAt // no busy loop against a database that is down
+	if m.longPoll == 0 && !backingOff && (received > 0 || applied > 0) {
+		p := poll{member: m.name, startedAt: now, received: received}
+		if received == 0 {
+			p.applied = applied
+		}
+		m.longPoll = t.startPoll(desired, p, longPollTimeout)
+	}
+	// A long poll for the position of a query that awaits a majority, begun late
+	// enough, is all that the query needs of this database.
+	covered := received > 0 && m.longPoll != 0 && t.polls[m.longPoll].startedAt >= since
+	needed := since > m.pollStartedAt && !backingOff && !covered
+	if m.quickPoll == 0 && (now >= m.nextPollAt || needed) {
+		m.quickPoll = t.startPoll(desired, poll{member: m.name, startedAt: now}, 0)
+		m.nextPollAt = now + pollInterval.Microseconds()
+	}
+}
+
+func (t *Table) startPoll(m Member, p poll, wait time.Duration) uint64 {
+	id := t.newID()
+	t.polls[id] = p
+	t.counts.Polls++
+	t.do(Poll{Poll: id, Address: m.Address, Received: p.received, Applied: p.applied, WaitUs: wait.Microseconds()})
+	return id
+}
--- /dev/null
+++ b/internal/querytable/route.go
@@ -0,0 +1,130 @@
+package querytable
+
+import (
+	"slices"
+
+	"stoneford/freshness"
+	"stoneford/result"
+)
+
+// routeQueries chooses a database for each query that has none, and lets those go on
+// whose replica has applied what they need.
+func (t *Table) routeQueries(now int64) {
+	t.eachQuery(func(q *query) {
+		if q.state == awaitingPosition {
+			t.checkPosition(now, q)
+		}
+		if q.state != routing {
+			return
+		}
+		if q.write || q.onPrimary {
+			t.routeToPrimary(now, q)
+			return
+		}
+		t.routeRead(now, q)
+	})
+}
+
+// routeRead chooses a replica for a read, or the primary if no replica would do in
+// time.
+func (t *Table) routeRead(now int64, q *query) {
+	if !t.freshness.Known() || q.class.isCurrent() && t.freshness.PolledAt() < q.arrivedAt {
+		t.rejectAfterWait(now, q) // a poll has to come first
+		return
+	}
+	floor := int64(0)
+	if q.class.Kind == readYourWritesKind {
+		floor = t.sessions[q.Session].token.Position
+	}
+	candidates := t.candidates(now, q)
+	choice, ok := t.chooseReplica(q.class.formula(q.class.MarginUs), floor, now, candidates)
+	switch {
+	case len(candidates) == 0, ok && choice.WaitUs > q.class.MaxWaitUs:
+		reason := noReplica
+		if ok {
+			reason = waitExceedsClass
+		}
+		q.onPrimary = true
+		t.recordDecision(now, q, t.desired.Primary, reason, floor, candidates)
+		t.routeToPrimary(now, q)
+	case ok:
+		t.recordDecision(now, q, choice.Replica, leastSum, floor, candidates)
+		q.database, q.requiredPosition, q.epoch = choice.Replica, choice.Position, t.desired.Epoch
+		q.state, q.waitingSince = awaitingPosition, now
+		t.checkPosition(now, q)
+	default:
+		t.rejectAfterWait(now, q) // no position known here would do
+	}
+}
+
+// rejectAfterWait rejects a read once it has waited as long as its class allows.
+func (t *Table) rejectAfterWait(now int64, q *query) {
+	if now-q.arrivedAt > q.class.MaxWaitUs {
+		t.reject(now, q, result.NoFreshReplica, primaryRetryDelay.Microseconds())
+	}
+}
+
+// candidates returns the replicas that may run a read.
+func (t *Table) candidates(now int64, q *query) []freshness.Replica {
+	var candidates []freshness.Replica
+	for _, m := range t.desired.Members {
+		if m.Name == t.desired.Primary || m.usableLeases(now) == 0 || slices.Contains(q.excluded, m.Name) || !t.eligible(now, m.Name) {
+			continue
+		}
+		state := t.members[m.Name]
+		candidates = append(candidates, freshness.Replica{
+			Name:            m.Name,
+			AppliedPosition: state.status.Applied,
+			LoadUs:          t.load(now, m.Name),
+			AverageRunUs:    t.averageRun(q.class.Name, m.Name),
+			ApplyTimeUs:     state.applyTime.averageUs,
+			LagUs:           state.lagUs,
+		})
+	}
+	return candidates
+}
+
+// chooseReplica chooses among the candidates, and records in them what it found.
+func (t *Table) chooseReplica(formula freshness.Formula, floor, now int64, candidates []freshness.Replica) (freshness.Choice, bool) {
+	switch t.desired.Selection {
+	case selectRandom:
+		if len(candidates) > 0 {
+			candidates = []freshness.Replica{candidates[t.random.IntN(len(candidates))]}
+		}
+	case selectLeastLoad:
+		for i := range candidates {
+			candidates[i].AverageRunUs, candidates[i].ApplyTimeUs, candidates[i].LagUs = 0, 0, 0
+		}
+	}
+	return freshness.Choose(&t.freshness, formula, floor, now, candidates, t.random.IntN)
+}
+
+// checkPosition lets a read go on once its replica has applied what it needs. If that
+// takes too long, the primary runs it.
+func (t *Table) checkPosition(now int64, q *query) {
+	switch {
+	case !t.eligible(now, q.database):
+		q.reroute()
+	case t.members[q.database].status.Applied >= q.requiredPosition:
+		q.state = awaitingConnection
+	case now-q.waitingSince > q.class.MaxWaitUs:
+		q.state, q.onPrimary = routing, true
+		t.recordDecision(now, q, t.desired.Primary, replicaTooSlow, 0, nil)
+	}
+}
+
+// routeToPrimary has the primary run a query, or rejects the query if the primary can't.
+func (t *Table) routeToPrimary(now int64, q *query) {
+	p, ok := t.desired.member(t.desired.Primary)
+	switch {
+	case !ok, t.unresponsive(now, p.Name), !t.primaryFollowed(now):
+		t.reject(now, q, result.NoPrimary, t.outage.retryAfter(now))
+	case t.closedToQueries(p), p.Draining && q.Begin && !q.Commit:
+		t.reject(now, q, result.DatabaseDraining, t.outage.retryAfter(now))
+	case p.usableLeases(now) == 0:
+		t.reject(now, q, result.NoConnections, primaryRetryDelay.Microseconds())
+	default:
+		q.database, q.epoch = p.Name, t.desired.Epoch
+		q.state, q.waitingSince = awaitingConnection, now
+	}
+}
--- /dev/null
+++ b/internal/querytable/run.go
@@ -0,0 +1,252 @@
+package querytable
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"stoneford/result"
+)
+
+const (
+	// runFactor is how many times its average a run may take before it counts as lost.
+	runFactor = 8
+	// minReadTimeout is how long a read may run at least, whatever its average. A
+	// shorter one would have more reads run twice.
+	minReadTimeout = 500 * time.Millisecond
+	// maxReadTimeout is how long a read may run at most, unless it usually takes half as
+	// long or more: a read may be run elsewhere at little cost.
+	maxReadTimeout = time.Second
+	// minWriteTimeout is how long a write may run at least. A write that is given up is
+	// uncertain to its caller, which costs more than waiting.
+	minWriteTimeout = 2 * time.Second
+)
+
+// runTimeout is how long a query's run may take before it counts as lost, in
+// microseconds. Near the query's deadline a result would be of no use.
+func (t *Table) runTimeout(q *query) int64 {
+	averageUs := t.averageRun(q.class.Name, q.database)
+	limitUs := min(max(minReadTimeout.Microseconds(), runFactor*averageUs), max(maxReadTimeout.Microseconds(), 2*averageUs))
+	if q.write {
+		limitUs = max(minWriteTimeout.Microseconds(), runFactor*averageUs)
+	}
+	return min(limitUs, max((q.deadline-q.arrivedAt)*3/5, 2*averageUs))
+}
+
+// endInterruptedRuns ends runs whose result won't come, and routes queries again that
+// were routed in an older epoch.
+func (t *Table) endInterruptedRuns(now int64) {
+	t.eachQuery(func(q *query) {
+		switch {
+		case q.maybeSent() && q.epoch != t.desired.Epoch:
+			t.runLost(now, q, result.ResponseLost, "the group went on to a new epoch")
+		case (q.state == awaitingPosition || q.state == awaitingConnection && q.connection == 0) && q.epoch != t.desired.Epoch:
+			q.reroute()
+		case q.state == running && t.unresponsive(now, q.database) && now-q.sentAt >= unresponsiveTimeout.Microseconds():
+			t.runLost(now, q, result.ResponseLost, "the database fell silent")
+		case q.state == running && now-q.sentAt >= t.runTimeout(q):
+			// The database replies to polls, and not to this.
+			t.recordRun(q, now-q.sentAt)
+			t.runLost(now, q, result.ResponseLost, "no return of the run")
+		}
+	})
+	t.pool.each(func(c *connection) {
+		if c.epoch != t.desired.Epoch {
+			t.breakConnection(now, c)
+		}
+	})
+}
+
+// startRun sends a query's statements over a connection, which must be the query's.
+func (t *Table) startRun(now int64, q *query, c *connection) {
+	s := t.sessions[q.Session]
+	var ops []Op
+	if c.sessionID == "" {
+		ops = sessionOps(s, c.needsReset)
+	}
+	if q.Begin {
+		c.sessionID, s.connection = s.id, c.id
+	}
+	ops = append(ops, q.ops(c.sessionID != "")...)
+	c.needsReset, c.usedAt = true, now
+	id := t.newID()
+	t.runs[id] = q.ID
+	q.run, q.state, q.sentAt, q.epoch = id, running, now, t.desired.Epoch
+	q.waitedUs, q.waitStartedAt = q.waitedUs+now-q.waitStartedAt, now
+	t.counts.Runs++
+	t.do(Run{
+		Run:        id,
+		Connection: c.id,
+		Address:    c.address,
+		ID:         c.remoteID,
+		Epoch:      t.desired.Epoch,
+		Ops:        ops,
+		ReadOnly:   !q.write,
+		UntilUs:    q.deadline,
+	})
+}
+
+// sessionOps give a connection exactly the values and prepared statements of a session.
+func sessionOps(s *session, needsReset bool) []Op {
+	var ops []Op
+	if needsReset {
+		ops = append(ops, Op{Op: opReset})
+	}
+	if len(s.values) > 0 {
+		ops = append(ops, Op{Op: opSet, Values: s.values})
+	}
+	for _, name := range slices.Sorted(maps.Keys(s.prepared)) {
+		ops = append(ops, Op{Op: opPrepare, Prepared: name, Text: s.prepared[name]})
+	}
+	return ops
+}
+
+// ops are what a query does. A connection without an open transaction behind it is
+// reset.
+func (q *query) ops(inTransaction bool) []Op {
+	var ops []Op
+	if q.Begin {
+		ops = append(ops, Op{Op: opBegin})
+	}
+	for _, s := range q.Statements {
+		ops = append(ops, Op{Op: opStatement, Text: s.Text, Prepared: s.Prepared, Params: s.Params})
+	}
+	switch {
+	case q.Commit:
+		ops = append(ops, Op{Op: opCommit})
+	case q.Rollback:
+		ops = append(ops, Op{Op: opRollback})
+	}
+	if !inTransaction || q.endsTransaction() {
+		ops = append(ops, Op{Op: opReset})
+	}
+	return ops
+}
+
+func (q *query) endsTransaction() bool { return q.Commit || q.Rollback }
+
+// finishRun takes the end of a run.
+func (t *Table) finishRun(now int64, e RunEnded) {
+	q := t.queries[t.runs[e.Run]]
+	delete(t.runs, e.Run)
+	if q == nil || q.run != e.Run || q.state != running {
+		return
+	}
+	switch {
+	case e.Rejected != "" || e.Err != "" && !e.MaybeSent:
+		t.runRejected(now, q, e)
+		return
+	case e.Err != "":
+		t.runLost(now, q, result.ResponseLost, e.Err)
+		return
+	case len(e.Results) == 0:
+		t.runLost(now, q, result.ResponseLost, "an empty return")
+		return
+	}
+	t.recordRun(q, now-q.sentAt)
+	// A run stops behind the first op that fails.
+	if last := e.Results[len(e.Results)-1]; last.Error != "" {
+		t.statementFailed(now, q, last.Error)
+		return
+	}
+	t.runSucceeded(now, q, e)
+}
+
+// runRejected ends a run of which the database took nothing, or never heard.
+func (t *Table) runRejected(now int64, q *query, e RunEnded) {
+	t.members[q.database].nextPollAt = 0
+	if !q.write {
+		t.retryRead(now, q, true)
+		return
+	}
+	s := t.sessions[q.Session]
+	inTransaction := s.connection != 0
+	t.closeConnection(t.pool.byID[q.connection])
+	s.connection = 0
+	if inTransaction && !q.Begin {
+		t.finish(now, q, Reply{Code: result.TransactionLost, Outcome: result.NoEffect, Text: e.Rejected + e.Err})
+	} else {
+		t.reject(now, q, result.DatabaseUnreachable, t.outage.retryAfter(now))
+	}
+}
+
+// statementFailed ends a query one of whose statements failed. The database confirmed
+// that nothing of it took effect. An open transaction goes on, unless the query was to
+// begin or end it.
+func (t *Table) statementFailed(now int64, q *query, text string) {
+	c, s := t.pool.byID[q.connection], t.sessions[q.Session]
+	if c.sessionID == "" || q.Begin || q.endsTransaction() {
+		t.closeConnection(c)
+		s.connection = 0
+	} else {
+		c.queryID = 0
+	}
+	t.finish(now, q, Reply{Code: result.StatementFailed, Outcome: result.NoEffect, Text: text})
+}
+
+// runSucceeded takes the results of a run. A read on a replica ends if it is still fresh;
+// what ran on the primary waits for a majority.
+func (t *Table) runSucceeded(now int64, q *query, e RunEnded) {
+	var rows [][][]string
+	q.commit, rows = readResults(e.Results)
+	q.reply = Reply{Outcome: result.Done, Rows: rows, Database: q.database, FromReplica: q.database != t.desired.Primary, Position: e.Applied}
+	t.finishConnection(now, q)
+	if !q.write && !q.onPrimary {
+		t.counts.OnReplica++
+		t.finishRead(now, q, e)
+		return
+	}
+	t.counts.OnPrimary++
+	if q.Rollback || q.Begin && len(q.Statements) == 0 && !q.Commit {
+		t.finish(now, q, q.reply)
+		return
+	}
+	q.state, q.waitingSince = awaitingMajority, now
+	q.majorityPosition = max(q.commit.position, e.Applied)
+}
+
+// readResults returns what a run committed and the rows of its statements.
+func readResults(results []Result) (commit, [][][]string) {
+	var committed commit
+	var rows [][][]string
+	for _, r := range results {
+		if r.Position > committed.position {
+			committed = commit{position: r.Position, tuples: r.Tuples, relations: r.Relations}
+		}
+		if r.Rows != nil {
+			rows = append(rows, r.Rows)
+		}
+	}
+	return committed, rows
+}
+
+// finishConnection gives the connection of a run that succeeded back to the pool, or
+// keeps it for the session's open transaction. The run's last op has reset it.
+func (t *Table) finishConnection(now int64, q *query) {
+	c := t.pool.byID[q.connection]
+	if c.sessionID != "" && !q.endsTransaction() {
+		c.queryID = 0
+		return
+	}
+	c.needsReset, c.sessionID, t.sessions[q.Session].connection = false, "", 0
+	t.releaseConnection(now, c)
+	q.connection = 0
+}
+
+// finishRead ends a read on a replica, or routes it again if what it showed is no longer
+// fresh: the node may have been paused meanwhile.
+func (t *Table) finishRead(now int64, q *query, e RunEnded) {
+	fresh := e.Epoch == t.desired.Epoch && e.Applied >= q.requiredPosition
+	if !fresh || !q.class.isCurrent() && !t.isFresh(q, 0, e.Applied, now) {
+		t.retryRead(now, q, false)
+		return
+	}
+	t.finish(now, q, q.reply)
+}
+
+// isFresh reports whether a read at an applied position shows what its class promises,
+// with a margin left.
+func (t *Table) isFresh(q *query, marginUs, applied, now int64) bool {
+	required, ok := t.freshness.RequiredPosition(q.class.formula(marginUs), applied, now)
+	return ok && required <= applied
+}
--- a/internal/typeswitch/typeswitch.go
+++ b/internal/typeswitch/typeswitch.go
@@ -17,33 +17,82 @@
 // but no case in the type switches of the function or method of the name given. It
 // fails if the package has no type with the marker, or no such function.
 func Missing(folder, marker, function string) ([]string, error) {
+	return missing(folder, marker, folder, function, "")
+}
+
+// MissingAbroad is Missing for a function of the package in another folder.
+func MissingAbroad(folder, marker, functionFolder, function string) ([]string, error) {
+	absolute, err := filepath.Abs(folder)
+	if err != nil {
+		return nil, err
+	}
+	return missing(folder, marker, functionFolder, function, filepath.Base(absolute)+".")
+}
+
+// missing finds the types without a case; in the cases their names have a qualifier.
+func missing(folder, marker, functionFolder, function, qualifier string) ([]string, error) {
+	marked, err := markedTypes(folder, marker)
+	if err != nil {
+		return nil, err
+	}
+	handled, err := handledTypes(functionFolder, function)
+	if err != nil {
+		return nil, err
+	}
+	unhandled := slices.DeleteFunc(marked, func(name string) bool { return slices.Contains(handled, qualifier+name) })
+	slices.Sort(unhandled)
+	return unhandled, nil
+}
+
+// markedTypes returns the names of the types with a marker method.
+func markedTypes(folder, marker string) ([]string, error) {
+	functions, err := functions(folder, marker)
+	if err != nil {
+		return nil, err
+	}
+	var names []string
+	for _, fn := range functions {
+		if fn.Recv != nil {
+			names = append(names, typeName(fn.Recv.List[0].Type))
+		}
+	}
+	if len(names) == 0 {
+		return nil, fmt.Errorf("typeswitch: no type in %s has the method %s", folder, marker)
+	}
+	return names, nil
+}
+
+// handledTypes returns the names of the types in the type switches of a function.
+func handledTypes(folder, function string) ([]string, error) {
+	functions, err := functions(folder, function)
+	if err != nil {
+		return nil, err
+	}
+	if len(functions) == 0 {
+		return nil, fmt.Errorf("typeswitch: %s has no function %s", folder, function)
+	}
+	var names []string
+	for _, fn := range functions {
+		names = append(names, cases(fn)...)
+	}
+	return names, nil
+}
+
+// functions returns the functions and methods of a name.
+func functions(folder, name string) ([]*ast.FuncDecl, error) {
 	files, err := parse(folder)
 	if err != nil {
 		return nil, err
 	}
-	var marked, handled []string
-	found := false
+	var found []*ast.FuncDecl
 	for _, f := range files {
 		for _, d := range f.Decls {
-			fn, ok := d.(*ast.FuncDecl)
-			if !ok {
-				continue
-			}
-			if fn.Name.Name == marker && fn.Recv != nil {
-				marked = append(marked, typeName(fn.Recv.List[0].Type))
-			}
-			if fn.Name.Name == function {
-				found = true
-				handled = append(handled, cases(fn)...)
+			if fn, ok := d.(*ast.FuncDecl); ok && fn.Name.Name == name {
+				found = append(found, fn)
 			}
 		}
 	}
-	if len(marked) == 0 || !found {
-		return nil, fmt.Errorf("typeswitch: %s has %d types with %s, and a function %s: %t", folder, len(marked), marker, function, found)
-	}
-	missing := slices.DeleteFunc(marked, func(name string) bool { return slices.Contains(handled, name) })
-	slices.Sort(missing)
-	return missing, nil
+	return found, nil
 }
 
 func parse(folder string) ([]*ast.File, error) {
--- a/internal/typeswitch/typeswitch_test.go
+++ b/internal/typeswitch/typeswitch_test.go
@@ -39,3 +39,21 @@
 		}
 	}
 }
+
+func TestMissingAbroad(t *testing.T) {
+	types, functions := filepath.Join(t.TempDir(), "p"), t.TempDir()
+	if err := os.Mkdir(types, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	for name, text := range map[string]string{
+		filepath.Join(types, "p.go"):     source,
+		filepath.Join(functions, "q.go"): "package q\n\nfunc apply(e any) {\n\tswitch e.(type) {\n\tcase p.A, B, p.C:\n\t}\n}\n",
+	} {
+		if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if missing, err := MissingAbroad(types, "isEvent", functions, "apply"); err != nil || !reflect.DeepEqual(missing, []string{"B"}) {
+		t.Errorf("missing %v, %v", missing, err)
+	}
+}
