--- a/internal/databaseclient/client_test.go
+++ b/internal/databaseclient/client_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// faultyDatabase is a database that reacts to whole calls, and counts them.
+// faultyDatabase starts an HTTP server that reads each call completely, counts it and
+// then reacts.
 func faultyDatabase(t *testing.T, react http.HandlerFunc) (address string, calls *atomic.Int64) {
 	t.Helper()
 	calls = &atomic.Int64{}
@@ -26,11 +27,17 @@
 	return strings.TrimPrefix(s.URL, "http://"), calls
 }
 
-func replying(text string) http.HandlerFunc {
-	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }
+func replying(body string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, body) }
 }
 
-// disconnecting ends the connection with what was written to it, or resets it.
+func redirecting(address string, status int) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		http.Redirect(w, r, "http://"+address+r.URL.Path, status)
+	}
+}
+
+// disconnecting closes the connection after some bytes, or resets it.
 func disconnecting(text string, reset bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := w.(http.Hijacker).Hijack()
@@ -49,74 +56,75 @@
 
 var twoOps = []Op{{Op: "statement", Text: "x"}, {Op: "commit"}}
 
-// TestRunIsSentOnce: whatever becomes of its answer, and also on a connection
-// that was used before, a run is sent once.
+// TestRunIsSentOnce: whatever becomes of its reply, and also on a connection that was
+// used before, a run is sent once.
 func TestRunIsSentOnce(t *testing.T) {
 	otherAddress, otherCalls := faultyDatabase(t, replying(completeRun))
 	for name, react := range map[string]http.HandlerFunc{
-		"redirects, 307": func(w http.ResponseWriter, r *http.Request) {
-			http.Redirect(w, r, "http://"+otherAddress+r.URL.Path, 307)
-		},
-		"redirects, 308": func(w http.ResponseWriter, r *http.Request) {
-			http.Redirect(w, r, "http://"+otherAddress+r.URL.Path, 308)
-		},
-		"redirects, 303": func(w http.ResponseWriter, r *http.Request) {
-			http.Redirect(w, r, "http://"+otherAddress+r.URL.Path, 303)
-		},
+		"redirects, 307":         redirecting(otherAddress, http.StatusTemporaryRedirect),
+		"redirects, 308":         redirecting(otherAddress, http.StatusPermanentRedirect),
+		"redirects, 303":         redirecting(otherAddress, http.StatusSeeOther),
 		"resets":                 disconnecting("", true),
 		"hangs up":               disconnecting("", false),
 		"half a head":            disconnecting("HTTP/1.1 200", false),
 		"half a body":            disconnecting("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"+completeRun[:30], false),
 		"a short body":           disconnecting("HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n"+completeRun, false),
-		"silent":                 nil,
+		"unresponsive":           nil,
 		"more than one value":    replying(completeRun + completeRun),
 		"no results":             replying(`{}`),
 		"fewer results than ops": replying(`{"results":[{"rows":[["a"]]}],"epoch":3}`),
 		"more results than ops":  replying(`{"results":[{},{},{}],"epoch":3}`),
 	} {
-		ctx, giveUp := context.WithTimeout(t.Context(), 20*time.Second)
-		first := true
-		address, calls := faultyDatabase(t, func(w http.ResponseWriter, r *http.Request) {
-			switch {
-			case first:
-				first = false
-				io.WriteString(w, completeRun)
-			case react == nil:
-				giveUp()
-				<-r.Context().Done()
-			default:
-				react(w, r)
-			}
-		})
-		c := New(nil)
-		if _, err := c.Run(t.Context(), address, 4, 3, false, twoOps); err != nil {
-			t.Fatal(name, err)
-		}
-		out, err := c.Run(ctx, address, 4, 3, false, twoOps)
-		giveUp()
-		if err == nil || errors.Is(err, ErrNotSent) {
-			t.Errorf("%s: %+v %v", name, out, err)
-		}
-		if n := calls.Load(); n != 2 {
-			t.Errorf("%s: %d calls for two runs", name, n)
-		}
+		t.Run(name, func(t *testing.T) { expectRunSentOnce(t, react) })
 	}
 	if n := otherCalls.Load(); n != 0 {
 		t.Errorf("another address was called %d times", n)
 	}
 }
 
+// expectRunSentOnce sends a run that succeeds and then, over the same connection, one to
+// which the database reacts as given; nil stands for no reply until the caller gives up.
+func expectRunSentOnce(t *testing.T, react http.HandlerFunc) {
+	t.Helper()
+	ctx, giveUp := context.WithTimeout(t.Context(), 20*time.Second)
+	defer giveUp()
+	first := true
+	address, calls := faultyDatabase(t, func(w http.ResponseWriter, r *http.Request) {
+		switch {
+		case first:
+			first = false
+			io.WriteString(w, completeRun)
+		case react == nil:
+			giveUp()
+			<-r.Context().Done()
+		default:
+			react(w, r)
+		}
+	})
+	c := New(nil)
+	if _, err := c.Run(t.Context(), address, 4, 3, false, twoOps); err != nil {
+		t.Fatal(err)
+	}
+	out, err := c.Run(ctx, address, 4, 3, false, twoOps)
+	if err == nil || errors.Is(err, ErrNotSent) {
+		t.Errorf("%+v %v", out, err)
+	}
+	if n := calls.Load(); n != 2 {
+		t.Errorf("%d calls for two runs", n)
+	}
+}
+
 func TestFailedRunHasFewerResults(t *testing.T) {
-	for _, text := range []string{`{"results":[{"error":"failed"}]}`, `{"results":[{},{"error":"failed"}]}`, `{"refused":"epoch"}`} {
-		address, _ := faultyDatabase(t, replying(text))
+	for _, body := range []string{`{"results":[{"error":"failed"}]}`, `{"results":[{},{"error":"failed"}]}`, `{"refused":"epoch"}`} {
+		address, _ := faultyDatabase(t, replying(body))
 		if _, err := New(nil).Run(t.Context(), address, 4, 3, false, twoOps); err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: %v", body, err)
 		}
 	}
 }
 
-// TestLateReplyIsNotReadAsNext: what comes after its caller's time is not read as
-// the next call's.
+// TestLateReplyIsNotReadAsNext: a reply that comes after its caller gave up is not read
+// as that of the next call.
 func TestLateReplyIsNotReadAsNext(t *testing.T) {
 	late := make(chan struct{})
 	ctx, giveUp := context.WithCancel(t.Context())
@@ -142,14 +150,12 @@
 	}
 }
 
-// TestTakeoverIsSentOnce: the platform is called once, and only where it is.
+// TestTakeoverIsSentOnce: the platform is called once, and only at its address.
 func TestTakeoverIsSentOnce(t *testing.T) {
 	otherAddress, otherCalls := faultyDatabase(t, replying(`{}`))
-	address, calls := faultyDatabase(t, func(w http.ResponseWriter, r *http.Request) {
-		http.Redirect(w, r, "http://"+otherAddress+r.URL.Path, 307)
-	})
+	address, calls := faultyDatabase(t, redirecting(otherAddress, http.StatusTemporaryRedirect))
 	if err := New(nil).Takeover(t.Context(), address, "g", "a", "i-1", 4, nil); err == nil {
-		t.Error("it was taken elsewhere")
+		t.Error("another address accepted it")
 	}
 	if calls.Load() != 1 || otherCalls.Load() != 0 {
 		t.Error(calls.Load(), otherCalls.Load())
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -27,8 +27,8 @@
 		at, method, path, body, back)
 }
 
-// TestReplay: entries go out in the order of their times, to the sessions they
-// have now.
+// TestReplay: entries are sent in the order of their times, to the sessions that the
+// node has now.
 func TestReplay(t *testing.T) {
 	var got []string
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestErrorsNameTheEntry: each bad entry is named, and nothing is left to send.
+// TestErrorsNameTheEntry: the error names the file and each invalid entry.
 func TestErrorsNameTheEntry(t *testing.T) {
 	_, err := Read(writeHAR(t,
 		recordedEntry("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions", `{}`, `{}`),
@@ -60,7 +60,7 @@
 		recordedEntry("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions/a/queries", `{`, `{}`)))
 	for _, w := range []string{"day.har: entry 2: startedDateTime", "day.har: entry 3: GET", "day.har: entry 4: POST /v1/configuration", "day.har: entry 5: its body"} {
 		if err == nil || !strings.Contains(fmt.Sprintf("%+v", err), w) {
-			t.Errorf("%q is not told in %+v", w, err)
+			t.Errorf("%q is not in %+v", w, err)
 		}
 	}
 	p := filepath.Join(t.TempDir(), "x.har")
@@ -74,7 +74,7 @@
 	}
 }
 
-// FuzzRead: no file ends the process, and what is bounced names the file.
+// FuzzRead: no file ends the process, and every error names the file.
 func FuzzRead(f *testing.F) {
 	good := recordedEntry("2026-11-30T08:00:01.000Z", "POST", "/v1/sessions", `{"route":"a/b"}`, `{"session":"x"}`)
 	for _, s := range []string{`{"log":{"entries":[` + good + `]}}`, `{"log":{"entries":[null]}}`, `{"log":null}`, `[]`, ``, `{"log":{"entries":[{"request":{"url":"%zz"},"startedDateTime":"x"}]}}`} {
@@ -91,7 +91,7 @@
 	})
 }
 
-// TestRecordedCallIsSentOnce: a redirection is its answer.
+// TestRecordedCallIsSentOnce: a redirection is the reply, and not followed.
 func TestRecordedCallIsSentOnce(t *testing.T) {
 	calls := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
