--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"time"
 
 	"stoneford/crdt"
 	"stoneford/failuredetector"
@@ -57,15 +56,6 @@
 	peer                                        int // index of the control process compared with last
 }
 
-// due reports whether periodic work is due and, if so, sets its next time.
-func due(now int64, next *int64, interval time.Duration) bool {
-	if now < *next {
-		return false
-	}
-	*next = now + interval.Microseconds()
-	return true
-}
-
 // NewCore makes the core of a control process. run must be greater than that of
 // any earlier run of this process. diskID must be random and not 0: it distinguishes this
 // disk from any other that the process had, and is replaced by the one in the log
@@ -166,18 +156,18 @@
 	c.tickVoter(now)
 	c.applyProposerEffects(now, c.proposer.Tick(now))
 	c.applyRelayEffects(c.relay.Tick(now))
-	if due(now, &c.schedule.membership, membershipInterval) {
+	if statemachine.Due(now, &c.schedule.membership, membershipInterval) {
 		c.updateMembership(now)
 	}
-	if due(now, &c.schedule.announcement, announceInterval) {
+	if statemachine.Due(now, &c.schedule.announcement, announceInterval) {
 		c.announce(now)
 	}
 	c.applyDetectorEffects(now, c.detector.Tick(now))
 	c.applyControlDetectorEffects(c.controlDetector.Tick(now))
-	if due(now, &c.schedule.comparison, compareInterval) {
+	if statemachine.Due(now, &c.schedule.comparison, compareInterval) {
 		c.compareRecords()
 	}
-	if due(now, &c.schedule.roles, roleInterval) {
+	if statemachine.Due(now, &c.schedule.roles, roleInterval) {
 		c.catchUp(now)
 		c.tickRoles(now)
 		c.finishQuestions(now)
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -8,6 +8,7 @@
 	"stoneford/paxos"
 	"stoneford/result"
 	"stoneford/schema"
+	"stoneford/statemachine"
 )
 
 const (
@@ -55,7 +56,7 @@
 // process can go on from there if this one fails; requests to the platform may be
 // repeated.
 func (c *Core) tickMaintenance(now int64) {
-	if !c.maintenance.clock.known || !due(now, &c.maintenance.nextAt, maintenanceInterval) {
+	if !c.maintenance.clock.known || !statemachine.Due(now, &c.maintenance.nextAt, maintenanceInterval) {
 		return
 	}
 	calendar, revision := c.maintenance.calendar, c.relay.Value(MaintenanceKey).GetRevision()
--- a/internal/pool/core.go
+++ b/internal/pool/core.go
@@ -51,15 +51,6 @@
 	groups                               int64 // 0 if a group's desired state may have changed
 }
 
-// due reports whether periodic work is due and, if so, sets its next time.
-func due(now int64, next *int64, interval time.Duration) bool {
-	if now < *next {
-		return false
-	}
-	*next = now + interval.Microseconds()
-	return true
-}
-
 // NewCore makes the core of a pool node. run must be greater than that of any
 // earlier run of this node.
 func NewCore(config *schema.Boot, run uint64) *Core {
@@ -138,18 +129,18 @@
 func (c *Core) tick(now int64) {
 	c.applyRelayEffects(now, c.relay.Tick(now))
 	c.applyProposerEffects(now, c.revisions.proposer.Tick(now))
-	if due(now, &c.schedule.membership, membershipInterval) {
+	if statemachine.Due(now, &c.schedule.membership, membershipInterval) {
 		c.updateMembership(now)
 	}
 	c.applyDetectorEffects(now, c.detector.Tick(now))
 	first := c.schedule.announcement == 0
-	if due(now, &c.schedule.announcement, announceInterval) {
+	if statemachine.Due(now, &c.schedule.announcement, announceInterval) {
 		c.announce(now, first)
 	}
-	if due(now, &c.schedule.comparison, compareInterval) {
+	if statemachine.Due(now, &c.schedule.comparison, compareInterval) {
 		c.compareRecords()
 	}
-	if due(now, &c.schedule.groups, groupInterval) {
+	if statemachine.Due(now, &c.schedule.groups, groupInterval) {
 		for _, key := range slices.Sorted(maps.Keys(c.groups)) {
 			c.tickGroup(now, key, c.groups[key])
 		}
--- a/internal/pool/groups.go
+++ b/internal/pool/groups.go
@@ -10,6 +10,7 @@
 	"stoneford/internal/querytable"
 	"stoneford/maintenance"
 	"stoneford/schema"
+	"stoneford/statemachine"
 )
 
 const (
@@ -105,7 +106,7 @@
 	if slices.ContainsFunc(g.desired.Members, func(m querytable.Member) bool { return m.Draining }) {
 		interval = drainReportInterval
 	}
-	reportAll := due(now, &g.nextReportAt, interval)
+	reportAll := statemachine.Due(now, &g.nextReportAt, interval)
 	for _, v := range g.views {
 		reachable := v.UnresponsiveUs == 0
 		wasReachable, reported := g.reachable[v.Name]
--- a/internal/pool/runner.go
+++ b/internal/pool/runner.go
@@ -10,6 +10,7 @@
 	"stoneford/internal/eventloop"
 	"stoneford/internal/querytable"
 	"stoneford/result"
+	"stoneford/statemachine"
 )
 
 const (
@@ -81,7 +82,7 @@
 	}
 	sessions, queries, connections := r.table.Gauges()
 	r.busy.Store(int64(queries + r.table.OpenTransactions()))
-	if !due(now, &r.nextViewAt, viewInterval) {
+	if !statemachine.Due(now, &r.nextViewAt, viewInterval) {
 		return
 	}
 	databases := r.table.Views(now)
--- a/internal/querytable/exhaustive_test.go
+++ b/internal/querytable/exhaustive_test.go
@@ -6,15 +6,9 @@
 	"stoneford/internal/typeswitch"
 )
 
-// TestSwitchesAreExhaustive: every event has a case in the table, and every effect one in
-// the runner of a pool node.
-func TestSwitchesAreExhaustive(t *testing.T) {
-	missing, err := typeswitch.Missing(".", "isEvent", "handleEvent")
-	if err != nil || len(missing) > 0 {
-		t.Errorf("no case for %v, %v", missing, err)
-	}
-	missing, err = typeswitch.MissingAbroad(".", "isEffect", "../pool", "apply")
-	if err != nil || len(missing) > 0 {
-		t.Errorf("no case for %v, %v", missing, err)
-	}
+// TestSwitchesAreComplete: every event has a case in the table and every effect one in the
+// runner of a pool node.
+func TestSwitchesAreComplete(t *testing.T) {
+	typeswitch.ExpectComplete(t, ".", "isEvent", ".", "handleEvent")
+	typeswitch.ExpectComplete(t, ".", "isEffect", "../pool", "apply")
 }
--- a/internal/querytable/session.go
+++ b/internal/querytable/session.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"stoneford/result"
+	"stoneford/statemachine"
 )
 
 const (
@@ -116,7 +117,7 @@
 
 // closeIdleSessions closes sessions that have been idle for long.
 func (t *Table) closeIdleSessions(now int64) {
-	if !due(now, &t.nextIdleSessionCheckAt, idleSessionCheckInterval) {
+	if !statemachine.Due(now, &t.nextIdleSessionCheckAt, idleSessionCheckInterval) {
 		return
 	}
 	maps.DeleteFunc(t.sessions, func(_ string, s *session) bool {
--- a/internal/querytable/table.go
+++ b/internal/querytable/table.go
@@ -4,7 +4,6 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"time"
 
 	"stoneford/freshness"
 	"stoneford/result"
@@ -176,12 +175,3 @@
 	}
 	t.pool.forgetClosed()
 }
-
-// due reports whether periodic work is due and, if so, sets its next time.
-func due(now int64, next *int64, interval time.Duration) bool {
-	if now < *next {
-		return false
-	}
-	*next = now + interval.Microseconds()
-	return true
-}
--- a/internal/typeswitch/typeswitch.go
+++ b/internal/typeswitch/typeswitch.go
@@ -1,5 +1,5 @@
-// Package typeswitch checks, for tests, that the type switches over a sealed
-// interface name every type that implements it. The compiler doesn't, and an event
+// Package typeswitch lets a test check that the type switches over a sealed interface
+// name every type that implements it. The compiler doesn't, and an event
 // that no case handles would be ignored without a trace.
 package typeswitch
 
@@ -11,34 +11,39 @@
 	"path/filepath"
 	"slices"
 	"strings"
+	"testing"
 )
 
-// Missing returns the types of the package in a folder that have the marker method
-// but no case in the type switches of the function or method of the name given. It
-// fails if the package has no type with the marker, or no such function.
-func Missing(folder, marker, function string) ([]string, error) {
-	return missing(folder, marker, folder, function, "")
-}
-
-// MissingAbroad is Missing for a function of the package in another folder.
-func MissingAbroad(folder, marker, functionFolder, function string) ([]string, error) {
-	absolute, err := filepath.Abs(folder)
-	if err != nil {
-		return nil, err
+// ExpectComplete fails a test if a type of the package in the folder types has the
+// marker method and no case in the type switches of a function, or method, of the
+// package in the folder functions.
+func ExpectComplete(t testing.TB, types, marker, functions, function string) {
+	t.Helper()
+	missing, err := missing(types, marker, functions, function)
+	if err != nil || len(missing) > 0 {
+		t.Errorf("%s of %s has no case for %v, %v", function, functions, missing, err)
 	}
-	return missing(folder, marker, functionFolder, function, filepath.Base(absolute)+".")
 }
 
-// missing finds the types without a case; in the cases their names have a qualifier.
-func missing(folder, marker, functionFolder, function, qualifier string) ([]string, error) {
-	marked, err := markedTypes(folder, marker)
+// missing returns the types without a case. In the cases of another package their names
+// have the package's, which must be that of its folder.
+func missing(types, marker, functions, function string) ([]string, error) {
+	marked, err := markedTypes(types, marker)
 	if err != nil {
 		return nil, err
 	}
-	handled, err := handledTypes(functionFolder, function)
+	handled, err := handledTypes(functions, function)
 	if err != nil {
 		return nil, err
 	}
+	qualifier := ""
+	if types != functions {
+		absolute, err := filepath.Abs(types)
+		if err != nil {
+			return nil, err
+		}
+		qualifier = filepath.Base(absolute) + "."
+	}
 	unhandled := slices.DeleteFunc(marked, func(name string) bool { return slices.Contains(handled, qualifier+name) })
 	slices.Sort(unhandled)
 	return unhandled, nil
--- a/internal/typeswitch/typeswitch_test.go
+++ b/internal/typeswitch/typeswitch_test.go
@@ -30,17 +30,17 @@
 	if err := os.WriteFile(filepath.Join(folder, "p.go"), []byte(source), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if missing, err := Missing(folder, "isEvent", "handle"); err != nil || !reflect.DeepEqual(missing, []string{"C"}) {
+	if missing, err := missing(folder, "isEvent", folder, "handle"); err != nil || !reflect.DeepEqual(missing, []string{"C"}) {
 		t.Errorf("missing %v, %v", missing, err)
 	}
 	for _, names := range [][2]string{{"isEvent", "nothing"}, {"isEffect", "handle"}} {
-		if missing, err := Missing(folder, names[0], names[1]); err == nil {
+		if missing, err := missing(folder, names[0], folder, names[1]); err == nil {
 			t.Errorf("%v: no error, missing %v", names, missing)
 		}
 	}
 }
 
-func TestMissingAbroad(t *testing.T) {
+func TestMissingInAnotherPackage(t *testing.T) {
 	types, functions := filepath.Join(t.TempDir(), "p"), t.TempDir()
 	if err := os.Mkdir(types, 0o755); err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 	}
-	if missing, err := MissingAbroad(types, "isEvent", functions, "apply"); err != nil || !reflect.DeepEqual(missing, []string{"B"}) {
+	if missing, err := missing(types, "isEvent", functions, "apply"); err != nil || !reflect.DeepEqual(missing, []string{"B"}) {
 		t.Errorf("missing %v, %v", missing, err)
 	}
 }
