--- a/cmd/stoneford-control/main.go
+++ b/cmd/stoneford-control/main.go
@@ -1,4 +1,5 @@
-// Command stoneford-control is the control plane's daemon.
+// Command stoneford-control is the daemon of a control process. With the platform's
+// settings it serves the platform's interface, otherwise our own.
 package main
 
 import (
@@ -23,8 +24,15 @@
 		}
 		return
 	}
-	daemon.Main("stoneford-control", "votes on configurations and group states, and decides takeovers",
-		func(i do.Injector) (daemon.Service, error) {
-			return control.NewProcess(do.MustInvoke[*schema.Boot](i), do.MustInvoke[clockwork.Clock](i))
-		}, func(s daemon.Service, b *schema.Boot) { s.(*control.Process).SetTokens(b.Tokens) })
+	daemon.Main("stoneford-control", "votes on configurations and group states, and decides takeovers", newService, applyChange)
+}
+
+func newService(i do.Injector) (daemon.Service, error) {
+	return control.NewProcess(do.MustInvoke[*schema.Boot](i), do.MustInvoke[clockwork.Clock](i))
+}
+
+// applyChange takes a changed configuration file: beside the log level, which the daemon
+// sets, only the partners' tokens can change while a control process runs.
+func applyChange(s daemon.Service, boot *schema.Boot) {
+	s.(*control.Process).SetTokens(boot.Tokens)
 }
--- a/cmd/stoneford-pool/main.go
+++ b/cmd/stoneford-pool/main.go
@@ -1,4 +1,5 @@
-// Command stoneford-pool is the data plane's daemon.
+// Command stoneford-pool is the daemon of a pool node. With the platform's settings it
+// serves the platform's interface, otherwise our own.
 package main
 
 import (
@@ -22,8 +23,13 @@
 		}
 		return
 	}
-	daemon.Main("stoneford-pool", "serves callers' queries from a shared pool of database connections",
-		func(i do.Injector) (daemon.Service, error) {
-			return pool.NewProcess(do.MustInvoke[*schema.Boot](i), do.MustInvoke[clockwork.Clock](i)), nil
-		}, func(daemon.Service, *schema.Boot) {})
+	daemon.Main("stoneford-pool", "serves callers' queries from a shared pool of database connections", newService, ignoreChange)
 }
+
+func newService(i do.Injector) (daemon.Service, error) {
+	return pool.NewProcess(do.MustInvoke[*schema.Boot](i), do.MustInvoke[clockwork.Clock](i)), nil
+}
+
+// ignoreChange takes a changed configuration file: but for the log level, which the
+// daemon sets, a pool node has no setting that can change while it runs.
+func ignoreChange(daemon.Service, *schema.Boot) {}
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -103,7 +103,7 @@
 			key := partner + "/" + name
 			roles = append(roles, roleKeyPrefix+key)
 			if c.groups[key] == nil {
-				c.groups[key] = &groupRole{decider: sealed.New()}
+				c.groups[key] = &groupRole{failover: sealed.New()}
 			}
 			c.groups[key].configure(configuration, name)
 		}
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -32,7 +32,7 @@
 	setting          *schema.GroupSetting
 	databases        []sealed.Endpoint
 	connectionLimits map[string]int32 // by database
-	decider          *sealed.Group
+	failover         *sealed.Group
 	lessor           *connectionlease.Lessor // of the connections; nil until the first request of a term
 	term             uint64                  // of the leadership that lessor belongs to
 }
@@ -96,7 +96,7 @@
 		input.Reports = c.databaseReports(now, key)
 		input.SwitchAwayFrom, input.SetAside, input.KeptIdentity = c.groupMaintenance(key, input.State)
 	}
-	for _, effect := range group.decider.Step(now, input) {
+	for _, effect := range group.failover.Step(now, input) {
 		c.applyGroupEffect(now, key, group, effect)
 	}
 }
@@ -106,7 +106,7 @@
 	case sealed.DatabaseCall:
 		c.do(DatabaseCall{Group: key, ID: e.ID, Address: e.Address, SealEpoch: e.SealEpoch})
 	case sealed.ProposeState:
-		c.proposeValue(now, GroupKeyPrefix+key, e.BaseRevision, e.Data, func(int64, paxos.Outcome) { group.decider.ProposalDone() })
+		c.proposeValue(now, GroupKeyPrefix+key, e.BaseRevision, e.Data, func(int64, paxos.Outcome) { group.failover.ProposalDone() })
 	case sealed.Reparent:
 		c.do(FailoverRequest{Group: key, Target: e.Target, Identity: e.Identity, Epoch: e.Epoch, Members: e.Endpoints})
 	case sealed.LogEntry:
@@ -116,7 +116,7 @@
 
 func (c *Core) handleDatabaseReply(now int64, e DatabaseReply) {
 	if group := c.groups[e.Group]; group != nil {
-		group.decider.HandleReply(now, e.ID, e.Failed, e.Status)
+		group.failover.HandleReply(now, e.ID, e.Failed, e.Status)
 	}
 }
 
--- a/internal/control/maintenance.go
+++ b/internal/control/maintenance.go
@@ -139,7 +139,7 @@
 	for _, m := range state.Members {
 		observed.MemberRetired = observed.MemberRetired || m.Database == observed.Target && m.Identity == "" && m.Retiring == w.Identity
 	}
-	observed.Obstacle = group.decider.Degraded(now, state)
+	observed.Obstacle = group.failover.Degraded(now, state)
 	report := c.databaseReports(now, w.Group)[observed.Target]
 	observed.BusyConnections, observed.OpenTransactions = report.BusyConnections, report.OpenTransactions
 	return observed
