--- a/cmd/stoneford-simulate/table.go
+++ b/cmd/stoneford-simulate/table.go
@@ -50,7 +50,7 @@
 	t.row("uncertain writes", func(f whatif.Figures) float64 { return float64(f.Uncertain) })
 	t.row("promises broken", func(f whatif.Figures) float64 { return float64(f.Broken) })
 	for _, database := range databases(answers) {
-		t.row("reads on "+database+", share", func(f whatif.Figures) float64 { return f.Copies[database] })
+		t.row("reads on "+database+", share", func(f whatif.Figures) float64 { return f.Databases[database] })
 	}
 	if err := t.out.Flush(); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	names := map[string]bool{}
 	for _, a := range answers {
 		for _, run := range a.Runs {
-			for name := range run.Copies {
+			for name := range run.Databases {
 				names[name] = true
 			}
 		}
--- a/failover/fenced/duty_model_test.go
+++ b/failover/fenced/duty_model_test.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/emulator/simulation"
+	"stoneford/emulator/virtualtime"
 	"stoneford/internal/learner"
 	"stoneford/internal/ports"
 	"stoneford/schema"
@@ -114,7 +114,7 @@
 }
 
 type model struct {
-	*simulation.Scheduler
+	*virtualtime.Scheduler
 	mutation        mutation
 	log             []string
 	violations      []string
@@ -164,7 +164,7 @@
 }
 
 func newModel(seed uint64, p mutation) *model {
-	m := &model{Scheduler: simulation.NewScheduler(seed), mutation: p, disconnected: map[[2]string]bool{}, nodePolls: map[uint64]*modelPoll{}, nodeFails: map[string]int64{}, fences: map[uint64]string{}}
+	m := &model{Scheduler: virtualtime.NewScheduler(seed, virtualtime.DefaultStream), mutation: p, disconnected: map[[2]string]bool{}, nodePolls: map[uint64]*modelPoll{}, nodeFails: map[string]int64{}, fences: map[uint64]string{}}
 	m.promotionResumesReplicas, m.slowUs = m.Chance(0.5), m.Between(2_000, 20_000)
 	m.databaseOrder = m.Random.Perm(modelProcesses)
 	for j, id := range []string{"a", "b", "c"} {
@@ -486,7 +486,7 @@
 		input.State.RoleOwner, input.State.RoleOwnerRun = p.name, p.run
 	}
 	if m.mutation == leaseNotAwaited {
-		p.group.leaseState.uncontestedToken = input.State.FencingToken
+		p.group.lease.uncontestedToken = input.State.FencingToken
 	}
 	effects := p.group.Step(now, input)
 	if p.stalls > 0 && slices.ContainsFunc(effects, acting) {
@@ -500,7 +500,7 @@
 }
 
 // acting says that an effect commands a database or calls the platform.
-func acting(e any) bool {
+func acting(e Effect) bool {
 	a, ok := e.(DatabaseCall)
 	_, promote := e.(Promote)
 	return promote || ok && a.Kind != ports.Status
@@ -510,7 +510,7 @@
 func (m *model) alone() {
 	var names []string
 	for _, p := range m.processes {
-		if p.up && p.group.leaseState.mayCommand && p.now() < p.group.leaseState.expiresAt {
+		if p.up && p.group.lease.mayCommand && p.now() < p.group.lease.expiresAt {
 			names = append(names, p.name)
 		}
 	}
@@ -519,7 +519,7 @@
 	}
 }
 
-func (p *modelProcess) do(e any, input Input) {
+func (p *modelProcess) do(e Effect, input Input) {
 	m := p.model
 	unchecked := m.mutation == expiredEffectsSent
 	switch e := e.(type) {
--- a/internal/control/await.go
+++ b/internal/control/await.go
@@ -6,7 +6,7 @@
 	id := p.lastID.Add(1)
 	waiter := make(chan R, 1)
 	p.waiters.Store(id, waiter)
-	p.loop.Post(newEvent(id))
+	p.post(newEvent(id))
 	select {
 	case r := <-waiter:
 		return r, true
@@ -23,12 +23,16 @@
 	}
 }
 
-// inspect runs f on the core between two steps.
+// inspect calls f with the core between two steps and waits for it, unless the process
+// stops first. f may then still be called.
 func (p *Process) inspect(f func(c *Core, now int64)) {
-	k := inspection{inspect: f, done: make(chan struct{})}
-	p.loop.Post(k)
+	done := make(chan struct{})
+	p.loop.Post(input{inspect: func(c *Core, now int64) {
+		f(c, now)
+		close(done)
+	}})
 	select {
-	case <-k.done:
+	case <-done:
 	case <-p.ctx.Done():
 	}
 }
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -26,7 +26,7 @@
 	t := p.clock.NewTicker(wallClockInterval)
 	defer t.Stop()
 	for {
-		p.loop.Post(WallClock{UnixMicro: p.clock.Now().UnixMicro()})
+		p.post(WallClock{UnixMicro: p.clock.Now().UnixMicro()})
 		select {
 		case <-ctx.Done():
 			return
@@ -46,7 +46,7 @@
 	} else {
 		s, err = p.databases.Poll(ctx, d.Address, 0, 0, 0)
 	}
-	p.loop.Post(DatabaseReply{Group: d.Group, ID: d.ID, Failed: err != nil, Status: sealed.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch,
+	p.post(DatabaseReply{Group: d.Group, ID: d.ID, Failed: err != nil, Status: sealed.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch,
 		LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Draining}})
 }
 
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -113,7 +113,7 @@
 	case GetConfiguration:
 		c.getConfiguration(now, e)
 	case DatabaseReply:
-		c.handleDatabaseReply(now, e)
+		c.handleDatabaseReply(e)
 	case Command:
 		c.handleCommand(now, e)
 	case WallClock:
--- a/internal/control/groups.go
+++ b/internal/control/groups.go
@@ -70,7 +70,7 @@
 	for _, change := range c.roles.Tick(now, c.isAlive).Changes {
 		c.propose(now, change, func(now int64, o paxos.Outcome) {
 			for _, role := range c.roles.HandleOutcome(now, o).Acquired {
-				c.logf(result.RoleTaken, "%s", role)
+				c.logf(result.RoleOwnerChanged, "%s", role)
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-func (c *Core) applyGroupEffect(now int64, key string, group *groupRole, effect any) {
+func (c *Core) applyGroupEffect(now int64, key string, group *groupRole, effect sealed.Effect) {
 	switch e := effect.(type) {
 	case sealed.DatabaseCall:
 		c.do(DatabaseCall{Group: key, ID: e.ID, Address: e.Address, SealEpoch: e.SealEpoch})
@@ -114,9 +114,9 @@
 	}
 }
 
-func (c *Core) handleDatabaseReply(now int64, e DatabaseReply) {
+func (c *Core) handleDatabaseReply(e DatabaseReply) {
 	if group := c.groups[e.Group]; group != nil {
-		group.failover.HandleReply(now, e.ID, e.Failed, e.Status)
+		group.failover.HandleReply(e.ID, e.Failed, e.Status)
 	}
 }
 
--- a/internal/control/majority_test.go
+++ b/internal/control/majority_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"stoneford/emulator/simulation"
+	"stoneford/emulator/virtualtime"
 	"stoneford/internal/control"
 	"stoneford/result"
 	"stoneford/schema"
@@ -11,7 +12,7 @@
 
 // threeProcesses are three control processes on a simulated network.
 type threeProcesses struct {
-	environment *simulation.Scheduler
+	environment *virtualtime.Scheduler
 	network     *simulation.Network
 	cores       map[string]*control.Core
 	addresses   []string
@@ -21,7 +22,7 @@
 
 func newThreeProcesses(seed uint64) *threeProcesses {
 	x := &threeProcesses{
-		environment: simulation.NewScheduler(seed),
+		environment: virtualtime.NewScheduler(seed, virtualtime.DefaultStream),
 		cores:       map[string]*control.Core{},
 		addresses:   []string{"a:1", "b:1", "c:1"},
 		results:     map[uint64]control.ConfigurationResult{},
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -48,7 +48,7 @@
 	tokens    atomic.Pointer[map[string]string] // partner by token
 	clock     clockwork.Clock
 	core      *Core // used by the goroutine of loop only
-	loop      *eventloop.Loop
+	loop      *eventloop.Loop[input]
 	links     *transport.Transport
 	databases *databaseclient.Client
 	voterLog  *wal.Log
@@ -58,10 +58,11 @@
 	fail      func(error)     // ends Run with an error
 }
 
-// inspection has the loop call a function between two steps.
-type inspection struct {
-	inspect func(c *Core, now int64)
-	done    chan struct{} // closed after the call
+// input is what the loop takes: an event of the core, or a function that is to be called
+// between two steps.
+type input struct {
+	event   Event
+	inspect func(c *Core, now int64) // nil for an event
 }
 
 // NewProcess makes a control process and restores its voter from the log in the
@@ -82,13 +83,13 @@
 	p := &Process{
 		config:    config,
 		clock:     clock,
-		loop:      eventloop.New(clock, clock.Now(), eventQueueLength),
+		loop:      eventloop.New[input](clock, clock.Now(), eventQueueLength),
 		databases: databaseclient.New(transport.LocalAddress(config.Bind, config.Listen)),
 	}
 	p.SetTokens(config.Tokens)
 	folder := filepath.Join(config.DataFolder, "voter")
 	err = p.restore(folder, diskID)
-	if wal.ErrCorrupt.Has(err) {
+	if errors.Is(err, wal.ErrCorrupt) {
 		movedTo, moveErr := wal.Quarantine(folder)
 		log.WithFields(log.Fields{"code": int(result.LogDamaged), "kept_in": movedTo}).WithError(err).Error(result.LogDamaged.String())
 		if moveErr != nil {
@@ -128,7 +129,7 @@
 	defer func() { err = errors.Join(err, p.voterLog.Close()) }()
 	work, stop := context.WithCancelCause(context.WithoutCancel(ctx))
 	p.ctx, p.fail = work, func(err error) { stop(err) }
-	p.links = transport.New(work, p.config.Listen, transport.LocalAddress(p.config.Bind, p.config.Listen), func(e *schema.Envelope) { p.loop.TryPost(Received{e}) })
+	p.links = transport.New(work, p.config.Listen, transport.LocalAddress(p.config.Bind, p.config.Listen), func(e *schema.Envelope) { p.loop.TryPost(input{event: Received{e}}) })
 	nodeListener, httpListener, err := config.Listen(p.config)
 	if err != nil {
 		return err
@@ -153,25 +154,21 @@
 		return context.Cause(work)
 	case <-ctx.Done():
 	}
-	p.loop.Post(Stop{})
+	p.post(Stop{})
 	<-p.clock.After(handoverPeriod)
 	return nil
 }
 
 // step runs the core on the events that have arrived and carries out its effects.
 // The voter's log is synced first: a vote that is lost would break agreement.
-func (p *Process) step(now int64, events []any) {
-	coreEvents := make([]Event, 0, len(events))
-	var inspections []inspection
-	for _, e := range events {
-		switch e := e.(type) {
-		case inspection:
-			inspections = append(inspections, e)
-		case Event:
-			coreEvents = append(coreEvents, e)
+func (p *Process) step(now int64, inputs []input) {
+	events := make([]Event, 0, len(inputs))
+	for _, i := range inputs {
+		if i.inspect == nil {
+			events = append(events, i.event)
 		}
 	}
-	effects := p.core.Step(now, coreEvents...)
+	effects := p.core.Step(now, events...)
 	if err := p.voterLog.Write(effects.Log, p.core.Snapshot); err != nil {
 		p.fail(errs.New("voter's log: %w", err))
 		return
@@ -182,12 +179,16 @@
 	for _, e := range effects.Do {
 		p.apply(e)
 	}
-	for _, i := range inspections {
-		i.inspect(p.core, now)
-		close(i.done)
+	for _, i := range inputs {
+		if i.inspect != nil {
+			i.inspect(p.core, now)
+		}
 	}
 }
 
+// post gives an event to the core; it waits while the queue is full.
+func (p *Process) post(e Event) { p.loop.Post(input{event: e}) }
+
 // apply carries out an effect; what may take time is done on a goroutine of its own.
 func (p *Process) apply(effect Effect) {
 	switch e := effect.(type) {
--- a/internal/pool/process.go
+++ b/internal/pool/process.go
@@ -55,8 +55,8 @@
 	run       uint64
 	clock     clockwork.Clock
 	startedAt time.Time
-	core      *Core           // used by the goroutine of loop only
-	loop      *eventloop.Loop // of the core
+	core      *Core                  // used by the goroutine of loop only
+	loop      *eventloop.Loop[Event] // of the core
 	links     *transport.Transport
 	databases *databaseclient.Client
 	runners   map[string]*runner // by PARTNER/GROUP; used by the goroutine of loop only
@@ -88,7 +88,7 @@
 		clock:     clock,
 		startedAt: startedAt,
 		core:      NewCore(config, run),
-		loop:      eventloop.New(clock, startedAt, eventQueueLength),
+		loop:      eventloop.New[Event](clock, startedAt, eventQueueLength),
 		databases: databaseclient.New(transport.LocalAddress(config.Bind, config.Listen)),
 		runners:   map[string]*runner{},
 	}
@@ -170,14 +170,8 @@
 }
 
 // step runs the core on the events that have arrived and carries out its effects.
-func (p *Process) step(now int64, events []any) {
-	coreEvents := make([]Event, 0, len(events))
-	for _, e := range events {
-		if e, ok := e.(Event); ok {
-			coreEvents = append(coreEvents, e)
-		}
-	}
-	effects := p.core.Step(now, coreEvents...)
+func (p *Process) step(now int64, events []Event) {
+	effects := p.core.Step(now, events...)
 	for _, s := range effects.Send {
 		p.links.Send(s.To, s.Envelope)
 	}
--- a/internal/pool/runner.go
+++ b/internal/pool/runner.go
@@ -27,7 +27,7 @@
 type runner struct {
 	process          *Process
 	group            string
-	loop             *eventloop.Loop
+	loop             *eventloop.Loop[querytable.Event]
 	table            *querytable.Table // used by the goroutine of loop only
 	waiters          sync.Map          // query ID to the channel of its querytable.Reply
 	decisionRequests sync.Map          // ID to DecisionsRequest
@@ -53,7 +53,7 @@
 	return &runner{
 		process: p,
 		group:   group,
-		loop:    eventloop.New(p.clock, p.startedAt, eventQueueLength),
+		loop:    eventloop.New[querytable.Event](p.clock, p.startedAt, eventQueueLength),
 		table:   querytable.New(randomSeed()),
 	}
 }
@@ -70,14 +70,8 @@
 func (r *runner) stop() { r.loop.Post(querytable.Stop{GraceUs: shutdownGrace.Microseconds()}) }
 
 // step runs the table on the events that have arrived and carries out its effects.
-func (r *runner) step(now int64, events []any) {
-	tableEvents := make([]querytable.Event, 0, len(events))
-	for _, e := range events {
-		if e, ok := e.(querytable.Event); ok {
-			tableEvents = append(tableEvents, e)
-		}
-	}
-	for _, e := range r.table.Step(now, tableEvents...) {
+func (r *runner) step(now int64, events []querytable.Event) {
+	for _, e := range r.table.Step(now, events...) {
 		r.apply(now, e)
 	}
 	sessions, queries, connections := r.table.Gauges()
--- a/internal/pool/sessions_test.go
+++ b/internal/pool/sessions_test.go
@@ -22,7 +22,7 @@
 	names []string
 }
 
-func (e *sessionEvents) step(_ int64, events []any) {
+func (e *sessionEvents) step(_ int64, events []querytable.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, event := range events {
@@ -53,7 +53,7 @@
 func TestReusedSessionNameIsNotEnded(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	p := &Process{clock: clock}
-	r := &runner{process: p, group: "g", loop: eventloop.New(clock, clock.Now(), 64)}
+	r := &runner{process: p, group: "g", loop: eventloop.New[querytable.Event](clock, clock.Now(), 64)}
 	p.routes.Store(&map[string]Route{"r": {Group: "g"}})
 	p.sharedRunners.Store(&map[string]*runner{"g": r})
 	seen := &sessionEvents{}
