--- a/internal/platform/callers.go
+++ b/internal/platform/caller.go
@@ -2,11 +2,8 @@
 
 import (
 	"bufio"
-	"context"
 	"errors"
 	"net"
-	"sync/atomic"
-	"syscall"
 	"time"
 
 	"stoneford/internal/ports"
@@ -15,76 +12,16 @@
 
 const (
 	callerBuffer = 2 << 10
-	// connectTimeout is how long a connection may take to say whom it wants.
-	connectTimeout      = 10 * time.Second
-	acceptRetryInterval = 20 * time.Millisecond
+	// connectTimeout is how long a connection may take to name its host. A longer one keeps
+	// descriptors for connections that never do.
+	connectTimeout = 10 * time.Second
 	// maxUnreadBytes is how much a caller may leave unread before its next statement waits.
 	maxUnreadBytes = 256 << 10
-)
-
-// Frontend takes callers' connections; most of them at a time, unless it is 0.
-type Frontend struct {
-	Address        string
-	MaxConnections int
-}
 
-// Serve takes connections until the context ends.
-func (c Frontend) Serve(ctx context.Context, handler sessionpool.SessionHandler) error {
-	listener, err := listen(ctx, c.Address)
-	if err != nil {
-		return err
-	}
-	stop := context.AfterFunc(ctx, func() { listener.Close() })
-	defer stop()
-	return c.serve(ctx, listener, handler)
-}
-
-// listen opens a listener whose connections are probed by their kernel, where
-// that is handed down.
-func listen(ctx context.Context, address string) (net.Listener, error) {
-	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, rawConn syscall.RawConn) error {
-		var err error
-		controlErr := rawConn.Control(func(fd uintptr) {
-			err = errors.Join(syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1),
-				syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, 30))
-		})
-		return errors.Join(controlErr, err)
-	}}
-	return lc.Listen(ctx, "tcp", address)
-}
-
-func (c Frontend) serve(ctx context.Context, listener net.Listener, handler sessionpool.SessionHandler) error {
-	var open atomic.Int64
-	for {
-		netConn, err := listener.Accept()
-		switch {
-		case ctx.Err() != nil:
-			if err == nil {
-				netConn.Close()
-			}
-			return nil
-		case errors.Is(err, net.ErrClosed):
-			return err
-		case err != nil: // such as no descriptor left
-			t := time.NewTimer(acceptRetryInterval)
-			select {
-			case <-ctx.Done():
-			case <-t.C:
-			}
-			continue
-		case c.MaxConnections > 0 && open.Load() >= int64(c.MaxConnections):
-			netConn.Close()
-			continue
-		}
-		open.Add(1)
-		go func() {
-			defer open.Add(-1)
-			newCallerConn(netConn).run(handler)
-		}()
-	}
-}
+	textMessageTooLong = "a message is 1 MiB at most"
+)
 
-// callerConn is one caller's connection.
+// callerConn is one caller's connection. It implements sessionpool.Client.
 type callerConn struct {
 	outbox
 	reader           *bufio.Reader
@@ -99,7 +36,7 @@
 	return caller
 }
 
-// Reply queues the end of the statement, or of the opening.
+// Reply queues the reply to the statement, or to the opening.
 func (c *callerConn) Reply(r ports.Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +55,7 @@
 	c.stateChanged.Signal()
 }
 
-// Close closes the session behind what is queued.
+// Close closes the session once what is queued was written.
 func (c *callerConn) Close() {
 	c.mu.Lock()
 	c.closeWhenWritten, c.sessionEnded, c.statementPending = true, true, false
@@ -129,8 +66,8 @@
 // Flush writes what is queued.
 func (c *callerConn) Flush() { c.flush() }
 
-// waitTurn waits until the caller's next statement may be asked; false says that
-// its session has ended.
+// waitTurn waits until the caller's next statement may be handed on: the one before was
+// replied to, and not too much is unread. It is false if the session has ended.
 func (c *callerConn) waitTurn() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,36 +81,46 @@
 	return true
 }
 
+// run serves the connection until the caller closes it or the session ends.
 func (c *callerConn) run(handler sessionpool.SessionHandler) {
 	defer c.conn.Close()
-	defer func() {
-		c.mu.Lock()
-		c.closed = true
-		c.mu.Unlock()
-	}()
-	if c.conn.SetReadDeadline(time.Now().Add(connectTimeout)) != nil {
+	defer c.stopWriting()
+	host, ok := c.connect()
+	if !ok {
 		return
 	}
+	c.statementPending = true
+	id := handler.SessionOpened(c, host)
+	defer handler.SessionClosed(id)
+	c.serveStatements(id, handler)
+}
+
+// connect reads the message that opens the session. It is false if there is none.
+func (c *callerConn) connect() (host string, ok bool) {
+	if c.conn.SetReadDeadline(time.Now().Add(connectTimeout)) != nil {
+		return "", false
+	}
 	message, err := readMessage(c.reader)
 	switch {
 	case errors.Is(err, ErrMessageTooLong):
-		c.rejectWith(ports.TooLarge, "a message is 1 MiB at most")
-		return
+		c.rejectWith(ports.TooLarge, textMessageTooLong)
+		return "", false
 	case err != nil, message.verb == verbClose:
-		return
+		return "", false
 	case message.verb != verbConnect || message.host == "":
 		c.rejectWith(ports.Malformed, "a session begins with CONNECT and a name")
-		return
-	}
-	if c.conn.SetReadDeadline(time.Time{}) != nil {
-		return
+		return "", false
 	}
-	c.statementPending = true
-	id := handler.SessionOpened(c, message.host)
-	defer handler.SessionClosed(id)
+	return message.host, c.conn.SetReadDeadline(time.Time{}) == nil
+}
+
+// serveStatements hands statements on, one at a time, until the caller closes the
+// connection or the session ends.
+func (c *callerConn) serveStatements(id uint64, handler sessionpool.SessionHandler) {
 	for {
 		message, err := readMessage(c.reader)
-		if err != nil && !errors.Is(err, ErrMessageTooLong) || message.verb == verbClose {
+		tooLong := errors.Is(err, ErrMessageTooLong)
+		if err != nil && !tooLong || message.verb == verbClose {
 			return
 		}
 		if !c.waitTurn() {
@@ -181,8 +128,8 @@
 			return
 		}
 		switch {
-		case err != nil:
-			c.rejectWith(ports.TooLarge, "a message is 1 MiB at most")
+		case tooLong:
+			c.rejectWith(ports.TooLarge, textMessageTooLong)
 			return
 		case message.verb == verbQuery:
 			handler.StatementReceived(id, message.statement)
@@ -192,6 +139,13 @@
 	}
 }
 
+// stopWriting drops what is written from here on.
+func (c *callerConn) stopWriting() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+}
+
 // rejectWith ends a connection with an error.
 func (c *callerConn) rejectWith(code ports.Code, text string) {
 	c.Reply(ports.Reply{Code: code, Text: text})
@@ -200,7 +154,8 @@
 	c.discard()
 }
 
-// discard reads on until the caller has hung up, or is past its time.
+// discard reads on until the caller has closed its side, or is past its time, so that what
+// was written arrives.
 func (c *callerConn) discard() {
 	for {
 		if _, err := c.reader.Discard(c.reader.Size()); err != nil {
--- a/internal/platform/calls_test.go
+++ b/internal/platform/database_calls_test.go
@@ -199,17 +199,17 @@
 	}
 }
 
-// TestIdempotentCallsAreRetried: a kept connection that is reset with a
-// question under way has it asked again only if a second time does no harm.
+// TestIdempotentCallsAreRetried: a call whose pooled connection is reset is sent once more
+// only if it is idempotent.
 func TestIdempotentCallsAreRetried(t *testing.T) {
-	for _, netConn := range []struct {
+	for _, c := range []struct {
 		kind  ports.StatementKind
 		text  string
 		times int
-	}{{ports.Status, textStatus, 2}, {ports.FreezeReplication, textPause, 2}, {ports.StepDown, textStepDown, 2}, {ports.ResumeReplication, textResume, 1}} {
-		asked := 0
+	}{{ports.Status, textStatus, 2}, {ports.FreezeReplication, textFreeze, 2}, {ports.StepDown, textStepDown, 2}, {ports.ResumeReplication, textUnfreeze, 1}} {
+		calls := 0
 		first := on(func(netConn net.Conn, _ string) bool {
-			if asked++; asked > 1 {
+			if calls++; calls > 1 {
 				netConn.(*net.TCPConn).SetLinger(0)
 				return false
 			}
@@ -221,13 +221,13 @@
 		if status, _, err := client.Do(t.Context(), database.address, "g", "i-1", own(ports.Status, 0)); err != nil || status.Received.Number != 5 {
 			t.Fatal(status, err)
 		}
-		before := database.count(netConn.text)
-		status, code, err := client.Do(t.Context(), database.address, "g", "i-1", own(netConn.kind, 4))
-		if n := database.count(netConn.text) - before; n != netConn.times {
-			t.Errorf("%s was sent %d times", netConn.text, n)
+		before := database.count(c.text)
+		status, code, err := client.Do(t.Context(), database.address, "g", "i-1", own(c.kind, 4))
+		if n := database.count(c.text) - before; n != c.times {
+			t.Errorf("%s was sent %d times", c.text, n)
 		}
-		if retried := netConn.times > 1; retried != (err == nil && status.Received.Number == 8) || code != ports.Done {
-			t.Errorf("%s: %+v %v %v", netConn.text, status, code, err)
+		if retried := c.times > 1; retried != (err == nil && status.Received.Number == 8) || code != ports.Done {
+			t.Errorf("%s: %+v %v %v", c.text, status, code, err)
 		}
 	}
 }
@@ -243,11 +243,11 @@
 	}
 }
 
-// TestAbandonedCallIsReset: bytes that a cut holds up arrive when it is over,
-// unless their sender resets the connection.
+// TestAbandonedCallIsReset: bytes that a partition delays arrive when it is over, unless
+// their sender resets the connection.
 func TestAbandonedCallIsReset(t *testing.T) {
 	for name, call := range map[string]func(context.Context, *faulty){
-		"a question of a control process": func(ctx context.Context, database *faulty) {
+		"a call of a control process": func(ctx context.Context, database *faulty) {
 			client(t).Do(ctx, database.address, "g", "i-1", own(ports.ResumeReplication, 0))
 		},
 		"a statement of a pool node": func(ctx context.Context, database *faulty) {
@@ -312,7 +312,7 @@
 	if _, code, err := client(t).Do(t.Context(), database.address, "g", "i-1", own(ports.ResumeReplication, 0)); err != nil || code != ports.WrongInstance {
 		t.Error(code, err)
 	}
-	if database.count(textResume) != 0 {
+	if database.count(textUnfreeze) != 0 {
 		t.Error("the other one was told")
 	}
 }
--- a/internal/platform/databases_test.go
+++ b/internal/platform/dialer_test.go
@@ -173,17 +173,17 @@
 }
 
 func TestBatchIsSentAtomically(t *testing.T) {
-	asked := make(chan string, 9)
-	database := newFakeDatabase(t, func(l string) string { asked <- l; return ordinary(l) })
+	received := make(chan string, 9)
+	database := newFakeDatabase(t, func(l string) string { received <- l; return ordinary(l) })
 	conn, _, _, err := NewDatabaseDialer("127.0.0.1", "x").Dial(t.Context(), database.address(), "g", "i")
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-asked
+	<-received
 	conn.Queue([]ports.Op{{Statement: readStatement(t, "QUERY 1 FETCH x\r\n")}, {Internal: true, Statement: ports.Statement{Kind: ports.Write}}})
 	conn.Flush()
-	if _, err := conn.Read(nil); err == nil || len(asked) > 0 {
-		t.Error(err, len(asked))
+	if _, err := conn.Read(nil); err == nil || len(received) > 0 {
+		t.Error(err, len(received))
 	}
 }
 
--- a/internal/platform/churn_test.go
+++ b/internal/platform/faults_test.go
@@ -20,20 +20,20 @@
 	"stoneford/internal/ports"
 )
 
-// churnStore is two databases of one group, which note what they are asked and
-// break their connections at random. Each answer names the statement it is of.
+// churnStore is two databases of one group, which record the statements that they get and
+// break their connections at random. Each answer names the statement that it is of.
 type churnStore struct {
 	mu       sync.Mutex
 	number   int64             // of the newest commit
 	texts    map[string]string // by id, as they came
-	kept     map[string]int    // how often a write or commit took effect, by id
-	breakOff float64           // the share of statements that a connection is broken at
+	effects  map[string]int    // how often a write or commit took effect, by id
+	breakOff float64           // fraction of the statements at which a connection is broken
 	broken   int
-	fault    func(id, answer string) string // planted, or nil
+	mutate   func(id, answer string) string // an injected bug, or nil
 }
 
 func newChurnStore(breakOff float64) *churnStore {
-	return &churnStore{number: 1, texts: map[string]string{}, kept: map[string]int{}, breakOff: breakOff}
+	return &churnStore{number: 1, texts: map[string]string{}, effects: map[string]int{}, breakOff: breakOff}
 }
 
 func (s *churnStore) ready(state string) string {
@@ -42,51 +42,61 @@
 	return fmt.Sprintf("READY %s 1.%d\r\n", state, s.number)
 }
 
+// serve serves a connection until either side ends it.
 func (s *churnStore) serve(netConn net.Conn, primary bool) {
 	defer netConn.Close()
 	reader := bufio.NewReader(netConn)
 	state := "I"
 	for {
-		l, err := reader.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
-		verb, rest := splitField(strings.TrimSuffix(l, crlf))
+		verb, rest := splitField(strings.TrimSuffix(line, crlf))
 		if verb == verbConnect {
 			io.WriteString(netConn, s.ready(state))
 			continue
 		}
-		id, text := splitField(rest)
-		if strings.HasPrefix(text, textAfter) {
-			_, text = splitField(text)
-			_, text = splitField(text)
-		}
-		breakOff := rand.Float64()
-		if id != nodeStatementID && breakOff < s.breakOff/3 {
-			s.breaks(netConn) // nothing ran
-			return
-		}
-		var answer string
-		answer, state = s.run(id, text, state, primary)
-		if s.fault != nil {
-			answer = s.fault(id, answer)
-		}
-		answer += s.ready(state)
-		switch {
-		case id != nodeStatementID && breakOff < s.breakOff*2/3:
-			s.breaks(netConn) // it ran
-			return
-		case id != nodeStatementID && breakOff < s.breakOff:
-			io.WriteString(netConn, answer[:rand.IntN(len(answer))])
-			s.breaks(netConn)
-			return
-		}
-		if _, err := io.WriteString(netConn, answer); err != nil {
+		var ok bool
+		if state, ok = s.serveStatement(netConn, rest, state, primary); !ok {
 			return
 		}
 	}
 }
 
+// serveStatement runs a statement and answers it, or breaks the connection before, after or
+// within the answer. It is false if the connection is broken.
+func (s *churnStore) serveStatement(netConn net.Conn, query, state string, primary bool) (after string, ok bool) {
+	id, text := splitField(query)
+	if strings.HasPrefix(text, textAfter) {
+		_, text = splitField(text)
+		_, text = splitField(text)
+	}
+	breakOff := rand.Float64()
+	mayBreak := id != nodeStatementID
+	if mayBreak && breakOff < s.breakOff/3 {
+		s.breaks(netConn) // nothing ran
+		return state, false
+	}
+	answer, state := s.run(id, text, state, primary)
+	if s.mutate != nil {
+		answer = s.mutate(id, answer)
+	}
+	answer += s.ready(state)
+	switch {
+	case mayBreak && breakOff < s.breakOff*2/3:
+		s.breaks(netConn) // it ran
+		return state, false
+	case mayBreak && breakOff < s.breakOff:
+		io.WriteString(netConn, answer[:rand.IntN(len(answer))])
+		s.breaks(netConn)
+		return state, false
+	}
+	_, err := io.WriteString(netConn, answer)
+	return state, err == nil
+}
+
+// breaks counts a broken connection, and has its end reset it now and then.
 func (s *churnStore) breaks(netConn net.Conn) {
 	s.mu.Lock()
 	s.broken++
@@ -96,13 +106,13 @@
 	}
 }
 
-// run runs a statement, and says in which state it leaves the connection.
+// run runs a statement and returns the state in which it leaves the connection.
 func (s *churnStore) run(id, text, state string, primary bool) (answer, after string) {
 	if id == nodeStatementID {
 		switch verb, _ := splitField(text); verb {
 		case textAbort:
 			state = "I"
-		case textStatus, textPause, textResume, textStepDown:
+		case textStatus, textFreeze, textUnfreeze, textStepDown:
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			role := map[bool]string{true: roleLeader, false: roleFollower}[primary]
@@ -120,12 +130,12 @@
 	case textCommit:
 		state = "I"
 		s.number++
-		s.kept[id]++
+		s.effects[id]++
 	case textStore:
 		if state == "I" {
 			s.number++
 		}
-		s.kept[id]++
+		s.effects[id]++
 	case textFetch:
 		row = "ROW " + id + " " + text + crlf
 		if strings.HasPrefix(thing, "long") {
@@ -135,14 +145,14 @@
 	return row + verbComplete + " of." + id + crlf, state
 }
 
-// churnClient is one caller: session after session, and what it was told.
+// churnClient is one caller: session after session, and what it was answered.
 type churnClient struct {
 	t        *testing.T
 	front    string
 	name     string
 	seq      int
 	answered int // successes
-	report   int // answers that are another's
+	foreign  int // answers that are another's
 	sent     map[string]string
 }
 
@@ -160,7 +170,7 @@
 	return id, verbQuery + " " + id + " " + text + crlf
 }
 
-// session is one connection, until the caller leaves or is left.
+// session is one connection, until either side ends it.
 func (c *churnClient) session() {
 	netConn, err := net.DialTimeout("tcp", c.front, time.Second)
 	if err != nil {
@@ -183,7 +193,7 @@
 			lines.WriteString(line)
 		}
 		io.WriteString(netConn, lines.String())
-		if rand.IntN(10) == 0 { // it leaves while they are under way
+		if rand.IntN(10) == 0 { // it disconnects while they are in flight
 			if rand.IntN(2) == 0 {
 				netConn.(*net.TCPConn).SetLinger(0)
 			}
@@ -208,12 +218,12 @@
 		switch verb {
 		case verbRow:
 			if of, _ := splitField(rest); of != id {
-				c.report++
+				c.foreign++
 				return false
 			}
 		case verbComplete:
 			if rest != noValue && rest != "of."+id {
-				c.report++
+				c.foreign++
 				return false
 			}
 			c.answered++
@@ -221,7 +231,7 @@
 			return true
 		case verbError:
 		default:
-			c.report++
+			c.foreign++
 			return false
 		}
 	}
@@ -252,83 +262,116 @@
 const churnTable = `{"Revision":5,"Routes":[{"Name":"r","Host":"shop","PathPrefix":"/","RouteClass":"leader","DeadlineMs":1500,"TargetMs":300,"Backend":"g"}],` +
 	`"Backends":[{"Name":"g","ConnLimit":65,"SyncReplicas":1}],"Limits":{"TxnIdleMs":3000}}`
 
-// runChurn runs a control process, a pool node, two databases and many callers for
-// a time, and returns what was seen.
-func runChurn(t *testing.T, s *churnStore, callers int, d time.Duration) (all []*churnClient) {
+// runChurn runs a control process, a pool node, two databases and many callers for a time,
+// and returns the callers.
+func runChurn(t *testing.T, s *churnStore, callers int, d time.Duration) []*churnClient {
 	t.Helper()
 	first := churnPorts(t)
 	at := func(n int) string { return fmt.Sprintf("127.0.0.1:%d", first+n) }
 	config := ports.ProcessConfig{Name: "machine-1", Zone: "z", IP: "127.0.0.1", PortFirst: first, PortLast: first + 3, CallerAddress: at(4), ReadinessAddress: at(5), ControlAddress: at(6),
 		Seeds: []string{at(6)}, Bootstrap: true, QuorumMember: true, DataFolder: filepath.Join(t.TempDir(), "data"), AnnouncementIntervalUs: 200_000, FileDescriptors: 4000,
 		Bounds: ports.TimeBounds{GraceUs: 400_000}}
-	ctx, stop := context.WithCancel(t.Context())
+	ctx, stop := startServices(t, config)
+	defer stop()
+	announceDatabases(ctx, t, s, config.ControlAddress)
+	awaitTable(ctx, t, config.ControlAddress)
+	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
+		client := &churnClient{t: t, front: config.CallerAddress, name: "first", sent: map[string]string{}}
+		if client.session(); client.answered > 0 {
+			break
+		}
+	}
+	return runClients(t, config.CallerAddress, callers, d)
+}
+
+// startServices runs a control process and a pool node under a context. Stop ends them and
+// waits for their end.
+func startServices(t *testing.T, config ports.ProcessConfig) (ctx context.Context, stop func()) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 2)
-	cp, err := controlServices(config, coordinator.NewProcess)
+	control, err := controlServices(config, coordinator.NewProcess)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { ended <- cp.runAll(ctx) }()
+	go func() { ended <- control.runAll(ctx) }()
 	go func() { ended <- poolServices(config).runAll(ctx) }()
-	defer func() {
-		stop()
+	return ctx, func() {
+		cancel()
 		for range 2 {
 			if err := <-ended; err != nil {
 				t.Error(err)
 			}
 		}
-	}()
-	var beats []func()
+	}
+}
+
+// announceDatabases serves the two databases of a store, and sends their heartbeats until
+// the context ends.
+func announceDatabases(ctx context.Context, t *testing.T, s *churnStore, control string) {
+	t.Helper()
+	var heartbeats []func()
 	for i, id := range []string{"db-1", "db-2"} {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer listener.Close()
-		go func() {
-			for {
-				netConn, err := listener.Accept()
-				if err != nil {
-					return
-				}
-				go s.serve(netConn, i == 0)
-			}
-		}()
+		address := serveStore(t, s, i == 0)
 		call := 0
 		role := []string{roleLeader, roleFollower}[i]
-		beats = append(beats, func() {
+		heartbeats = append(heartbeats, func() {
 			call++
-			post(ctx, at(6), pathHeartbeat+id, "", fmt.Sprintf(`{"Backend":"g","Address":%q,"Zone":"z","Capacity":16,"Phase":"ready","DbRole":%q,"CallSeq":%d}`, listener.Addr(), role, call))
+			post(ctx, control, pathHeartbeat+id, "", fmt.Sprintf(`{"Backend":"g","Address":%q,"Zone":"z","Capacity":16,"Phase":"ready","DbRole":%q,"CallSeq":%d}`, address, role, call))
 		})
 	}
 	go func() {
 		for ctx.Err() == nil {
-			for _, beat := range beats {
-				beat()
+			for _, heartbeat := range heartbeats {
+				heartbeat()
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
 	}()
-	taken := false
-	for until := time.Now().Add(20 * time.Second); !taken && time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		taken = post(ctx, at(6), pathReplace, "0", churnTable) == nil
-	}
-	if !taken {
-		t.Fatal("the table was not taken")
+}
+
+// serveStore serves one of a store's databases until the test ends.
+func serveStore(t *testing.T, s *churnStore, primary bool) net.Addr {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			netConn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go s.serve(netConn, primary)
+		}
+	}()
+	return listener.Addr()
+}
+
+// awaitTable sends the routing table until it is accepted.
+func awaitTable(ctx context.Context, t *testing.T, control string) {
+	t.Helper()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		netConn := &churnClient{t: t, front: at(4), name: "first", sent: map[string]string{}}
-		if netConn.session(); netConn.answered > 0 {
-			break
+		if post(ctx, control, pathReplace, "0", churnTable) == nil {
+			return
 		}
 	}
+	t.Fatal("the table was not accepted")
+}
+
+// runClients runs callers for a time.
+func runClients(t *testing.T, front string, callers int, d time.Duration) (all []*churnClient) {
+	t.Helper()
 	var calling sync.WaitGroup
-	over := time.Now().Add(d)
+	end := time.Now().Add(d)
 	for i := range callers {
-		netConn := &churnClient{t: t, front: at(4), name: fmt.Sprintf("c%d", i), sent: map[string]string{}}
-		all = append(all, netConn)
+		client := &churnClient{t: t, front: front, name: fmt.Sprintf("c%d", i), sent: map[string]string{}}
+		all = append(all, client)
 		calling.Go(func() {
-			for time.Now().Before(over) {
-				netConn.session()
+			for time.Now().Before(end) {
+				client.session()
 			}
 		})
 	}
@@ -356,16 +399,16 @@
 	return nil
 }
 
-// TestAnswersUnderFaults: callers that pipeline and leave, databases that break
-// their connections before, after and halfway through an answer. No caller is
-// ever given another's answer, no text is changed, and no write runs twice.
+// TestAnswersUnderFaults: callers that pipeline and disconnect, databases that break their
+// connections before, after and within an answer. No caller ever gets another's answer, no
+// text is changed, and no write runs twice.
 func TestAnswersUnderFaults(t *testing.T) {
 	s := newChurnStore(0.03)
 	all := runChurn(t, s, 40, 3*time.Second)
 	answered, wrong, sent := 0, 0, map[string]string{}
 	for _, c := range all {
 		answered += c.answered
-		wrong += c.report
+		wrong += c.foreign
 		for id, text := range c.sent {
 			sent[id] = text
 		}
@@ -373,7 +416,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	twice, changed := 0, 0
-	for id, n := range s.kept {
+	for id, n := range s.effects {
 		if n > 1 {
 			twice++
 		}
@@ -390,12 +433,12 @@
 	}
 }
 
-// TestChurnDetectsForeignAnswer: with a database that now and then says the answer
-// of another statement, the callers notice.
+// TestChurnDetectsForeignAnswer: where a database now and then gives the answer to another
+// statement, the callers notice.
 func TestChurnDetectsForeignAnswer(t *testing.T) {
 	s := newChurnStore(0)
 	last := ""
-	s.fault = func(id, answer string) string {
+	s.mutate = func(id, answer string) string {
 		if id == nodeStatementID {
 			return answer
 		}
@@ -411,9 +454,9 @@
 	}
 	wrong := 0
 	for _, c := range runChurn(t, s, 10, time.Second) {
-		wrong += c.report
+		wrong += c.foreign
 	}
 	if wrong == 0 {
-		t.Error("nobody noticed")
+		t.Error("no caller noticed")
 	}
 }
--- a/internal/platform/callers_test.go
+++ b/internal/platform/frontend_test.go
@@ -19,7 +19,7 @@
 	"stoneford/internal/sessionpool"
 )
 
-// recordingHandler notes what callers do, and replies to what it is told to.
+// recordingHandler records what callers do, and replies as it is set to.
 type recordingHandler struct {
 	events chan string
 	reply  func(c sessionpool.Client, st *ports.Statement)
@@ -54,7 +54,7 @@
 }
 
 // serveCallers listens on the loopback, and calls it.
-func serveCallers(t *testing.T, handler *recordingHandler, most int) func() net.Conn {
+func serveCallers(t *testing.T, handler *recordingHandler, maxConnections int) func() net.Conn {
 	t.Helper()
 	listener, err := listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error)
-	go func() { ended <- Frontend{MaxConnections: most}.serve(ctx, listener, handler) }()
+	go func() { ended <- Frontend{MaxConnections: maxConnections}.serve(ctx, listener, handler) }()
 	t.Cleanup(func() {
 		stop()
 		listener.Close()
@@ -283,7 +283,7 @@
 	})
 }
 
-func TestSilentConnectionIsClosed(t *testing.T) {
+func TestConnectionWithoutMessageIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		handler := newRecordingHandler(echo)
 		netConn, began := piped(handler), time.Now()
@@ -386,7 +386,7 @@
 
 func (e *echoing) SessionClosed(uint64) {}
 
-// FuzzSessions feeds whole sessions: each message has one reply, its own, in the
+// FuzzSessions feeds complete sessions: each message has one reply, its own, in the
 // messages' order, and nothing is replied to behind the end.
 func FuzzSessions(f *testing.F) {
 	for _, s := range []string{"CONNECT a\r\nQUERY 1 FETCH x\r\nQUERY 2 STORE y z\r\nCLOSE\r\nQUERY 3 FETCH w\r\n", "QUERY 1 FETCH x\r\n", "CONNECT a\r\nHELLO\r\nQUERY 1 COMMIT\r\n\r\n",
@@ -407,12 +407,12 @@
 		defer nc.mu.Unlock()
 		// What is still queued when the caller has gone need not be written.
 		if !bytes.HasPrefix(want, nc.out) {
-			t.Fatalf("%q was told %q, not %q", in, nc.out, want)
+			t.Fatalf("%q got %q, not %q", in, nc.out, want)
 		}
 	})
 }
 
-// sessionReplies is what a session that sends these bytes is told.
+// sessionReplies are the replies to a session that sends these bytes.
 func sessionReplies(in []byte) (want []byte) {
 	reader := bufio.NewReader(bytes.NewReader(in))
 	message, err := readMessage(reader)
--- /dev/null
+++ b/internal/platform/heartbeat.go
@@ -0,0 +1,41 @@
+package platform
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"stoneford/internal/ports"
+)
+
+// phaseDraining is the phase of a database that drains.
+const phaseDraining = "draining"
+
+// rawHeartbeat is a database's heartbeat as it arrives.
+type rawHeartbeat struct {
+	Backend      string `json:"Backend"`
+	Address      string `json:"Address"`
+	Zone         string `json:"Zone"`
+	Phase        string `json:"Phase"`
+	DbRole       string `json:"DbRole"`
+	Capacity     number `json:"Capacity"`
+	WarmupLeftMs number `json:"WarmupLeftMs"`
+	CallSeq      uint64 `json:"CallSeq"`
+}
+
+// heartbeatReply names the process that the next heartbeat should go to.
+type heartbeatReply struct {
+	Target string `json:"BeatTarget"`
+}
+
+// readHeartbeat decodes a heartbeat of the database of an ID.
+func readHeartbeat(id string, body []byte) (ports.Instance, error) {
+	var heartbeat rawHeartbeat
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
+		return ports.Instance{}, err
+	}
+	if !isSingleField(id) || !isSingleField(heartbeat.Backend) || !isSingleField(heartbeat.Address) {
+		return ports.Instance{}, fmt.Errorf("%w: %.80q, %.80q, %.80q", errNotAField, id, heartbeat.Backend, heartbeat.Address)
+	}
+	return ports.Instance{ID: id, Group: heartbeat.Backend, Address: heartbeat.Address, Zone: heartbeat.Zone, Capacity: heartbeat.Capacity.integer(), Draining: heartbeat.Phase == phaseDraining,
+		Primary: heartbeat.DbRole == roleLeader, WarmupUs: heartbeat.WarmupLeftMs.microseconds(), AnnouncementNumber: heartbeat.CallSeq}, nil
+}
--- a/internal/platform/outbox.go
+++ b/internal/platform/outbox.go
@@ -8,26 +8,30 @@
 )
 
 const (
-	// writeTimeout is how long a far end may take no bytes.
+	// writeTimeout is how long the other side may read nothing. A longer one keeps what is
+	// queued for a caller that is gone.
 	writeTimeout = 2 * time.Second
-	// maxIdleBuffer is the most that an idle outbox holds on to.
+	// maxIdleBuffer is the largest buffer that an idle outbox keeps.
 	maxIdleBuffer = 16 << 10
+	// lingerTimeout is how long the other side may take to close a connection.
+	lingerTimeout = 500 * time.Millisecond
 )
 
-// outbox writes what is queued on a connection, in order, and all that is queued
-// in one write. Who flushes does not wait for a far end that takes nothing.
+// outbox writes what is queued on a connection, in order, and all that is queued in one
+// write. A flush does not wait for another side that does not read.
 type outbox struct {
 	conn             net.Conn
 	rawConn          syscall.RawConn
 	mu               sync.Mutex
-	stateChanged     sync.Cond // told when all is written
-	queued           []byte    // queued
+	stateChanged     sync.Cond // signalled when all is written
+	queued           []byte
 	spare            []byte
-	writing          bool // somebody writes
-	closeWhenWritten bool // close when all is written
+	writing          bool // a goroutine writes
+	closeWhenWritten bool
 	closed           bool
 }
 
+// init has the outbox write to a connection.
 func (o *outbox) init(netConn net.Conn) {
 	o.conn = netConn
 	o.stateChanged.L = &o.mu
@@ -36,6 +40,7 @@
 	}
 }
 
+// flush writes what is queued, unless another goroutine does.
 func (o *outbox) flush() {
 	o.mu.Lock()
 	if o.writing {
@@ -46,12 +51,12 @@
 	o.writeQueued(false)
 }
 
-// writeQueued writes until nothing is queued. It is called with the lock held, by
-// whoever made the outbox busy, and gives both back.
+// writeQueued writes until nothing is queued. It is called with the lock held by the
+// goroutine that set writing, and gives up both.
 func (o *outbox) writeQueued(mayWait bool) {
 	for len(o.queued) > 0 && !o.closed {
-		// What is queued during the write goes into a buffer of its own: the spare one
-		// is given away here, so that it never stands for two.
+		// What is queued during the write goes into the spare buffer, which is used up here
+		// so that it never serves two.
 		data := o.queued
 		o.queued, o.spare = o.spare[:0], nil
 		o.mu.Unlock()
@@ -75,7 +80,7 @@
 	}
 }
 
-// writeEnded takes a buffer back after its write, and the lock.
+// writeEnded takes a buffer back after its write. It locks.
 func (o *outbox) writeEnded(data []byte, err error) {
 	o.mu.Lock()
 	if cap(data) <= maxIdleBuffer {
@@ -87,11 +92,13 @@
 	}
 }
 
+// finishWrite writes the rest of a buffer of which n bytes are written.
 func (o *outbox) finishWrite(data []byte, n int) {
 	o.writeEnded(data, o.writeBlocking(data[n:]))
 	o.writeQueued(true)
 }
 
+// writeBlocking writes and waits for the other side, for a time.
 func (o *outbox) writeBlocking(data []byte) error {
 	if err := o.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -102,7 +109,7 @@
 	return o.conn.SetWriteDeadline(time.Time{})
 }
 
-// writeNow writes what the socket takes at once.
+// writeNow writes what the socket accepts at once.
 func (o *outbox) writeNow(data []byte) (n int, err error) {
 	if o.rawConn == nil {
 		return 0, nil
@@ -124,14 +131,11 @@
 	return max(n, 0), err
 }
 
-// closeGracefully ends a connection so that what was written arrives: closing it with
-// bytes unread would reset it.
+// closeGracefully closes a connection so that what was written arrives: a close with bytes
+// unread would reset it.
 func (o *outbox) closeGracefully() {
 	c, ok := o.conn.(*net.TCPConn)
 	if !ok || c.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		o.conn.Close()
 	}
 }
-
-// lingerTimeout is how long the far end may take to hang up.
-const lingerTimeout = 500 * time.Millisecond
--- a/internal/platform/provider.go
+++ b/internal/platform/provider.go
@@ -16,15 +16,15 @@
 	headerFencingToken = "Fence-Token"
 )
 
-// Provider calls the platform. A call leaves once: each has a connection of its
-// own, which is neither kept nor used again, the body can be read once, and a
-// redirection is an answer. What is given up is reset (resetOnClose).
+// Provider calls the platform. A call is sent once: each has a connection of its own that is
+// not used again, the body can be read once, and a redirection is an answer. A call that is
+// abandoned is reset (resetOnClose).
 type Provider struct {
 	address string
 	client  *http.Client
 }
 
-// NewProvider calls it at an address, from an IP.
+// NewProvider calls the platform at an address, from an IP.
 func NewProvider(ip, address string) *Provider {
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}, KeepAlive: -1, Control: setUnacknowledgedTimeout}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -40,13 +40,15 @@
 	}}
 }
 
-// promotion is the body of an order to promote a database.
+// promotion is the body of a request to promote a database.
 type promotion struct {
 	Backend string `json:"Backend"`
 	ID      string `json:"Id"`
 }
 
-// Promote asks for a database to become its group's primary.
+// Promote requests that a database becomes its group's primary, under the lease of an owner
+// and its fencing token. It returns the HTTP status; an error does not say whether the
+// platform received the request.
 func (p *Provider) Promote(ctx context.Context, group, id, owner string, fence uint64) (int, error) {
 	data, err := json.Marshal(promotion{group, id})
 	if err != nil {
--- a/internal/platform/provider_test.go
+++ b/internal/platform/provider_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// faultyPlatform counts the calls that reach it and, once a whole request has come,
-// does with the connection as told. The first request is kept.
+// faultyPlatform counts the calls that reach it and, once a complete request has arrived,
+// does with the connection what a test sets. It keeps the first request.
 type faultyPlatform struct {
 	address string
 	calls   atomic.Int64
@@ -61,7 +61,7 @@
 	}
 }
 
-func says(text string) func(net.Conn) {
+func replies(text string) func(net.Conn) {
 	return func(netConn net.Conn) { io.WriteString(netConn, text) }
 }
 
@@ -75,20 +75,20 @@
 // TestPromotionIsSentOnce: whatever becomes of the answer, the platform is
 // called once.
 func TestPromotionIsSentOnce(t *testing.T) {
-	elsewhere := newFaultyPlatform(t, says(accepted))
+	elsewhere := newFaultyPlatform(t, replies(accepted))
 	redirect := func(status string) func(net.Conn) {
-		return says("HTTP/1.1 " + status + "\r\nLocation: http://" + elsewhere.address + "/failover\r\nContent-Length: 0\r\n\r\n")
+		return replies("HTTP/1.1 " + status + "\r\nLocation: http://" + elsewhere.address + "/failover\r\nContent-Length: 0\r\n\r\n")
 	}
 	for name, c := range map[string]struct {
 		react  func(net.Conn)
 		status int // 0 for no answer
 	}{
-		"answers":              {says(accepted), 200},
-		"answers twice":        {says(accepted + "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"), 200},
-		"keeps the connection": {says("HTTP/1.1 200 OK\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\n{}"), 200},
-		"says no":              {says("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"), 409},
-		"has too many":         {says("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0\r\nContent-Length: 0\r\n\r\n"), 429},
-		"says 408":             {says("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n"), 408},
+		"answers":              {replies(accepted), 200},
+		"answers twice":        {replies(accepted + "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"), 200},
+		"keeps the connection": {replies("HTTP/1.1 200 OK\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\n{}"), 200},
+		"says no":              {replies("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"), 409},
+		"has too many":         {replies("HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0\r\nContent-Length: 0\r\n\r\n"), 429},
+		"says 408":             {replies("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n"), 408},
 		"sends elsewhere, 307": {redirect("307 Temporary Redirect"), 307},
 		"sends elsewhere, 308": {redirect("308 Permanent Redirect"), 308},
 		"sends elsewhere, 302": {redirect("302 Found"), 302},
@@ -96,7 +96,7 @@
 		"resets":               {resets, 0},
 		"hangs up":             {func(c net.Conn) { c.Close() }, 0},
 		"half an answer":       {func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200"); c.Close() }, 0},
-		"no HTTP":              {says("READY I -\r\n"), 0},
+		"no HTTP":              {replies("READY I -\r\n"), 0},
 	} {
 		ctx, giveUp := context.WithTimeout(t.Context(), 20*time.Second)
 		var calls atomic.Int64
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestAbandonedPromotionIsReset: behind a cut it would arrive when that is
-// over, with a fence that may be old by then.
+// TestAbandonedPromotionIsReset: behind a partition it would arrive when that is over, with
+// a fencing token that may be old by then.
 func TestAbandonedPromotionIsReset(t *testing.T) {
 	ctx, giveUp := context.WithCancel(t.Context())
 	platform := newFaultyPlatform(t, func(net.Conn) { giveUp() })
--- a/internal/platform/ready.go
+++ b/internal/platform/readiness.go
@@ -7,7 +7,8 @@
 
 const pathReady = "/stoneford/readiness"
 
-// ReadinessServer answers at its address whether the node is ready.
+// ReadinessServer reports at its address whether the node is ready. It implements
+// sessionpool.ReadinessServer.
 type ReadinessServer struct{ Address string }
 
 // Serve answers until the context ends.
--- a/internal/platform/registry_calls_test.go
+++ b/internal/platform/registry_calls_test.go
@@ -21,7 +21,7 @@
 // shows whose it is.
 type byRevision struct{ fakeControl }
 
-func (b *byRevision) Change(ctx context.Context, change ports.TableChange) ports.ChangeResult {
+func (b *byRevision) Change(_ context.Context, change ports.TableChange) ports.ChangeResult {
 	if len(change.Problems) > 0 {
 		return ports.ChangeResult{Outcome: ports.Invalid, Problems: change.Problems}
 	}
@@ -82,16 +82,16 @@
 	for _, path := range []string{pathReplace, pathAmend, pathHeartbeat + "i-1", pathDeregister + "i-1"} {
 		control := &fakeControl{}
 		netConn := serveRegistry(t, control, 500*time.Millisecond)
-		whole := order(path, "0", exampleTable)
-		send(t, netConn, whole[:len(whole)-40])
+		request := order(path, "0", exampleTable)
+		send(t, netConn, request[:len(request)-40])
 		response, err := http.ReadResponse(bufio.NewReader(netConn), nil)
 		if err != nil || response.StatusCode != http.StatusRequestTimeout || !response.Close {
 			t.Errorf("%s: %+v %v", path, response, err)
 		}
 		// What comes of it later is not the next order.
-		send(t, netConn, whole[len(whole)-40:])
+		send(t, netConn, request[len(request)-40:])
 		if len(control.changes)+len(control.instances) > 0 {
-			t.Errorf("%s was taken", path)
+			t.Errorf("%s was accepted", path)
 		}
 	}
 }
@@ -99,19 +99,19 @@
 func TestBrokenRequestIsNotAccepted(t *testing.T) {
 	control := &fakeControl{}
 	netConn := serveRegistry(t, control, 5*time.Second)
-	whole := order(pathReplace, "0", exampleTable)
-	send(t, netConn, whole[:len(whole)-40])
+	request := order(pathReplace, "0", exampleTable)
+	send(t, netConn, request[:len(request)-40])
 	netConn.(*net.TCPConn).CloseWrite()
 	if response, err := http.ReadResponse(bufio.NewReader(netConn), nil); err == nil && response.StatusCode < 400 {
 		t.Error(response.Status)
 	}
 	if len(control.changes) > 0 {
-		t.Error("it was taken")
+		t.Error("it was accepted")
 	}
 }
 
-// TestDatabaseNamesAreFields: a name that is more than a field of the wire is
-// not taken from a beat.
+// TestDatabaseNamesAreFields: a heartbeat with a name that is more than a field of the wire
+// is rejected.
 func TestDatabaseNamesAreFields(t *testing.T) {
 	for _, name := range []string{"i-1 2", "i-1\r\nQUERY - STEPDOWN 9", "i\n", "\t"} {
 		control := &fakeControl{}
@@ -147,12 +147,12 @@
 
 func TestEveryOutcomeHasAStatus(t *testing.T) {
 	for _, o := range []ports.Outcome{ports.Committed, ports.Stale, ports.Invalid, ports.Unavailable} {
-		if outcomes[o] == 0 {
+		if statusOfOutcome[o] == 0 {
 			t.Errorf("outcome %d has none", o)
 		}
 	}
 	var none ports.ChangeResult // of a caller that left
-	if s := outcomes[none.Outcome]; s != 0 && s < 500 {
-		t.Errorf("what never ended is told as %d", s)
+	if s := statusOfOutcome[none.Outcome]; s != 0 && s < 500 {
+		t.Errorf("what never ended has status %d", s)
 	}
 }
--- a/internal/platform/registry_test.go
+++ b/internal/platform/registry_test.go
@@ -22,7 +22,7 @@
 
 const exampleHeartbeat = `{"Backend":"huvo11a","Address":"10.128.0.9:8080","Zone":"buc-hala","Revision":"v1","Capacity":4,"Phase":"ready","WarmupLeftMs":1500,"DbRole":"follower","CallSeq":4}`
 
-// fakeControl keeps what it is told and returns what it is set to.
+// fakeControl records what it receives and returns what it is set to.
 type fakeControl struct {
 	instances   []ports.Instance
 	changes     []ports.TableChange
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestEqualChangesShareOneName(t *testing.T) {
+func TestEqualChangesHaveOneDigest(t *testing.T) {
 	a, b := readChange(true, "5", []byte(exampleTable)), readChange(true, "5", []byte(exampleTable))
 	if a.Digest == "" || a.Digest != b.Digest {
 		t.Error(a.Digest, b.Digest)
@@ -266,8 +266,8 @@
 	f.Add(true, "0", []byte("{\"Revision\":1,\"Routes\":[{\"Name\":\"\xff\"}],\"Backends\":[]}"))
 	f.Fuzz(func(t *testing.T, replace bool, base string, body []byte) {
 		change := readChange(replace, base, bytes.Clone(body))
-		if again := readChange(replace, base, body); !reflect.DeepEqual(change, again) {
-			t.Fatalf("%+v, then %+v", change, again)
+		if second := readChange(replace, base, body); !reflect.DeepEqual(change, second) {
+			t.Fatalf("%+v, then %+v", change, second)
 		}
 		if readChange(!replace, base, body).Digest == change.Digest || readChange(replace, base+"1", body).Digest == change.Digest || readChange(replace, base, append(bytes.Clone(body), ' ')).Digest == change.Digest {
 			t.Fatal("another order has its name")
@@ -309,7 +309,7 @@
 			return
 		}
 		hello := verbConnect + " " + instance.Group + " who " + instance.ID + crlf
-		if l, err := readLine(lines(hello)); err != nil || string(l) != hello || len(strings.Fields(hello)) != 4 || !isField(instance.Address) {
+		if l, err := readLine(lines(hello)); err != nil || string(l) != hello || len(strings.Fields(hello)) != 4 || !isSingleField(instance.Address) {
 			t.Fatalf("%q, %+v", hello, instance)
 		}
 		if instance.ID == "" || instance.Group == "" || instance.Address == "" || instance.Capacity < 0 || instance.WarmupUs < 0 || instance.Gone {
--- a/internal/platform/contact_test.go
+++ b/internal/platform/registry_unavailable_test.go
@@ -15,8 +15,8 @@
 	"stoneford/internal/ports"
 )
 
-// TestRejectionsCarryRetryAfter: a node that cannot serve now says so with 503 and
-// when to come back, and names no target for later beats.
+// TestRejectionsCarryRetryAfter: a node that cannot serve now answers 503 with the time to
+// retry after, and names no target for later heartbeats.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	control := &fakeControl{unavailable: true, next: "10.2.0.6:8782"}
 	for _, x := range []struct{ method, path, base, body string }{
@@ -57,8 +57,8 @@
 	return ports.RoutingTable{}, false
 }
 
-// TestUnresponsiveControlGetsReply: behind a control process that says nothing, callers
-// are told within a second that this node cannot serve; large orders a bit later.
+// TestUnresponsiveControlGetsReply: in front of a control process that does not respond,
+// clients learn within a second that this node cannot serve; with large changes a bit later.
 func TestUnresponsiveControlGetsReply(t *testing.T) {
 	large := `{"Revision":9}` + strings.Repeat(" ", 100<<10)
 	for _, x := range []struct {
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestIncompleteBodyIsRetryable: an order that was cut short on its way
-// says nothing of the order, which may have been taken.
+// TestIncompleteBodyIsRetryable: a body that arrives in part says nothing of the change,
+// which may have been applied.
 func TestIncompleteBodyIsRetryable(t *testing.T) {
 	control := &fakeControl{}
 	for _, path := range []string{"/stoneford/Config.Replace", "/stoneford/Config.Amend", "/stoneford/Instances.Heartbeat/i-1"} {
@@ -96,22 +96,22 @@
 	}
 }
 
-// TestEqualRequestsShareOneName: what an order is known by.
-func TestEqualRequestsShareOneName(t *testing.T) {
+// TestDigestOfChange: what a change is identified by.
+func TestDigestOfChange(t *testing.T) {
 	body := []byte(`{"Revision":9,"Upsert":{"Routes":[]}}`)
-	name := readChange(false, "7", body).Digest
+	digest := readChange(false, "7", body).Digest
 	for _, x := range []struct {
-		whole bool
-		base  string
-		body  string
-		same  bool
+		replace bool
+		base    string
+		body    string
+		same    bool
 	}{
 		{false, "7", string(body), true}, {false, "07", string(body), true},
 		{true, "7", string(body), false}, {false, "8", string(body), false}, {false, "7", string(body) + "\n", false},
 		{false, "7", `{"Revision":9, "Upsert":{"Routes":[]}}`, false}, {false, "7", `{"Upsert":{"Routes":[]},"Revision":9}`, false}, {false, "7", `{"Revision":9,"Upsert":{"Routes":[],"Backends":[]}}`, false},
 	} {
-		if same := readChange(x.whole, x.base, []byte(x.body)).Digest == name; same != x.same {
-			t.Errorf("%t %s %q: the same order %t", x.whole, x.base, x.body, same)
+		if same := readChange(x.replace, x.base, []byte(x.body)).Digest == digest; same != x.same {
+			t.Errorf("%t %s %q: the same change %t", x.replace, x.base, x.body, same)
 		}
 	}
 }
--- /dev/null
+++ b/internal/platform/replies.go
@@ -0,0 +1,45 @@
+package platform
+
+import (
+	"stoneford/internal/ports"
+)
+
+// appendReply appends the reply to a caller's statement.
+func appendReply(data []byte, r ports.Reply) []byte {
+	switch {
+	case len(r.Body) > 0:
+		data = append(data, r.Body...)
+	case r.Code == ports.Done:
+		data = append(data, verbComplete+" "+noValue+crlf...)
+	default:
+		data = appendError(data, r)
+	}
+	data = append(data, verbReady+" "...)
+	data = append(data, stateLetters[r.State])
+	return append(data, " "+noValue+crlf...)
+}
+
+// appendOpened appends the reply to the opening of a session.
+func appendOpened(data []byte, r ports.Reply) []byte {
+	if r.Code != ports.Done {
+		return appendError(data, r)
+	}
+	return append(data, verbReady+" I "+noValue+crlf...)
+}
+
+// appendError appends a code with its text, in which control characters are blanks.
+func appendError(data []byte, r ports.Reply) []byte {
+	data = append(append(data, verbError+" "...), nameOfCode(r.Code)...)
+	data = append(data, ' ')
+	if r.Text == "" {
+		data = append(data, noValue...)
+	}
+	for i := range len(r.Text) {
+		if c := r.Text[i]; c < ' ' {
+			data = append(data, ' ')
+		} else {
+			data = append(data, c)
+		}
+	}
+	return append(data, crlf...)
+}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -21,24 +21,24 @@
 )
 
 const (
-	// reservedFDs are descriptors left to what is not a caller's connection.
+	// reservedFDs are descriptors reserved for what is not a caller's connection.
 	reservedFDs = 800
 	gcPercent   = 100
 )
 
-// process is what runs behind the edges.
+// process is a pool node or a control process.
 type process interface {
 	UpdateConfig(ports.ProcessConfig)
 	Run(context.Context) error
 }
 
-// services are a process and what is served beside it, nil for nothing.
+// services are a process and what is served alongside it, nil for nothing.
 type services struct {
 	process
 	alongside func(context.Context) error
 }
 
-// RunPool runs a pool node until it is told to stop.
+// RunPool runs a pool node until SIGTERM or an interrupt.
 func RunPool() error {
 	return run("stoneford-pool", func(config ports.ProcessConfig) (services, error) { return poolServices(config), nil })
 }
@@ -51,18 +51,18 @@
 	}, sessiontable.Options{})}
 }
 
-// RunControl runs a control process until it is told to stop.
-func RunControl(make ports.NewControl) error {
-	return run("stoneford-control", func(config ports.ProcessConfig) (services, error) { return controlServices(config, make) })
+// RunControl runs a control process until SIGTERM or an interrupt.
+func RunControl(newControl ports.NewControl) error {
+	return run("stoneford-control", func(config ports.ProcessConfig) (services, error) { return controlServices(config, newControl) })
 }
 
-func controlServices(config ports.ProcessConfig, make ports.NewControl) (services, error) {
-	p, err := make(config, NewDatabaseClient(NewDatabaseDialer(config.IP, config.Name)), NewProvider(config.IP, config.ProviderAddress))
+func controlServices(config ports.ProcessConfig, newControl ports.NewControl) (services, error) {
+	p, err := newControl(config, NewDatabaseClient(NewDatabaseDialer(config.IP, config.Name)), NewProvider(config.IP, config.ProviderAddress))
 	return services{process: p, alongside: func(ctx context.Context) error { return ServeControl(ctx, config.ControlAddress, p) }}, err
 }
 
 // run runs a process by its settings.
-func run(name string, make func(ports.ProcessConfig) (services, error)) error {
+func run(name string, newServices func(ports.ProcessConfig) (services, error)) error {
 	path := SettingsPath()
 	watcher := NewConfigWatcher(path)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -72,16 +72,17 @@
 	if len(errs) > 0 {
 		return fmt.Errorf("%s: %s: %w", name, path, errors.Join(errs...))
 	}
-	limits(config)
-	p, err := make(config)
+	applyLimits(config)
+	p, err := newServices(config)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	go watcher.Run(ctx, func(config ports.ProcessConfig, errs []error) { changed(p, config, errs) })
+	go watcher.Run(ctx, func(config ports.ProcessConfig, errs []error) { configChanged(p, config, errs) })
 	return p.runAll(ctx)
 }
 
-// runAll runs all parts until the context ends or one of them does.
+// runAll runs the process and what is served alongside until the context ends or one of
+// them does.
 func (p services) runAll(ctx context.Context) error {
 	if p.alongside == nil {
 		return p.Run(ctx)
@@ -106,8 +107,8 @@
 	return ch
 }
 
-// limits fits the runtime to a small machine with one core.
-func limits(config ports.ProcessConfig) {
+// applyLimits fits the runtime to a small machine with one core.
+func applyLimits(config ports.ProcessConfig) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
 	if config.MemoryMB > 0 {
@@ -115,7 +116,8 @@
 	}
 }
 
-func changed(p process, config ports.ProcessConfig, errs []error) {
+// configChanged hands changed settings to the process, unless they are invalid.
+func configChanged(p process, config ports.ProcessConfig, errs []error) {
 	if len(errs) > 0 {
 		log.WithFields(log.Fields{"code": int(result.ConfigInvalid)}).WithError(errors.Join(errs...)).Error(result.ConfigInvalid.String())
 		return
--- /dev/null
+++ b/internal/platform/statements.go
@@ -0,0 +1,118 @@
+package platform
+
+import (
+	"bufio"
+	"strings"
+
+	"stoneford/internal/ports"
+)
+
+// message is what a caller sends.
+type message struct {
+	verb      string
+	host      string // of a CONNECT
+	statement ports.Statement
+}
+
+// readMessage reads a caller's next message. One that cannot be parsed is a BadStatement, or
+// has a verb that is none of the wire's.
+func readMessage(reader *bufio.Reader) (message, error) {
+	data, err := readLine(reader)
+	if err != nil {
+		return message{}, err
+	}
+	raw := string(data)
+	line := raw[:len(raw)-len(crlf)]
+	verb, rest := splitField(line)
+	m := message{verb: verb}
+	switch verb {
+	case verbConnect:
+		m.host, _ = splitField(rest)
+	case verbQuery:
+		m.statement = parseQuery(rest)
+		if strings.ContainsAny(line, "\r\n\x00") {
+			m.statement = malformed(m.statement.ID, "a control character stands in the message")
+		}
+		m.statement.Raw = []byte(raw)
+	}
+	return m, nil
+}
+
+// malformed is a statement that cannot be parsed.
+func malformed(id, text string) ports.Statement {
+	return ports.Statement{ID: id, Kind: ports.BadStatement, Text: text}
+}
+
+// parseQuery parses a caller's statement with its ID.
+func parseQuery(s string) ports.Statement {
+	id, text := splitField(s)
+	switch id {
+	case "":
+		return malformed("", "no id")
+	case nodeStatementID:
+		return malformed(id, "not an id for callers")
+	}
+	statement := ParseStatement(text)
+	statement.ID = id
+	return statement
+}
+
+// ParseStatement parses a caller's statement. One that cannot be parsed is a BadStatement.
+func ParseStatement(text string) ports.Statement {
+	verb, rest := splitField(text)
+	if parse := parsers[verb]; parse != nil {
+		if statement, ok := parse(rest); ok {
+			return statement
+		}
+	}
+	return malformed("", "not understood")
+}
+
+// parsers parse what follows the first word of a statement. They are false if that is
+// malformed.
+var parsers = map[string]func(rest string) (ports.Statement, bool){
+	textBegin:   parseBegin,
+	textCommit:  func(rest string) (ports.Statement, bool) { return parseBare(ports.Commit, rest) },
+	textAbort:   func(rest string) (ports.Statement, bool) { return parseBare(ports.Rollback, rest) },
+	textPrepare: parsePrepare,
+	textFetch: func(rest string) (ports.Statement, bool) {
+		return ports.Statement{Kind: ports.Read, Text: rest}, rest != ""
+	},
+	textStore: func(rest string) (ports.Statement, bool) {
+		return ports.Statement{Kind: ports.Write, Text: rest, Writes: true}, rest != ""
+	},
+	textSetVar: func(rest string) (ports.Statement, bool) {
+		name, value := splitField(rest)
+		return ports.Statement{Kind: ports.SetValue, Name: name, Text: value}, name != ""
+	},
+	textExecute: func(rest string) (ports.Statement, bool) {
+		name, arguments := splitField(rest)
+		return ports.Statement{Kind: ports.Execute, Name: name, Text: arguments}, name != "" && arguments != ""
+	},
+	textRelease: func(rest string) (ports.Statement, bool) {
+		name, more := splitField(rest)
+		return ports.Statement{Kind: ports.Deallocate, Name: name}, name != "" && more == ""
+	},
+}
+
+func parseBegin(rest string) (ports.Statement, bool) {
+	switch rest {
+	case "":
+		return ports.Statement{Kind: ports.Begin}, true
+	case textFetch:
+		return ports.Statement{Kind: ports.BeginRead}, true
+	}
+	return ports.Statement{}, false
+}
+
+// parseBare parses a statement of one word.
+func parseBare(kind ports.StatementKind, rest string) (ports.Statement, bool) {
+	return ports.Statement{Kind: kind}, rest == ""
+}
+
+func parsePrepare(rest string) (ports.Statement, bool) {
+	name, definition := splitField(rest)
+	verb, shape := splitField(definition)
+	ok := name != "" && shape != "" && (verb == textFetch || verb == textStore)
+	return ports.Statement{Kind: ports.Prepare, Name: name, Text: shape, Writes: verb == textStore}, ok
+}
--- a/internal/platform/wire_test.go
+++ b/internal/platform/wire_test.go
@@ -234,9 +234,9 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		whole, parts := bufio.NewReaderSize(bytes.NewReader(in), 1<<16), bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(in)), 16)
+		complete, parts := bufio.NewReaderSize(bytes.NewReader(in), 1<<16), bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(in)), 16)
 		for {
-			message, err := readMessage(whole)
+			message, err := readMessage(complete)
 			n, perr := readMessage(parts)
 			if (err == nil) != (perr == nil) || !reflect.DeepEqual(message, n) {
 				t.Fatalf("%v %+v, in parts %v %+v", err, message, perr, n)
