--- a/internal/platform/soak/databases.go
+++ b/internal/platform/soak/databases.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// database is a stand-in of a service's only database: it answers each read with the
-// name of its service, so that callers see where a statement ran.
+// database emulates a service's only database. It answers each read with the name of its
+// service, so that callers see where a statement ran.
 type database struct {
 	id      string
 	service string
@@ -23,9 +23,11 @@
 	commits atomic.Uint64
 }
 
+// heartbeatInterval is the time between two heartbeats of a database.
 const heartbeatInterval = time.Second
 
-// announce has the database call control processes until the context ends.
+// announce sends heartbeats to control processes until the context ends. One that does not
+// accept them is not used for the next.
 func (d *database) announce(ctx context.Context, f *fleet) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
 	at := 0
@@ -43,6 +45,7 @@
 	}
 }
 
+// heartbeat sends one heartbeat, and reports whether it was accepted.
 func (d *database) heartbeat(ctx context.Context, client *http.Client, m *machine) bool {
 	b, err := json.Marshal(map[string]any{"Backend": d.service, "Address": d.address, "Zone": "zone-1", "Revision": "v1", "Capacity": 8,
 		"Phase": "ready", "WarmupLeftMs": 0, "DbRole": "leader", "CallSeq": d.calls.Add(1)})
@@ -81,6 +84,7 @@
 	return nil
 }
 
+// connection serves one connection until either side ends it.
 func (d *database) connection(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
@@ -102,8 +106,7 @@
 	}
 }
 
-// reply is the answer to a statement. There is one database to a service, which leads
-// in term 1.
+// reply is the answer to a statement. The database is the primary in term 1.
 func (d *database) reply(fields []string) string {
 	for len(fields) > 2 && fields[0] == "AFTERPOS" {
 		fields = fields[2:]
--- a/internal/platform/soak/troubles.go
+++ b/internal/platform/soak/faults.go
@@ -13,16 +13,16 @@
 	"stoneford/emulator/link"
 )
 
-// maxFaults is how many troubles overlap at the most.
+// maxFaults is how many faults overlap at most.
 const maxFaults = 3
 
-// fault strikes a fleet and returns what ends it.
+// fault is one kind of fault. Inject injects it and returns what removes it.
 type fault struct {
 	name   string
 	inject func(t *faultInjector) (end func())
 }
 
-// faultInjector draws what strikes a fleet.
+// faultInjector injects faults at random.
 type faultInjector struct {
 	fleet   *fleet
 	history *history
@@ -45,6 +45,7 @@
 	return t.fleet.machines[t.rand.IntN(len(t.fleet.machines))]
 }
 
+// restart starts a process that was killed.
 func (t *faultInjector) restart(p *process) {
 	if err := p.start(); err != nil {
 		t.history.mu.Lock()
@@ -60,11 +61,12 @@
 	return all[:n]
 }
 
-// partition cuts machines off from all others; ways says in which directions.
-func (t *faultInjector) partition(isolated []*machine, from, to bool) (end func()) {
+// partition breaks the links between some machines and the rest of some others, in one
+// direction or both.
+func (t *faultInjector) partition(isolated, others []*machine, from, to bool) (end func()) {
 	set := func(broken bool) {
 		for _, a := range isolated {
-			for _, b := range t.fleet.machines {
+			for _, b := range others {
 				if slices.Contains(isolated, b) {
 					continue
 				}
@@ -81,6 +83,7 @@
 	return func() { set(false) }
 }
 
+// allFaults are the faults that are drawn from.
 var allFaults = []fault{
 	{"a control process is killed", func(t *faultInjector) func() {
 		p := t.anyControl().control
@@ -117,24 +120,12 @@
 		return func() { p.signal(syscall.SIGCONT) }
 	}},
 	{"a machine is cut off", func(t *faultInjector) func() {
-		way := t.rand.IntN(3)
-		return t.partition([]*machine{t.anyMachine()}, way != 1, way != 2)
+		direction := t.rand.IntN(3)
+		return t.partition([]*machine{t.anyMachine()}, t.fleet.machines, direction != 1, direction != 2)
 	}},
-	{"two control machines are cut off", func(t *faultInjector) func() { return t.partition(t.someControls(2), true, true) }},
+	{"two control machines are cut off", func(t *faultInjector) func() { return t.partition(t.someControls(2), t.fleet.machines, true, true) }},
 	{"the core is cut into halves", func(t *faultInjector) func() {
-		some := t.someControls(t.fleet.options.controls / 2)
-		set := func(broken bool) {
-			for _, a := range some {
-				for _, b := range t.fleet.controls() {
-					if !slices.Contains(some, b) {
-						t.fleet.partition(a, b, broken)
-						t.fleet.partition(b, a, broken)
-					}
-				}
-			}
-		}
-		set(true)
-		return func() { set(false) }
+		return t.partition(t.someControls(t.fleet.options.controls/2), t.fleet.controls(), true, true)
 	}},
 	{"connections are reset", func(t *faultInjector) func() {
 		for _, m := range t.fleet.machines {
@@ -169,7 +160,7 @@
 	}},
 }
 
-// run strikes until the context ends, and then ends every trouble.
+// run injects faults until the context ends, and then removes every one.
 func (t *faultInjector) run(ctx context.Context) {
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -189,7 +180,7 @@
 		if t.fleet.options.verbose {
 			fmt.Fprintf(os.Stderr, "%s seed %d: %s for %v\n", time.Now().UTC().Format("15:04:05.000"), t.fleet.options.seed, fault.name, last.Round(time.Millisecond))
 		}
-		t.history.count(func(c *counts) { c.Troubles++ })
+		t.history.count(func(c *counts) { c.Faults++ })
 		end := fault.inject(t)
 		background.Go(func() {
 			select {
--- a/internal/platform/soak/fleet.go
+++ b/internal/platform/soak/fleet.go
@@ -14,8 +14,8 @@
 	"stoneford/emulator/link"
 )
 
-// Ports of all machines. Relays stand between machines, and between operators and
-// control processes; what they pass on to is behind them.
+// Ports of all machines. Links between machines, and from operators to control processes,
+// lead through relays, which forward to the relay targets.
 const (
 	controlNodePort    = 7440
 	poolNodePort       = 7441
@@ -30,7 +30,8 @@
 	providerPort       = 8783
 )
 
-// applyTime is how long a change may take to be in force everywhere.
+// applyTime is how long a change may take to be in force everywhere; the settings say so
+// too.
 const applyTime = 4 * time.Second
 
 // machine is one address with its processes.
@@ -41,7 +42,7 @@
 	control       *process // nil on machines without a disk
 	pool          *process
 	relays        []*link.Link // of what comes from other machines
-	operatorRelay *link.Link   // of what operators ask, nil without a control process
+	operatorRelay *link.Link   // of operators' requests, nil without a control process
 }
 
 // process is one program on a machine.
@@ -55,7 +56,7 @@
 	paused      bool
 }
 
-// fleet is all machines.
+// fleet is all machines with their processes and links.
 type fleet struct {
 	options  options
 	folder   string
@@ -140,8 +141,8 @@
 	return os.WriteFile(filepath.Join(f.folder, m.name+"-"+kind+".conf"), []byte(strings.Join(lines, "\n")+"\n"), 0o600)
 }
 
-// markBootstrapped has all settings say from now on that the system has started before.
-func (f *fleet) markBootstrapped() error {
+// setBootstrapped has all settings say from now on that the system has started before.
+func (f *fleet) setBootstrapped() error {
 	var errs []error
 	for _, m := range f.machines {
 		errs = append(errs, f.writeSettings(m, "pool", false))
@@ -197,7 +198,7 @@
 }
 
 // currentIncarnation counts the starts so far; up says whether the program runs.
-func (p *process) currentIncarnation() (life int, up bool) {
+func (p *process) currentIncarnation() (incarnation int, up bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.incarnation, p.cmd != nil
@@ -234,7 +235,7 @@
 	return errors.Join(errs...)
 }
 
-// heal mends everything and has everything run.
+// heal removes every fault and starts what does not run.
 func (f *fleet) heal() error {
 	for _, m := range f.machines {
 		for _, relay := range m.links() {
@@ -249,7 +250,7 @@
 	return f.startAll()
 }
 
-// partition breaks or mends what one machine sends to another.
+// partition breaks, or repairs, the link from one machine to another.
 func (f *fleet) partition(from, to *machine, broken bool) {
 	for _, relay := range to.relays {
 		relay.SetPartition(link.Direction{From: from.ip}, broken)
@@ -259,7 +260,7 @@
 	}
 }
 
-// close ends all that the fleet started.
+// close stops all that the fleet started.
 func (f *fleet) close() {
 	for _, p := range f.processes() {
 		if p != nil {
--- a/internal/platform/soak/history.go
+++ b/internal/platform/soak/history.go
@@ -18,7 +18,7 @@
 	refused        bool      // for good
 }
 
-// history is all that operators sent, and what was seen to be wrong.
+// history is everything that operators sent, and the violations that were seen.
 type history struct {
 	mu         sync.Mutex
 	versions   map[uint64]*version
@@ -27,7 +27,7 @@
 	counts     counts
 }
 
-// counts are figures of a run.
+// counts are the totals of a run, by the names of the report.
 type counts struct {
 	Sent         int `json:"Sent"`
 	Acknowledged int `json:"Acknowledged"`
@@ -36,30 +36,31 @@
 	Served       int `json:"Served"`
 	Unknown      int `json:"Unknown"`
 	Busy         int `json:"Busy"`
-	Silent       int `json:"Silent"`
+	Unresponsive int `json:"Silent"` // sessions without a reply
 	Reads        int `json:"Reads"`
-	Unsure       int `json:"Unsure"`
-	Troubles     int `json:"Troubles"`
+	Undecided    int `json:"Unsure"` // reads that a process did not answer
+	Faults       int `json:"Troubles"`
 }
 
 func newHistory() *history {
 	return &history{versions: map[uint64]*version{0: {services: map[string]string{}}}}
 }
 
+// violate records a violation. The caller holds the lock.
 func (h *history) violate(format string, a ...any) {
 	if len(h.violations) < 20 {
 		h.violations = append(h.violations, fmt.Sprintf("%s: ", time.Now().UTC().Format("15:04:05.000"))+fmt.Sprintf(format, a...))
 	}
 }
 
-// count adds to a figure.
-func (h *history) count(figure func(c *counts)) {
+// count adds to a total.
+func (h *history) count(add func(c *counts)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	figure(&h.counts)
+	add(&h.counts)
 }
 
-// send notes an order before it leaves.
+// send records a version before it is sent.
 func (h *history) send(v *version) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// acknowledged notes that an order was.
+// acknowledged records that a version was acknowledged.
 func (h *history) acknowledged(v *version) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,7 +95,7 @@
 	}
 }
 
-// refuse notes that an order was refused for good.
+// refuse records that a version was refused for good.
 func (h *history) refuse(v *version, status int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -105,7 +106,8 @@
 	h.counts.Refused++
 }
 
-// newest is the newest version acknowledged before a moment, the empty table if none.
+// newest is the newest version acknowledged before a moment, the empty table if there is
+// none.
 func (h *history) newest(before time.Time) *version {
 	newest := h.versions[0]
 	for _, v := range h.versions {
@@ -116,7 +118,7 @@
 	return newest
 }
 
-// possible are the versions that may be in force, from one on, in order.
+// possible are the versions that may be in force, from a revision on, in order.
 func (h *history) possible(from uint64, sentBefore time.Time) []*version {
 	var out []*version
 	for _, revision := range slices.Sorted(maps.Keys(h.versions)) {
@@ -128,9 +130,9 @@
 	return out
 }
 
-// seen holds an answer against the history: a node that was asked about a name at a
-// moment handled it as the service says, which is empty if the name is unknown. Floor
-// is the oldest version that the node can work by, and seen returns the next one.
+// seen checks a node's reply about a name: it handled the name, at sentAt or later, as the
+// service says, which is empty if the name is unknown to it. Floor is the oldest version that
+// the node can work by. The result is the oldest one that it can work by from now on.
 func (h *history) seen(node, name, service string, sentAt time.Time, floor uint64) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -145,7 +147,7 @@
 	return floor
 }
 
-// read holds a table that was read back against the history.
+// read checks a table that a process returned.
 func (h *history) read(from string, revision uint64, services map[string]string, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/platform/soak/main.go
+++ b/internal/platform/soak/main.go
@@ -1,7 +1,11 @@
-// Command soak runs stoneford-pool and stoneford-control as real processes on the
-// platform's settings, under kills, pauses, cuts and lost answers that overlap, while
-// operators change the routing table. It holds what callers and operators are told
-// against what was acknowledged, and the processes' own checks against zero.
+// Command soak runs stoneford-pool and stoneford-control as real processes on the platform's
+// settings, under kills, stops, partitions and lost replies that overlap, while operators
+// change the routing table. It checks what callers and operators are answered against what
+// was acknowledged, and that the processes' own checks count no violation.
+//
+// Each seed draws its faults and changes from random numbers of its own, but the processes
+// run on real time, so a seed does not repeat a run. A report of each seed is printed as a
+// line of JSON; with a violation the command fails.
 package main
 
 import (
@@ -18,7 +22,7 @@
 	"time"
 )
 
-// options are what a soak is made of.
+// options are the flags, and what is derived from them for one fleet.
 type options struct {
 	programs string // folder of the two programs
 	controls int
@@ -32,24 +36,24 @@
 
 func main() {
 	options := options{}
-	seeds, atOnce := 1, 1
+	seeds, fleets := 1, 1
 	flag.IntVar(&options.controls, "controls", 6, "machines with a control process and a pool node")
 	flag.IntVar(&options.pools, "pools", 4, "machines with a pool node alone")
 	flag.Uint64Var(&options.seed, "from", 1, "first seed")
 	flag.IntVar(&seeds, "seeds", 1, "how many seeds")
-	flag.IntVar(&atOnce, "at-once", 1, "fleets that run at the same time, 8 at the most")
+	flag.IntVar(&fleets, "at-once", 1, "fleets that run at the same time, 8 at the most")
 	flag.IntVar(&options.seconds, "seconds", 20, "how long troubles come in each")
 	flag.BoolVar(&options.keep, "keep", false, "keep the logs of fleets without a violation too")
 	flag.BoolVar(&options.verbose, "tell", false, "print each trouble and order")
 	flag.Parse()
-	if err := soak(options, seeds, min(max(atOnce, 1), 8)); err != nil {
+	if err := soak(options, seeds, min(max(fleets, 1), 8)); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		os.Exit(1)
 	}
 }
 
 // soak runs the seeds and prints a report of each as a line of JSON.
-func soak(options options, seeds, atOnce int) error {
+func soak(options options, seeds, fleets int) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	folder, err := os.MkdirTemp("", "soak-programs")
@@ -64,7 +68,7 @@
 	reports := make(chan report)
 	work := make(chan uint64)
 	var workers sync.WaitGroup
-	for worker := range atOnce {
+	for worker := range fleets {
 		workers.Go(func() {
 			for seed := range work {
 				each := options
--- a/internal/platform/soak/operators.go
+++ b/internal/platform/soak/operators.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// What operators send and read, as the platform spells it.
+// What operators send and read, in the platform's names.
 type (
 	routeItem struct {
 		Name       string `json:"Name"`
@@ -58,13 +58,17 @@
 )
 
 const (
-	callTimeout = time.Second // after so much silence operators go on to another process
+	// callTimeout is how long operators wait for a reply before they call another process.
+	callTimeout = time.Second
+	minBackoff  = 20 * time.Millisecond
 	maxBackoff  = 600 * time.Millisecond
-	services    = 2
+	// readInterval is the time between two reads of the table.
+	readInterval = 100 * time.Millisecond
+	services     = 2
 )
 
-// operators change the routing table, one change after the other and at times two at
-// once.
+// operators change the routing table: one change after the other, and now and then two
+// concurrent ones.
 type operators struct {
 	fleet   *fleet
 	history *history
@@ -85,7 +89,7 @@
 	return routeItem{Name: "r-" + name, Host: name, PathPrefix: "/", RouteClass: "leader", DeadlineMs: 800, TargetMs: 300, Rank: 1, Backend: service, MaxTries: 2}
 }
 
-// tableRequest is a call as it is sent again and again.
+// tableRequest is a change as it is sent, once or repeatedly.
 type tableRequest struct {
 	path    string
 	body    []byte
@@ -97,7 +101,7 @@
 	return o.next
 }
 
-// first is the whole table that the first order brings.
+// first is the first change, which sets the complete table.
 func (o *operators) first() tableRequest {
 	v := &version{revision: o.revision(), services: map[string]string{}}
 	table := tableItem{Revision: v.revision, Limits: limitItem{16384, 262144, 3000, 15000, 3000}}
@@ -120,8 +124,7 @@
 	return tableRequest{path: path, body: b, version: v}
 }
 
-// amendment adds a route, moves one to another service, or takes one out; some are
-// invalid.
+// amendment adds a route, moves one to another service, or removes one; some are invalid.
 func (o *operators) amendment(base *version) tableRequest {
 	v := &version{revision: o.revision(), base: base.revision, services: map[string]string{}}
 	var names []string
@@ -150,7 +153,7 @@
 	return encoded("/stoneford/Config.Amend", a, v)
 }
 
-// pick draws a name in an order that does not hang on that of a map.
+// pick draws a name, whatever the order of the names.
 func pick(rand *rand.Rand, names []string) string {
 	least := ""
 	at := rand.Uint64()
@@ -167,10 +170,10 @@
 	return least
 }
 
-// send sends an order to one process after the other until there is a clear answer,
-// which it returns, or the context ends.
+// send sends a change to one process after the other until there is a final reply, whose
+// status it returns, or the context ends.
 func (o *operators) send(ctx context.Context, request tableRequest, rand *rand.Rand) int {
-	pause := 20 * time.Millisecond
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		m := o.fleet.controls()[rand.IntN(o.fleet.options.controls)]
 		switch status := o.call(ctx, m, request); {
@@ -183,14 +186,14 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
-		pause = min(2*pause, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return 0
 }
 
-// call is one try; 0 stands for no answer.
+// call is one attempt. It returns the status, 0 if there is no reply.
 func (o *operators) call(ctx context.Context, m *machine, request tableRequest) int {
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address(m.ip, operatorPort)+request.path, bytes.NewReader(request.body))
 	if err != nil {
@@ -209,8 +212,8 @@
 	return response.StatusCode
 }
 
-// change makes one change, or two at once on the same version, and waits for clear
-// answers.
+// change makes one change, or two concurrent ones on the same version, and waits for final
+// replies.
 func (o *operators) change(ctx context.Context) {
 	requests := []tableRequest{o.amendment(o.newest)}
 	if o.rand.IntN(4) == 0 {
@@ -226,14 +229,14 @@
 	for _, request := range requests {
 		if !request.version.acked.IsZero() {
 			o.newest = request.version
-			if o.rand.IntN(5) == 0 { // sent again, with no other change since
+			if o.rand.IntN(5) == 0 { // repeated, with no other change since
 				o.send(ctx, request, o.rand)
 			}
 		}
 	}
 }
 
-// read reads the table back from one process; false says that it does not hand it out.
+// read reads the table from one process. It is false if the process does not return it.
 func (o *operators) read(ctx context.Context, m *machine) bool {
 	sentAt := time.Now()
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address(m.ip, operatorPort)+"/stoneford/Config.Fetch", nil)
@@ -247,7 +250,7 @@
 	defer response.Body.Close()
 	var table tableItem
 	if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&table) != nil {
-		o.history.count(func(c *counts) { c.Unsure++ })
+		o.history.count(func(c *counts) { c.Undecided++ })
 		return false
 	}
 	of := map[string]string{}
@@ -258,14 +261,14 @@
 	return true
 }
 
-// readOften reads the table back from any process until the context ends.
+// readOften reads the table from any process until the context ends.
 func (o *operators) readOften(ctx context.Context) {
 	rand := rand.New(rand.NewPCG(o.fleet.options.seed, 0x7264))
 	for ctx.Err() == nil {
 		o.read(ctx, o.fleet.controls()[rand.IntN(o.fleet.options.controls)])
 		select {
 		case <-ctx.Done():
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(readInterval):
 		}
 	}
 }
--- a/internal/platform/soak/callers.go
+++ b/internal/platform/soak/probe_client.go
@@ -11,44 +11,44 @@
 	"time"
 )
 
-// anyService stands for a service that is not known: a session opened, so the name is
-// there.
+// anyService stands for a service that is not known: a session opened, so the name exists.
 const anyService = "any"
 
-// nodeReply is how a node handled a question about a name.
+// nodeReply is how a node handled a name.
 type nodeReply struct {
-	conclusive bool   // it said what rests on its table
-	service    string // empty where it said that there is no such name
+	conclusive bool   // the node decided by its routing table
+	service    string // empty if it does not know the name
 }
 
 const (
-	sessionTimeout  = 3 * time.Second
+	// sessionTimeout bounds a session.
+	sessionTimeout = 3 * time.Second
+	// sessionInterval is the time between two sessions.
 	sessionInterval = 30 * time.Millisecond
 )
 
-// probeClient ask one node about names all the time and hold its answers against what was
-// acknowledged. Their first moment without an answer of the present table is no
-// violation: a node that is not sure says so.
+// probeClient opens sessions at one node, and checks what the node replies against what was
+// acknowledged. A node that is not sure of its table says so, which is no violation.
 type probeClient struct {
 	fleet       *fleet
 	history     *history
 	machine     *machine
 	rand        *rand.Rand
-	incarnation int
-	floor       uint64 // oldest version that the node's process can work by
+	incarnation int    // of the node's process
+	floor       uint64 // oldest version that this incarnation can work by
 }
 
 func newProbeClient(f *fleet, h *history, m *machine, i int) *probeClient {
 	return &probeClient{fleet: f, history: h, machine: m, rand: rand.New(rand.NewPCG(f.options.seed, 0x6361+uint64(i)))}
 }
 
-// run asks until the context ends.
+// run opens sessions until the context ends.
 func (c *probeClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.history.mu.Lock()
 		names := append(slices.Clone(c.history.names), "never-there")
 		c.history.mu.Unlock()
-		if n := len(names); n > 12 { // the newest ones most often
+		if n := len(names); n > 12 { // the newest ones more often than others
 			names = append(names[:2], names[n-10:]...)
 		}
 		c.readOnce(ctx, names[c.rand.IntN(len(names))])
@@ -66,7 +66,7 @@
 	reply := c.session(ctx, name)
 	after, _ := c.machine.pool.currentIncarnation()
 	if !up || before != after || !reply.conclusive {
-		return // which process answered is not known, or nothing was said
+		return // it is not known which process replied, or the reply is not conclusive
 	}
 	if c.incarnation != after {
 		c.incarnation, c.floor = after, 0
@@ -74,12 +74,13 @@
 	c.floor = c.history.seen(c.machine.name, name, reply.service, sentAt, c.floor)
 }
 
+// session opens a session and reads once.
 func (c *probeClient) session(ctx context.Context, name string) nodeReply {
 	ctx, stop := context.WithTimeout(ctx, sessionTimeout)
 	defer stop()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address(c.machine.ip, frontPort))
 	if err != nil {
-		c.history.count(func(n *counts) { n.Silent++ })
+		c.count(func(n *counts) { n.Unresponsive++ })
 		return nodeReply{}
 	}
 	defer conn.Close()
@@ -88,39 +89,53 @@
 	}
 	reader := bufio.NewReader(conn)
 	fmt.Fprintf(conn, "CONNECT %s soak\r\n", name)
-	reply := nodeReply{}
+	if reply, open := c.readOpening(reader); !open {
+		return reply
+	}
+	fmt.Fprintf(conn, "QUERY %016x FETCH thing\r\n", c.rand.Uint64())
+	return c.readResult(reader)
+}
+
+// readOpening reads the reply to the opening of a session, and whether it is open.
+func (c *probeClient) readOpening(reader *bufio.Reader) (reply nodeReply, open bool) {
 	switch fields := readFields(reader); {
 	case len(fields) == 0:
-		c.history.count(func(n *counts) { n.Silent++ })
-		return reply
+		c.count(func(n *counts) { n.Unresponsive++ })
 	case fields[0] == "STMTERR" && len(fields) > 1 && fields[1] == "NODB":
-		c.history.count(func(n *counts) { n.Unknown++; n.Answers++ })
-		return nodeReply{conclusive: true}
-	case fields[0] != "READY":
-		c.history.count(func(n *counts) { n.Busy++; n.Answers++ })
-		return reply
+		c.count(func(n *counts) { n.Unknown++; n.Answers++ })
+		return nodeReply{conclusive: true}, false
+	case fields[0] == "READY":
+		return nodeReply{}, true
+	default:
+		c.count(func(n *counts) { n.Busy++; n.Answers++ })
 	}
-	reply = nodeReply{conclusive: true, service: anyService}
-	fmt.Fprintf(conn, "QUERY %016x FETCH thing\r\n", c.rand.Uint64())
+	return nodeReply{}, false
+}
+
+// readResult reads the reply to the read of an open session.
+func (c *probeClient) readResult(reader *bufio.Reader) nodeReply {
+	reply := nodeReply{conclusive: true, service: anyService}
 	for {
 		fields := readFields(reader)
 		switch {
 		case len(fields) == 0:
-			c.history.count(func(n *counts) { n.Silent++ })
+			c.count(func(n *counts) { n.Unresponsive++ })
 			return reply
 		case fields[0] == "ROW" && len(fields) > 1:
 			reply.service = fields[1]
 		case fields[0] == "STMTERR":
-			c.history.count(func(n *counts) { n.Busy++; n.Answers++ })
+			c.count(func(n *counts) { n.Busy++; n.Answers++ })
 			return reply
 		case fields[0] == "READY":
-			c.history.count(func(n *counts) { n.Served++; n.Answers++ })
+			c.count(func(n *counts) { n.Served++; n.Answers++ })
 			return reply
 		}
 	}
 }
 
-// readFields reads a line and splits it at blanks; none at the end.
+func (c *probeClient) count(add func(n *counts)) { c.history.count(add) }
+
+// readFields reads a line and splits it at blanks. It is empty if there is no line.
 func readFields(reader *bufio.Reader) []string {
 	line, err := reader.ReadString('\n')
 	if err != nil {
--- a/internal/platform/soak/run.go
+++ b/internal/platform/soak/run.go
@@ -22,10 +22,11 @@
 }
 
 const (
-	// convergenceTimeout bounds the waits for what has to come about in the end. It is far above
-	// what it takes, since other work may press on the machine.
+	// convergenceTimeout bounds the waits for what has to happen after the last fault. It is
+	// far above what that takes, since other work may load the machine.
 	convergenceTimeout = 90 * time.Second
-	pollInterval       = 100 * time.Millisecond
+	// pollInterval is the time between two checks of what is waited for.
+	pollInterval = 100 * time.Millisecond
 )
 
 // soakRun is one fleet while it runs.
@@ -34,7 +35,7 @@
 	history        *history
 	operators      *operators
 	databases      []*database
-	reportedChecks map[string]bool // checks of processes that were told
+	reportedChecks map[string]bool // violated checks of processes that were reported
 }
 
 // run runs one seed.
@@ -56,7 +57,7 @@
 	return r
 }
 
-// lifetime starts a fleet, has troubles come, mends them, and holds the end against
+// lifetime starts a fleet, injects faults, removes them, and checks the final state against
 // what was acknowledged.
 func (s *soakRun) lifetime(ctx context.Context, options options) (err error) {
 	if s.fleet, err = newFleet(options); s.fleet != nil {
@@ -79,7 +80,7 @@
 	return s.checkFinalState(ctx)
 }
 
-// startFleet starts all and waits until the first table is in force.
+// startFleet starts everything and waits until the first table is in force.
 func (s *soakRun) startFleet(ctx context.Context, all *sync.WaitGroup) error {
 	s.operators = newOperators(s.fleet, s.history)
 	for i := range services {
@@ -100,13 +101,13 @@
 		return fmt.Errorf("the first table was not acknowledged")
 	}
 	s.operators.newest = first.version
-	if err := s.markBootstrapped(); err != nil {
+	if err := s.setBootstrapped(); err != nil {
 		return err
 	}
 	return s.waitUntil(ctx, "the first table is in force everywhere", s.allCurrent)
 }
 
-// applyLoad has operators, callers and troubles at work for a time.
+// applyLoad runs operators, callers and faults for a time, and then removes the faults.
 func (s *soakRun) applyLoad(ctx context.Context, last time.Duration) {
 	ctx, stop := context.WithTimeout(ctx, last)
 	defer stop()
@@ -119,7 +120,7 @@
 	background.Go(func() { s.operators.readOften(calm) })
 	operating.Go(func() {
 		for ctx.Err() == nil {
-			// An order that is under way goes on until it has a clear answer.
+			// A change in progress goes on until it has a final reply.
 			s.operators.change(calm)
 			time.Sleep(time.Duration(s.operators.rand.IntN(300)) * time.Millisecond)
 		}
@@ -136,7 +137,7 @@
 	background.Wait()
 }
 
-// waitWithTimeout waits for a group, for a time at most, and then has it end.
+// waitWithTimeout waits for a group, and calls end if that takes too long.
 func waitWithTimeout(group *sync.WaitGroup, timeout time.Duration, end func()) {
 	done := make(chan struct{})
 	go func() { group.Wait(); close(done) }()
@@ -147,7 +148,8 @@
 	}
 }
 
-// checkFinalState holds that once all is calm everybody works by the newest table and hands it out.
+// checkFinalState checks that without faults every process works by the newest table, and
+// every control process returns it.
 func (s *soakRun) checkFinalState(ctx context.Context) error {
 	if err := s.waitUntil(ctx, "the newest table is in force everywhere", s.allCurrent); err != nil {
 		return err
@@ -165,19 +167,19 @@
 	return nil
 }
 
-// waitUntil waits for something that has to come about; holds says what is missing.
-func (s *soakRun) waitUntil(ctx context.Context, condition string, holds func(context.Context) string) error {
+// waitUntil waits for a condition. Check returns what is missing, "" if it is met.
+func (s *soakRun) waitUntil(ctx context.Context, condition string, check func(context.Context) string) error {
 	missing := ""
 	for end := time.Now().Add(convergenceTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
-		if missing = holds(ctx); missing == "" {
+		if missing = check(ctx); missing == "" {
 			return nil
 		}
 	}
 	return fmt.Errorf("never came about: %s: %s", condition, missing)
 }
 
-// allCurrent names a process that is not ready or works by an older table than the
-// newest acknowledged.
+// allCurrent describes a process that does not answer, has no lease, or works by an older
+// table than the newest acknowledged, "" if there is none.
 func (s *soakRun) allCurrent(ctx context.Context) string {
 	s.history.mu.Lock()
 	newest := s.history.newest(time.Now())
@@ -204,7 +206,7 @@
 	return out
 }
 
-// watchChecks takes in what the processes' own checks count until the context ends.
+// watchChecks collects the violations that processes count until the context ends.
 func (s *soakRun) watchChecks(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, r := range fleetstate.FetchAll(ctx, s.stateAddresses(), false) {
@@ -219,6 +221,7 @@
 	}
 }
 
+// recordChecks reports each violated check of a process once.
 func (s *soakRun) recordChecks(state fleetstate.ProcessState) {
 	s.history.mu.Lock()
 	defer s.history.mu.Unlock()
--- a/internal/platform/soak/soak_test.go
+++ b/internal/platform/soak/soak_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestShortSoak runs one fleet of real processes under troubles that overlap. What
+// TestShortSoak runs one fleet of real processes under faults that overlap. What
 // it checks holds however slowly the processes run.
 func TestShortSoak(t *testing.T) {
 	options := options{programs: t.TempDir(), controls: 6, pools: 2, seed: 1, seconds: 8, block: 48}
@@ -17,8 +17,8 @@
 	for _, v := range r.Violations {
 		t.Error(v)
 	}
-	if c := r.Counts; c.Acknowledged == 0 || c.Answers == 0 || c.Reads == 0 || c.Troubles == 0 {
-		t.Errorf("nothing was tried: %+v", c)
+	if c := r.Counts; c.Acknowledged == 0 || c.Answers == 0 || c.Reads == 0 || c.Faults == 0 {
+		t.Errorf("nothing happened: %+v", c)
 	}
 }
 
@@ -37,7 +37,7 @@
 	}
 	for name, broken := range map[string]func(h *history){
 		"an added route is unknown": func(h *history) { h.seen("node", "added", "", time.Now(), 0) },
-		"a dropped route is there":  func(h *history) { h.seen("node", "dropped", anyService, time.Now(), 0) },
+		"a removed route is known":  func(h *history) { h.seen("node", "dropped", anyService, time.Now(), 0) },
 		"the old service":           func(h *history) { h.seen("node", "moved", "a", time.Now(), 0) },
 		"a node goes back": func(h *history) {
 			add(h, 9, 5, map[string]string{"moved": "c"}, false)
