--- a/internal/sessionpool/state.go
+++ b/internal/sessionpool/state.go
@@ -51,6 +51,6 @@
 		return
 	}
 	if err := fleetstate.Serve(ctx, at, p.State); err != nil {
-		log.WithError(err).Error("the state for operators is not served")
+		log.WithError(err).Error("the state is not served to operators")
 	}
 }
