--- a/docs/links_test.go
+++ b/docs/links_test.go
@@ -7,9 +7,16 @@
 // that is: the package's folder from the root of the module, a dot, and the name of a
 // function, type, constant or variable, or a method as (*T).Name or T.Name. The text
 // may stand in backquotes. CONTRIBUTING.md describes the form.
+//
+// Where declarations moved to other files of their packages,
+//
+//	go test ./docs -run TestLinksAreTrue -repoint
+//
+// has the links follow them.
 package docs_test
 
 import (
+	"flag"
 	"fmt"
 	"go/ast"
 	"go/parser"
@@ -26,6 +33,8 @@
 
 const moduleRoot = ".."
 
+var repoint = flag.Bool("repoint", false, "have links follow declarations that moved within their packages")
+
 // requiredPages must exist and hold links; all other pages are checked as well.
 var requiredPages = []string{"README.md", "CONTRIBUTING.md", "docs/architecture.md", "docs/runbook.md", "docs/glossary.md"}
 
@@ -42,6 +51,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
+			if *repoint {
+				text = []byte(repointed(moduleRoot, page, string(text)))
+				if err := os.WriteFile(filepath.Join(moduleRoot, page), text, 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
 			links, problems := checkPage(moduleRoot, page, string(text))
 			if links == 0 && slices.Contains(requiredPages, page) {
 				t.Error("the page holds no relative link")
@@ -111,6 +126,26 @@
 	}
 }
 
+func TestLinksFollowDeclarations(t *testing.T) {
+	root := t.TempDir()
+	write(t, root, "store/old.go", "package store\n\nfunc stays() {}\n")
+	write(t, root, "store/new.go", "package store\n\nfunc moved() {}\n")
+	for _, test := range []struct{ name, text, want string }{
+		{"moved", "[store.moved](../store/old.go)", "[store.moved](../store/new.go)"},
+		{"its file is gone", "[`store.moved`](../store/gone.go)", "[`store.moved`](../store/new.go)"},
+		{"stays", "[store.stays](../store/old.go)", "[store.stays](../store/old.go)"},
+		{"unknown", "[store.gone](../store/old.go)", "[store.gone](../store/old.go)"},
+		{"another package", "[shop.moved](../store/old.go)", "[shop.moved](../store/old.go)"},
+		{"no declaration", "[other](other.md)", "[other](other.md)"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := repointed(root, "docs/page.md", test.text); got != test.want {
+				t.Errorf("got %s, want %s", got, test.want)
+			}
+		})
+	}
+}
+
 func write(t *testing.T, root, name, text string) {
 	t.Helper()
 	file := filepath.Join(root, name)
@@ -195,6 +230,29 @@
 	return ""
 }
 
+// repointed is a page with each link to a declaration that moved to another file of its
+// package pointing there.
+func repointed(root, page, text string) string {
+	return linkPattern.ReplaceAllStringFunc(text, func(link string) string {
+		parts := linkPattern.FindStringSubmatch(link)
+		label, target := strings.Trim(parts[1], "`"), parts[2]
+		if !strings.HasSuffix(target, ".go") || strings.Contains(target, "://") || checkLink(root, page, label, target) == "" {
+			return link
+		}
+		folder := path.Dir(path.Join(path.Dir(page), target))
+		files, err := filepath.Glob(filepath.Join(root, filepath.FromSlash(folder), "*.go"))
+		if err != nil {
+			return link
+		}
+		for _, file := range files {
+			if checkDeclaration(file, folder, label) == "" {
+				return fmt.Sprintf("[%s](%s)", parts[1], path.Join(path.Dir(target), filepath.Base(file)))
+			}
+		}
+		return link
+	})
+}
+
 // declarations are the names that a file declares, as links give them.
 func declarations(file *ast.File) []string {
 	var names []string
