--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -19,7 +19,7 @@
 // pendingCall is a caller that waits for a reply that rests on a majority.
 type pendingCall struct {
 	deadline int64
-	refusal  Effect // says that this process cannot serve now
+	refusal  Effect // the reply that this process cannot serve now
 }
 
 // admitCall registers a caller, or refuses it at once if there is no contact with a
--- a/internal/coordinator/changes.go
+++ b/internal/coordinator/changes.go
@@ -73,8 +73,8 @@
 	c.propose(now, proposal, func(now int64, outcome paxos.Outcome) { c.changeProposed(now, pending, outcome) })
 }
 
-// judgeChange says what becomes of a change on top of a table: its result if that is
-// decided, else the table that it makes.
+// judgeChange applies a change to a table. It returns the result if that is decided
+// already, else the table that the change makes.
 func judgeChange(current ports.RoutingTable, value *schema.Value, change ports.TableChange) (next ports.RoutingTable, result ports.ChangeResult, decided bool) {
 	state := routingtable.OrderStatus(current, change)
 	if slices.Contains(value.GetChangeIds(), change.Digest) {
--- a/internal/coordinator/changes_test.go
+++ b/internal/coordinator/changes_test.go
@@ -275,9 +275,9 @@
 			outcomes[change.Digest] = append(outcomes[change.Digest], outcome)
 		}
 	}
-	for round := range 6 {
-		at := x.addresses[(round+int(seed))%3]
-		send(b, x.others[round%2])
+	for turn := range 6 {
+		at := x.addresses[(turn+int(seed))%3]
+		send(b, x.others[turn%2])
 		send(a, at)
 		x.callers.run(x.environment.Between(0, 400_000))
 	}
--- a/internal/coordinator/contact.go
+++ b/internal/coordinator/contact.go
@@ -14,7 +14,7 @@
 type contact struct {
 	disconnectedAt int64 // when this process last had no lease
 	lackedLease    bool  // it lacked a lease for long at least once
-	lostLogged     bool  // the log says that no majority confirms what is known here
+	lostLogged     bool  // it was logged that no majority confirms what is known here
 }
 
 // inContact reports whether this process holds a lease: a majority of the voters
--- a/internal/coordinator/contact_test.go
+++ b/internal/coordinator/contact_test.go
@@ -109,7 +109,7 @@
 }
 
 // callIsolated sends the member that is partitioned one call of each kind.
-func (d *partitionCase) callIsolated(round int) {
+func (d *partitionCase) callIsolated(turn int) {
 	add := func(what string, a *testCall, s isolatedCall) {
 		s.testCall, s.kind, s.base = a, what, d.newestAcknowledged
 		d.calls = append(d.calls, &s)
@@ -129,7 +129,7 @@
 		add("taken change", d.callers.change(d.isolated, o), isolatedCall{change: o})
 	}
 	add("beat", d.callers.announce(d.isolated, d.database("steady", "ready")), isolatedCall{})
-	drains, ends := fmt.Sprint("leaves-", round), fmt.Sprint("ends-", round)
+	drains, ends := fmt.Sprint("leaves-", turn), fmt.Sprint("ends-", turn)
 	add("leave", d.callers.announce(d.isolated, d.database(drains, "draining")), isolatedCall{drainingDatabase: drains})
 	add("end", d.callers.announce(d.isolated, d.database(ends, "gone")), isolatedCall{drainingDatabase: ends})
 	add("move", d.callers.send(d.isolated, func(id uint64) Event { return Move{ID: id, Group: "g", Site: "z"} }), isolatedCall{})
@@ -144,16 +144,16 @@
 	for _, o := range d.others {
 		d.network.SetPartition(o, d.node.address, true)
 	}
-	for round := 0; d.environment.Now < d.partitionedAt+partitionDuration; round++ {
-		if restart && round == 4 {
+	for turn := 0; d.environment.Now < d.partitionedAt+partitionDuration; turn++ {
+		if restart && turn == 4 {
 			d.kill(d.isolated, false)
 			d.callers.connectionsBroken(d.isolated)
 			d.start(d.isolated)
 			d.refusesFrom = d.environment.Now
 		}
-		d.callIsolated(round)
+		d.callIsolated(turn)
 		d.callers.run(d.environment.Between(50_000, 400_000))
-		if round%3 == 0 {
+		if turn%3 == 0 {
 			d.advance()
 		}
 		d.goOn()
--- a/internal/coordinator/convergence.go
+++ b/internal/coordinator/convergence.go
@@ -9,11 +9,11 @@
 	"stoneford/schema"
 )
 
-// A move of a primary is committed only once the routing table that says so has
+// A move of a primary is committed only once the routing table that orders it has
 // converged: no process has a lease while it works by an older table, now or later
-// (design 15.3). Each voter says up to which table that holds for the leases that rest
-// on its own answers; whoever has a lease has it from a majority, so a majority that
-// says so is enough.
+// (design 15.3). Each voter reports the newest table for which this is true of the
+// leases that rest on its own answers. A lease rests on a majority of the voters, so
+// the report of a majority is enough.
 
 // maxLaggingNames bounds how many processes are named that work by an older table.
 const maxLaggingNames = 8
@@ -21,12 +21,12 @@
 // convergence is up to which revision of the routing table's register the processes
 // have converged.
 type convergence struct {
-	byVoter map[string]uint64 // as each voter says, this one among them
-	here    uint64            // as this voter says
+	byVoter map[string]uint64 // as each voter reports, this one among them
+	here    uint64            // as this voter reports
 }
 
-// trackPollerTable records by which routing table a poller works, and what a voter says of
-// those that poll it.
+// trackPollerTable records by which routing table a poller works, and what a voter reports
+// of those that poll it.
 func (c *Core) trackPollerTable(now int64, from string, p *poller, poll *schema.Poll) {
 	known := p.tables[poll.Run]
 	p.tables[poll.Run] = polledTable{polledAt: now, revision: max(known.revision, poll.TableRevision)}
@@ -38,7 +38,7 @@
 	}
 }
 
-// convergedHere is the newest routing table of which this voter can say: no process has
+// convergedHere is the newest routing table of which this voter knows that no process has
 // a lease through it while working by an older one, now or later. Whoever polled within
 // the time that a lease may last works by it; and what this voter answers from now on
 // shows that its disk holds it.
@@ -74,7 +74,7 @@
 	}
 }
 
-// votersConverged counts the voters that say that a routing table has converged.
+// votersConverged counts the voters that report a routing table as converged.
 func (c *Core) votersConverged(table uint64) int {
 	count := 0
 	for _, address := range c.learner.Voters() {
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -57,7 +57,7 @@
 	maintenance   maintenance
 
 	// startedAt is since when this process has run without being suspended: what it
-	// heard before says nothing about who is alive.
+	// heard before is no evidence of who is alive.
 	startedAt  int64
 	lastStep   int64
 	due        int64
@@ -81,8 +81,8 @@
 // Restore makes a control process of what its log holds. The disk's identity applies
 // if the log is empty, and must be random; run must be another than any earlier run's.
 //
-// Who votes is what the log says, or what other processes say; on the first start of
-// all (Bootstrap) the seeds form the first membership. A process that knows no voters
+// Who votes is read from the log, or learned from other processes; on the first start
+// of all (Bootstrap) the seeds form the first membership. A process that knows no voters
 // and is not at the first start forms none: it asks its seeds.
 func Restore(config ports.ProcessConfig, entries []*schema.WALEntry, diskID, run uint64) *Core {
 	var founders []string
--- a/internal/coordinator/databases.go
+++ b/internal/coordinator/databases.go
@@ -46,8 +46,8 @@
 	c.forgetPollers(now)
 }
 
-// mergeRecords takes records of databases and reports whether one of them says
-// something new.
+// mergeRecords takes records of databases and reports whether one of them brings
+// a change.
 func (c *Core) mergeRecords(now int64, records []*schema.Record) bool {
 	changed := false
 	for _, record := range records {
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -21,7 +21,7 @@
 //   - A database is declared gone only by a process that has been in contact with a
 //     majority for as long as that takes (databases.go).
 //   - A group's primary moves to another site only after every process that may have a
-//     lease works by the routing table that says so (convergence.go, moves.go).
+//     lease works by the routing table that orders it (convergence.go, moves.go).
 //
 // # Use
 //
--- a/internal/coordinator/event.go
+++ b/internal/coordinator/event.go
@@ -50,20 +50,20 @@
 		Reply fenced.DatabaseReply
 	}
 
-	// PromoteDone ends a Promote. OK says that the platform took the order, Gone that
+	// PromoteDone ends a Promote. OK means that the platform accepted the order, Gone that
 	// it knows the database not to be running.
 	PromoteDone struct {
 		Group    string
 		OK, Gone bool
 	}
 
-	// Stop says that this process shuts down.
+	// Stop orders this process to shut down.
 	Stop struct{}
 
-	// Synced says that all log entries up to a watermark are on disk.
+	// Synced reports that all log entries up to a watermark are on disk.
 	Synced struct{ Watermark uint64 }
 
-	// SyncFailed says that the disk refused log entries: nothing is known of them, nor
+	// SyncFailed reports that the disk refused log entries: nothing is known of them, nor
 	// of those that came after.
 	SyncFailed struct{ Cause string }
 )
--- a/internal/coordinator/groupinput.go
+++ b/internal/coordinator/groupinput.go
@@ -12,7 +12,7 @@
 	"stoneford/schema"
 )
 
-// addGroupInput adds what databases and pool nodes said lately to a decider's input.
+// addGroupInput adds what databases and pool nodes reported lately to a decider's input.
 func (c *Core) addGroupInput(now int64, name string, g *group, input *fenced.Input) {
 	c.addDatabases(now, g, input)
 	input.InventoryComplete = c.inventoryComplete(now)
@@ -53,7 +53,7 @@
 	}
 }
 
-// addPoolNode adds what one pool node says of the group and of the databases that it
+// addPoolNode adds what one pool node reports of the group and of the databases that it
 // cannot use.
 func addPoolNode(now int64, p *poller, input *fenced.Input) {
 	input.ReportingNodes++
--- a/internal/coordinator/movehandlers.go
+++ b/internal/coordinator/movehandlers.go
@@ -16,7 +16,7 @@
 
 const (
 	// moveRequestTimeout bounds an operator's request: more than moveTimeout, so that
-	// the reply says what became of it.
+	// the reply brings its outcome.
 	moveRequestTimeout = 6 * time.Second
 	// maxMoveRequestBytes bounds the body of a POST.
 	maxMoveRequestBytes = 64 << 10
--- a/internal/coordinator/moves.go
+++ b/internal/coordinator/moves.go
@@ -16,8 +16,8 @@
 )
 
 // A move has a group's primary serve at another site (design 15). The routing table
-// names the site; the group's register move/<group> says how far its newest placement
-// has come; the leadership changes only once all processes work by that table.
+// names the site; the group's register move/<group> holds the phase of its newest
+// placement; the leadership changes only once all processes work by that table.
 
 // moveRetryInterval is the time after which a change of a move is proposed again whose
 // outcome did not arrive.
@@ -122,7 +122,7 @@
 }
 
 // endSwitchedMove ends a committed move after the leadership was changed for it: where
-// the primary serves says whether it came about.
+// the primary serves decides whether it succeeded.
 func (c *Core) endSwitchedMove(now int64, name string, g *group, input fenced.Input) {
 	move, revision := c.move(name)
 	primary, known := g.databases[input.State.Primary]
--- a/internal/coordinator/movestate.go
+++ b/internal/coordinator/movestate.go
@@ -11,7 +11,7 @@
 // MoveState is how a group's placement and its newest move stand, as operators see it.
 type MoveState struct {
 	Group         string   `json:"group"`
-	Site          string   `json:"site"` // as the routing table says
+	Site          string   `json:"site"` // in the routing table
 	Phase         string   `json:"phase"`
 	To            string   `json:"to,omitempty"`
 	From          string   `json:"from,omitempty"`
@@ -59,7 +59,7 @@
 	return state
 }
 
-// moveWaitsFor says what a staged move waits for, as far as this process knows, and
+// moveWaitsFor describes what a staged move waits for, as far as this process knows, and
 // names the processes that work by an older table.
 func (c *Core) moveWaitsFor(now int64, group string, table uint64) (lagging []string, reason string) {
 	if c.majorityConverged(table) {
--- a/internal/coordinator/outgoingcalls.go
+++ b/internal/coordinator/outgoingcalls.go
@@ -59,7 +59,7 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// promote asks the platform for a change of primary and posts what it says.
+// promote asks the platform for a change of primary and posts its answer.
 func (p *Process) promote(effect Promote) {
 	order := effect.Promote
 	timeout := p.leaseLeft(order.Until, promoteTimeout)
--- a/internal/coordinator/poller.go
+++ b/internal/coordinator/poller.go
@@ -25,7 +25,7 @@
 	lastResponse  int64 // when it was last sent a response
 	draining      bool
 	wantsData     bool // it is sent the data of large registers as well
-	lacksLease    bool // a control process that says so
+	lacksLease    bool // a control process that reports that
 	healthReports []*schema.HealthReport
 	groupStatuses map[string]*schema.GroupStatus
 	tables        map[uint64]polledTable // by run
@@ -83,7 +83,7 @@
 	return p
 }
 
-// takeGroupStatus takes what a poller says of a group, or of its own lease.
+// takeGroupStatus takes what a poller reports of a group, or of its own lease.
 func (c *Core) takeGroupStatus(p *poller, status *schema.GroupStatus) {
 	if status.Group == leaseStatusGroup {
 		c.takeLeaseStatus(p, status)
@@ -205,7 +205,7 @@
 }
 
 // committedNewerThan is what this process knows to be committed of registers that are
-// unconfirmed elsewhere. Without contact with a majority it says nothing: what it knows
+// unconfirmed elsewhere. Without contact with a majority it returns nothing: what it knows
 // is true, and may be long replaced.
 func (c *Core) committedNewerThan(unconfirmed []*schema.KeyRevision) []*schema.CommittedValue {
 	if !c.inContact(c.lastStep) {
--- a/internal/coordinator/roles.go
+++ b/internal/coordinator/roles.go
@@ -9,11 +9,11 @@
 )
 
 // Each group has a singleton role: one control process at a time commands its databases
-// (design 16). Package failover/fenced claims and hands over the role; this file says how
+// (design 16). Package failover/fenced claims and hands over the role; this file has how
 // this process and the others stand towards it.
 
 // leaseStatusGroup stands in the place of a group's name in the status by which a
-// control process says whether it lacks a lease; its revision is 1 if it does. No group
+// control process reports whether it lacks a lease; its revision is 1 if it does. No group
 // of the routing table can have this name.
 const leaseStatusGroup = "(lease)"
 
@@ -103,7 +103,7 @@
 	return append(statuses, status)
 }
 
-// takeLeaseStatus takes what another control process says of its lease.
+// takeLeaseStatus takes what another control process reports of its lease.
 func (c *Core) takeLeaseStatus(p *poller, status *schema.GroupStatus) {
 	if lacksLease := status.Revision > 0; p.lacksLease != lacksLease {
 		p.lacksLease = lacksLease
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -15,7 +15,7 @@
 )
 
 // State is what this process knows of the fleet, for operators. The routing table's
-// items are listed where withItems says so.
+// items are listed if withItems is set.
 func (c *Core) State(now int64, withItems bool) fleetstate.ProcessState {
 	state := fleetstate.ProcessState{
 		Name:        c.config.Name,
--- a/internal/learner/doc.go
+++ b/internal/learner/doc.go
@@ -10,7 +10,7 @@
 //
 //   - A value is committed once a majority of the voters of the newest membership
 //     has accepted it at one ballot, or once one process that knows it to be
-//     committed says so (CommittedValue in schema/messages.proto).
+//     committed sends it (CommittedValue in schema/messages.proto).
 //   - A revision is unconfirmed while some voter holds it and it is not known to be
 //     committed. The learner asks voters for it until that is decided.
 //   - A poll that a majority answered gives a lease of LeaseDuration from the moment
--- a/internal/learner/learner.go
+++ b/internal/learner/learner.go
@@ -25,7 +25,7 @@
 	LeaseEndBoundUs = int64(LeaseEndBound / time.Microsecond)
 )
 
-// Config says who polls, and whom to ask at first.
+// Config identifies the process that polls, and whom it asks at first.
 type Config struct {
 	// Self is the address under which this process is known to the others.
 	Self string
@@ -56,7 +56,7 @@
 	unconfirmed unconfirmedKeys
 	databases   databaseTable
 
-	// dataSourceIndex says which of the ranked voters is asked for the data of
+	// dataSourceIndex selects which of the ranked voters is asked for the data of
 	// changed registers; it advances when that voter does not know a value.
 	dataSourceIndex int
 	invariants      invariant.Checks
--- a/internal/learner/membership.go
+++ b/internal/learner/membership.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// AddContact says that another control process exists. While the voters are unknown
+// AddContact adds another control process that exists. While the voters are unknown
 // it is asked for them as well: the contacts named at the start may all be gone.
 func (l *Learner) AddContact(address string) {
 	if l.membership.Known() || slices.Contains(l.addresses, address) || len(l.addresses) >= maxContacts {
--- a/internal/learner/poll.go
+++ b/internal/learner/poll.go
@@ -40,7 +40,7 @@
 	// GroupStatuses are the process's statuses of groups; each voter is sent those that
 	// it has not acknowledged.
 	GroupStatuses []*schema.GroupStatus
-	// Draining says that the process is shutting down.
+	// Draining is set while the process is shutting down.
 	Draining bool
 	// TableRevision is the register revision of the routing table that it works by.
 	TableRevision uint64
--- a/internal/learner/unconfirmed.go
+++ b/internal/learner/unconfirmed.go
@@ -13,7 +13,7 @@
 // one ballot, and it may miss that moment: a voter is lost and no other accepts the
 // value, or another ballot for the same value overtakes the first halfway. So it asks
 // the voters, one after the other, for what stays unconfirmed (design 14.4). One that
-// knows the value to be committed says so; since that is a fact, its answer alone is
+// knows the value to be committed sends it; since that is a fact, its answer alone is
 // enough.
 
 const (
--- a/internal/learner/voter.go
+++ b/internal/learner/voter.go
@@ -77,7 +77,7 @@
 // forgetPoll drops what a poll carried that can no longer be acknowledged.
 func (d *statusDelivery) forgetPoll(number uint64) { delete(d.sentByPoll, number) }
 
-// gapState says whether changes of a voter are missing here, and whether they have
+// gapState tracks whether changes of a voter are missing here, and whether they have
 // been asked for.
 type gapState struct {
 	open       bool   // something is missing and has not been asked for
