--- a/emulator/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -165,7 +165,7 @@
 		until("booking "+what, func() bool {
 			v, err := f.Operators("lender").Run(ctx, "book "+what+" at "+time.Now().UTC().Format("2006-01-02 15:04"))
 			if err == nil && v.Code == result.OK {
-				id = v.Bookings[0].Id
+				id = v.Windows[0].Id
 			}
 			return id > 0
 		})
@@ -180,7 +180,7 @@
 		until("the owner's confirmation", func() bool { c := confirm("pharmacies"); return c == result.OK || c == result.WrongState })
 		until(what, func() bool {
 			v, err := f.Operators("pharmacies").Run(ctx, "what is booked today for pharmacies")
-			for _, b := range v.Bookings {
+			for _, b := range v.Windows {
 				if err == nil && b.Id == id {
 					return b.State == maintenance.Done
 				}
--- a/emulator/simulation/maintenance_test.go
+++ b/emulator/simulation/maintenance_test.go
@@ -48,11 +48,11 @@
 		} {
 			was := f.Primary("inventory-1")
 			a := booked(f, "lender", fmt.Sprintf("book %s for %s at %s", c.what, c.kind, clock(f, 1)))
-			if a.Code != result.OK || len(a.Bookings) != 1 || a.Bookings[0].Owner != "pharmacies" {
+			if a.Code != result.OK || len(a.Windows) != 1 || a.Windows[0].Owner != "pharmacies" {
 				t.Errorf("seed %d: %s: %d %s", seed, c.what, a.Code, a.Text)
 				return
 			}
-			id := a.Bookings[0].Id
+			id := a.Windows[0].Id
 			if a := booked(f, "lender", fmt.Sprintf("confirm booking %d", id)); a.Code != result.NotOwner {
 				t.Errorf("seed %d: the other partner's confirmation: %d %s", seed, a.Code, a.Text)
 			}
--- a/emulator/simulation/observe.go
+++ b/emulator/simulation/observe.go
@@ -64,8 +64,8 @@
 	case control.ConfigurationResult:
 		o.Answer(f.Now, "configuration", name).Uint(d.ID).Int(int64(d.Code)).Uint(d.Revision).Bytes(d.Text).Int(int64(len(d.Problems)))
 	case control.CommandResult:
-		o.Answer(f.Now, "told", name).Uint(d.ID).Int(int64(d.Code)).Int(int64(len(d.Bookings)))
-		for _, b := range d.Bookings {
+		o.Answer(f.Now, "told", name).Uint(d.ID).Int(int64(d.Code)).Int(int64(len(d.Windows)))
+		for _, b := range d.Windows {
 			o.Uint(b.Id).Text(b.Kind).Text(b.Target).Text(b.Group).Int(b.AtUs).Text(b.State).Text(b.Identity)
 		}
 	case control.DatabaseCall:
--- a/emulator/simulation/random_faults.go
+++ b/emulator/simulation/random_faults.go
@@ -169,11 +169,11 @@
 	c := f.Controls[f.Random.IntN(3)]
 	f.logf("%s books %s", who, what)
 	f.RunOperatorCommand(c, who, "book "+what+" at "+time.UnixMicro(f.Now).UTC().Format("2006-01-02 15:04"), func(a control.CommandResult) {
-		if a.Code != result.OK || len(a.Bookings) != 1 {
+		if a.Code != result.OK || len(a.Windows) != 1 {
 			f.logf("it is told %d %s", a.Code, a.Text)
 			return
 		}
-		id := a.Bookings[0].Id
+		id := a.Windows[0].Id
 		confirm := func(p string, then func()) {
 			f.RunOperatorCommand(c, p, fmt.Sprintf("confirm booking %d", id), func(a control.CommandResult) {
 				if p != owner && a.Code == result.OK {
--- a/emulator/simulation/replacement_test.go
+++ b/emulator/simulation/replacement_test.go
@@ -13,13 +13,13 @@
 // replaced books the replacement of a group's copy for now and confirms it.
 func replaced(t *testing.T, f *simulation.Fleet, db, owner string) uint64 {
 	a := booked(f, owner, fmt.Sprintf("book %s for replacement at %s", db, clock(f, 0)))
-	if a.Code != result.OK || len(a.Bookings) != 1 {
+	if a.Code != result.OK || len(a.Windows) != 1 {
 		t.Fatalf("%s: %d %s", db, a.Code, a.Text)
 	}
-	if a := booked(f, owner, fmt.Sprintf("confirm booking %d", a.Bookings[0].Id)); a.Code != result.OK {
+	if a := booked(f, owner, fmt.Sprintf("confirm booking %d", a.Windows[0].Id)); a.Code != result.OK {
 		t.Fatalf("confirming: %d %s", a.Code, a.Text)
 	}
-	return a.Bookings[0].Id
+	return a.Windows[0].Id
 }
 
 // TestReplacementToleratesALoss: at each moment of a replica's booked replacement
--- a/internal/control/effects.go
+++ b/internal/control/effects.go
@@ -32,10 +32,10 @@
 	}
 	// CommandResult ends a Command.
 	CommandResult struct {
-		ID       uint64
-		Code     result.Code
-		Text     string
-		Bookings []*schema.MaintenanceWindow // maintenance windows that Text is about
+		ID      uint64
+		Code    result.Code
+		Text    string
+		Windows []*schema.MaintenanceWindow // maintenance windows that Text is about
 	}
 	// DatabaseCall asks a database for its status. With a SealEpoch it first seals
 	// the database against every lower epoch. It ends in a DatabaseReply.
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -42,10 +42,10 @@
 
 // SentenceReply is the body of the reply to a sentence.
 type SentenceReply struct {
-	Code     result.Code                 `json:"code"`
-	Text     string                      `json:"text"` // of the code
-	Return   string                      `json:"return,omitempty"`
-	Bookings []*schema.MaintenanceWindow `json:"bookings,omitempty"`
+	Code    result.Code                 `json:"code"`
+	Text    string                      `json:"text"` // of the code
+	Return  string                      `json:"return,omitempty"`
+	Windows []*schema.MaintenanceWindow `json:"bookings,omitempty"`
 }
 
 // handler serves the operators' HTTP interface (docs/operating.md).
@@ -154,5 +154,5 @@
 	if !ok {
 		v.Code = result.ChangeUncertain
 	}
-	writeJSON(w, v.Code.Row().HTTP, SentenceReply{Code: v.Code, Text: v.Code.String(), Return: v.Text, Bookings: v.Bookings})
+	writeJSON(w, v.Code.Row().HTTP, SentenceReply{Code: v.Code, Text: v.Code.String(), Return: v.Text, Windows: v.Windows})
 }
