--- a/internal/sessionpool/contact.go
+++ b/internal/sessionpool/contact.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"stoneford/internal/invariant"
 	"stoneford/internal/learner"
@@ -9,9 +10,9 @@
 	"stoneford/result"
 )
 
-// contactLostAfterUs is how long a node is without a lease before it logs that, in µs. A
-// shorter time logs short outages too.
-const contactLostAfterUs = 1_000_000
+// contactLostAfter is how long a node is without a lease before it logs that. A shorter time
+// logs short outages too.
+const contactLostAfter = time.Second
 
 // contact is what was logged of the node's contact with the voters.
 type contact struct {
@@ -28,7 +29,7 @@
 	case now < until && c.contact.lost:
 		c.contact.lost = false
 		c.logf(effects, result.QuorumContactRestored, "after %d ms", (now-c.contact.lostSinceUs)/1000)
-	case now >= until+contactLostAfterUs && until > 0 && !c.contact.lost:
+	case now >= until+contactLostAfter.Microseconds() && until > 0 && !c.contact.lost:
 		c.contact.lost, c.contact.lostSinceUs = true, until
 		c.logf(effects, result.QuorumContactLost, "the lease was over %d ms ago; %s", (now-until)/1000, c.view.DescribeRegister(now, learner.TableKey))
 	}
--- a/internal/sessionpool/core.go
+++ b/internal/sessionpool/core.go
@@ -34,12 +34,12 @@
 	// longer one keeps callers on it, a shorter one turns short outages into load on
 	// the others.
 	readyGrace = 400 * time.Millisecond
-	// drainMarginUs is how much sooner than required a node stops using a database that
+	// drainMargin is how much sooner than required a node stops using a database that
 	// drains, since the node may have learned of it later than whoever acknowledged it.
-	drainMarginUs = 800_000
-	// routingMarginUs is subtracted from the time within which a change has to be in
+	drainMargin = 800 * time.Millisecond
+	// routingMargin is subtracted from the time within which a change has to be in
 	// force everywhere.
-	routingMarginUs = 100_000
+	routingMargin = 100 * time.Millisecond
 )
 
 // routingGraceUs is how long after its lease a node may route by its table, in µs. What
@@ -47,12 +47,12 @@
 // acknowledged after that poll has to be in force a while later. This node's clock may
 // run slow by a tenth.
 func routingGraceUs(applyUs int64) int64 {
-	return max(applyUs*10/11-learner.LeaseDurationUs-routingMarginUs, 0)
+	return max(applyUs*10/11-learner.LeaseDurationUs-routingMargin.Microseconds(), 0)
 }
 
 // drainTimeoutUs is how long a database that drains still gets new statements, in µs.
 func drainTimeoutUs(gracefulDrainUs int64) int64 {
-	return gracefulDrainUs - min(gracefulDrainUs/4, drainMarginUs)
+	return gracefulDrainUs - min(gracefulDrainUs/4, drainMargin.Microseconds())
 }
 
 func fromMicroseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/sessiontable/connections.go
+++ b/internal/sessiontable/connections.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"slices"
+	"time"
 
 	"stoneford/internal/ports"
 )
@@ -53,12 +54,20 @@
 // Constants of a node whose quota is below one connection to a database, so that nodes
 // have to take turns.
 const (
-	crowdedQuota      = 0.6    // part of the limit that all nodes together use
-	useRateWindow     = 10e6   // over which the rate of use is averaged, in µs
-	initialUseRate    = 0.4    // uses a second before any is known
-	minUseRate        = 0.05   // uses a second
-	minIdleTimeout    = 20_000 // µs
-	crowdedRetryDelay = 25_000 // until the next connect, and up to as much again at random; µs
+	// crowdedQuota is the fraction of the limit that all nodes together use. A greater one
+	// rejects more connects, a smaller one leaves connections unused.
+	crowdedQuota = 0.6
+	// useRateWindow is the time over which the rate of use is averaged.
+	useRateWindow = 10 * time.Second
+	// initialUseRate is assumed before any use, and minUseRate of a database that is hardly
+	// used; uses a second.
+	initialUseRate = 0.4
+	minUseRate     = 0.05
+	// minIdleTimeout is the least time for which an idle connection is kept.
+	minIdleTimeout = 20 * time.Millisecond
+	// crowdedRetryDelay is the time to the next connect after all connections were in use,
+	// up to twice as long at random.
+	crowdedRetryDelay = 25 * time.Millisecond
 )
 
 // maxConnectsAtOnce bounds the connections that are opened for a queue in one step.
@@ -96,16 +105,17 @@
 		return longest
 	}
 	timeout := quota * crowdedQuota / max(db.useRate, minUseRate) * 1e6
-	return int64(min(max(timeout, minIdleTimeout), float64(longest)))
+	return int64(min(max(timeout, float64(minIdleTimeout.Microseconds())), float64(longest)))
 }
 
 // recordUse takes a use into the average rate of use of a database's connections.
 func (t *Table) recordUse(db *database) {
-	elapsed := float64(t.now-db.lastUseUs) / useRateWindow
+	window := float64(useRateWindow.Microseconds())
+	elapsed := float64(t.now-db.lastUseUs) / window
 	if db.lastUseUs == 0 {
 		db.useRate = initialUseRate
 	} else {
-		db.useRate = db.useRate*math.Exp(-elapsed) + 1e6/useRateWindow
+		db.useRate = db.useRate*math.Exp(-elapsed) + 1e6/window
 	}
 	db.lastUseUs = t.now
 }
--- a/internal/sessiontable/databases.go
+++ b/internal/sessiontable/databases.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"maps"
 	"slices"
+	"time"
 
 	"stoneford/internal/ports"
 )
@@ -44,8 +45,8 @@
 }
 
 // drainMemory is for how long it is remembered since when a database drains that is no
-// longer announced, in µs.
-const drainMemory = 120_000_000
+// longer announced. After it, one that is announced once more counts as drained at once.
+const drainMemory = 2 * time.Minute
 
 // scheduleDispatch has the database's queue dispatched at the end of the step.
 func (t *Table) scheduleDispatch(db *database) {
@@ -137,7 +138,7 @@
 	db.removed = true
 	delete(t.databases, db.ID)
 	if db.Draining {
-		maps.DeleteFunc(t.drainingSince, func(_ string, at int64) bool { return t.now-at > drainMemory })
+		maps.DeleteFunc(t.drainingSince, func(_ string, at int64) bool { return t.now-at > drainMemory.Microseconds() })
 		t.drainingSince[db.ID] = db.drainingSinceUs
 	}
 	group := db.group
--- a/internal/sessiontable/health.go
+++ b/internal/sessiontable/health.go
@@ -1,15 +1,24 @@
 package sessiontable
 
-import "stoneford/internal/ports"
+import (
+	"time"
 
-// Times of the health checks of a failing database, in µs. Shorter ones notice sooner
-// that it works again and connect more often in vain.
+	"stoneford/internal/ports"
+)
+
+// Times of the health checks of a failing database. Shorter ones notice sooner that it
+// works again, and connect more often in vain.
 const (
-	firstHealthCheckDelay  = 50_000  // after a database began to fail
-	healthCheckInterval    = 500_000 // while no connection to it may be opened
-	minConnectBackoff      = 50_000
-	maxConnectBackoff      = 1_000_000
-	rejectedConnectBackoff = 300_000 // after the database had too many connections
+	// firstHealthCheckDelay is the time from a database's failure to the first check.
+	firstHealthCheckDelay = 50 * time.Millisecond
+	// healthCheckInterval is the time to the next check while no connection may be opened.
+	healthCheckInterval = 500 * time.Millisecond
+	// minConnectBackoff is the backoff after the first failed connect; it doubles with each
+	// further one, up to maxConnectBackoff.
+	minConnectBackoff = 50 * time.Millisecond
+	maxConnectBackoff = time.Second
+	// rejectedConnectBackoff is the backoff after a database had too many connections.
+	rejectedConnectBackoff = 300 * time.Millisecond
 )
 
 // setFailing notes that a database cannot be used since a moment. The voters learn of
@@ -23,7 +32,7 @@
 	}
 	db.disconnected = db.disconnected || disconnected
 	t.scheduleDispatch(db)
-	t.wakeAt(db, max(db.backoffUntil, t.now+firstHealthCheckDelay))
+	t.wakeAt(db, max(db.backoffUntil, t.now+firstHealthCheckDelay.Microseconds()))
 }
 
 // setWorking notes that a database answered.
@@ -55,12 +64,12 @@
 		t.connect(db)
 		return
 	}
-	t.wakeAt(db, t.now+healthCheckInterval)
+	t.wakeAt(db, t.now+healthCheckInterval.Microseconds())
 }
 
 // growBackoff doubles the time until the next connect.
 func (t *Table) growBackoff(db *database) {
-	db.backoffUs = min(max(db.backoffUs*2, minConnectBackoff), maxConnectBackoff)
+	db.backoffUs = min(max(db.backoffUs*2, minConnectBackoff.Microseconds()), maxConnectBackoff.Microseconds())
 	db.backoffUntil = t.now + db.backoffUs
 }
 
@@ -102,11 +111,12 @@
 	switch {
 	case crowded && (e.Code == ports.TooManyConnections || e.Disconnected && !e.ConnectionRefused):
 		// A connection gets free once another node has closed one.
-		db.backoffUntil = t.now + crowdedRetryDelay + t.rand.Int64N(crowdedRetryDelay)
+		delay := crowdedRetryDelay.Microseconds()
+		db.backoffUntil = t.now + delay + t.rand.Int64N(delay)
 		t.wakeAt(db, db.backoffUntil)
 		return
 	case e.Code == ports.TooManyConnections:
-		db.backoffUntil = t.now + rejectedConnectBackoff
+		db.backoffUntil = t.now + rejectedConnectBackoff.Microseconds()
 	default:
 		t.growBackoff(db)
 	}
--- a/internal/sessiontable/rejections.go
+++ b/internal/sessiontable/rejections.go
@@ -4,17 +4,19 @@
 	"maps"
 	"slices"
 	"strconv"
+	"time"
 
 	"stoneford/internal/ports"
 	"stoneford/result"
 )
 
 const (
-	// rejectionLogInterval is the least time between two log entries on rejections, in
-	// µs.
-	rejectionLogInterval = 1_000_000
-	// minRetryAfterMs is the least time after which a rejected caller should retry.
-	minRetryAfterMs = 20
+	// rejectionLogInterval is the least time between two log entries on rejections. A
+	// longer one groups more of them into one entry, and logs an overload later.
+	rejectionLogInterval = time.Second
+	// minRetryAfter is the least time after which a rejected caller should retry. A
+	// shorter one lets callers that cannot be served load the node.
+	minRetryAfter = 20 * time.Millisecond
 )
 
 // rejectionLog counts the node's own rejections by cause between two log entries.
@@ -36,7 +38,7 @@
 	if since, ok := t.failoverSince(req.group); ok {
 		retryAfterUs = max(retryAfterUs, t.failoverEnd(req.group, since)-t.now)
 	}
-	ms := max(retryAfterUs/1000, minRetryAfterMs)
+	ms := max(retryAfterUs/1000, minRetryAfter.Milliseconds())
 	t.finish(req, ports.Reply{Code: ports.Busy, Text: "no database can take it now; retry after " + strconv.FormatInt(ms, 10) + " ms"})
 }
 
@@ -66,7 +68,7 @@
 		t.rejections.byCause = map[string]int{}
 	}
 	t.rejections.byCause[cause]++
-	if t.now < t.rejections.loggedUs+rejectionLogInterval {
+	if t.now < t.rejections.loggedUs+rejectionLogInterval.Microseconds() {
 		return
 	}
 	t.rejections.loggedUs = t.now
--- a/internal/sessiontable/update.go
+++ b/internal/sessiontable/update.go
@@ -2,18 +2,19 @@
 
 import (
 	"slices"
+	"time"
 
 	"stoneford/internal/ports"
 )
 
-// leaseRequestInterval is the least time between two requests for an Update, in µs. A
-// shorter one renews a lost lease sooner and polls the voters more often.
-const leaseRequestInterval = 100_000
+// leaseRequestInterval is the least time between two requests for an Update. A shorter one
+// renews a lost lease sooner and polls the voters more often.
+const leaseRequestInterval = 100 * time.Millisecond
 
 // requestLease asks for an Update: once until it comes, or again after
 // leaseRequestInterval.
 func (t *Table) requestLease() {
-	if t.leaseRequestedUs != 0 && t.now-t.leaseRequestedUs < leaseRequestInterval {
+	if t.leaseRequestedUs != 0 && t.now-t.leaseRequestedUs < leaseRequestInterval.Microseconds() {
 		return
 	}
 	t.leaseRequestedUs = max(t.now, 1)
