--- a/internal/sessionpool/core.go
+++ b/internal/sessionpool/core.go
@@ -75,7 +75,9 @@
 	options.RoutingGrace = cmp.Or(options.RoutingGrace, fromMicroseconds(routingGraceUs(config.Bounds.ApplyUs)))
 	return &Core{
 		Table: sessiontable.New(seed, config.Zone, options),
-		view:  learner.New(config.PoolNodeAddress(), config.SeedVoterAddresses(), config.Zone, config.Name, "pool", run),
+		view: learner.New(learner.Config{
+			Self: config.PoolNodeAddress(), Contacts: config.SeedVoterAddresses(), Zone: config.Zone, Name: config.Name, Kind: "pool", Run: run,
+		}),
 	}
 }
 
