--- a/internal/platform/database_client.go
+++ b/internal/platform/database_client.go
@@ -26,9 +26,9 @@
 
 // pooledConnection is a connection that later calls use too.
 type pooledConnection struct {
-	mu       sync.Mutex // of c
+	mu       sync.Mutex // guards conn; a call holds it
 	conn     *databaseConn
-	users    int // these two are under the client's lock
+	users    int // this and lastUsed are guarded by the client's lock
 	lastUsed time.Time
 }
 
--- a/internal/platform/soak/faults.go
+++ b/internal/platform/soak/faults.go
@@ -33,37 +33,37 @@
 	return &faultInjector{fleet: f, history: h, rand: rand.New(rand.NewPCG(f.options.seed, 0x7472))}
 }
 
-func (t *faultInjector) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(t.rand.Int64N(int64(hi-lo)+1))
+func (inj *faultInjector) between(lo, hi time.Duration) time.Duration {
+	return lo + time.Duration(inj.rand.Int64N(int64(hi-lo)+1))
 }
 
-func (t *faultInjector) anyControl() *machine {
-	return t.fleet.controls()[t.rand.IntN(t.fleet.options.controls)]
+func (inj *faultInjector) anyControl() *machine {
+	return inj.fleet.controls()[inj.rand.IntN(inj.fleet.options.controls)]
 }
 
-func (t *faultInjector) anyMachine() *machine {
-	return t.fleet.machines[t.rand.IntN(len(t.fleet.machines))]
+func (inj *faultInjector) anyMachine() *machine {
+	return inj.fleet.machines[inj.rand.IntN(len(inj.fleet.machines))]
 }
 
 // restart starts a process that was killed.
-func (t *faultInjector) restart(p *process) {
+func (inj *faultInjector) restart(p *process) {
 	if err := p.start(); err != nil {
-		t.history.mu.Lock()
-		t.history.violate("%s does not start: %v", p.path, err)
-		t.history.mu.Unlock()
+		inj.history.mu.Lock()
+		inj.history.violate("%s does not start: %v", p.path, err)
+		inj.history.mu.Unlock()
 	}
 }
 
 // someControls draws so many machines with a control process.
-func (t *faultInjector) someControls(n int) []*machine {
-	all := slices.Clone(t.fleet.controls())
-	t.rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+func (inj *faultInjector) someControls(n int) []*machine {
+	all := slices.Clone(inj.fleet.controls())
+	inj.rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:n]
 }
 
 // partition breaks the links between some machines and the rest of some others, in one
 // direction or both.
-func (t *faultInjector) partition(isolated, others []*machine, from, to bool) (end func()) {
+func (inj *faultInjector) partition(isolated, others []*machine, from, to bool) (end func()) {
 	set := func(broken bool) {
 		for _, a := range isolated {
 			for _, b := range others {
@@ -71,10 +71,10 @@
 					continue
 				}
 				if from {
-					t.fleet.partition(a, b, broken)
+					inj.fleet.partition(a, b, broken)
 				}
 				if to {
-					t.fleet.partition(b, a, broken)
+					inj.fleet.partition(b, a, broken)
 				}
 			}
 		}
@@ -85,51 +85,53 @@
 
 // allFaults are the faults that are drawn from.
 var allFaults = []fault{
-	{"a control process is killed", func(t *faultInjector) func() {
-		p := t.anyControl().control
+	{"a control process is killed", func(inj *faultInjector) func() {
+		p := inj.anyControl().control
 		p.kill()
-		return func() { t.restart(p) }
+		return func() { inj.restart(p) }
 	}},
-	{"a pool node is killed", func(t *faultInjector) func() {
-		p := t.anyMachine().pool
+	{"a pool node is killed", func(inj *faultInjector) func() {
+		p := inj.anyMachine().pool
 		p.kill()
-		return func() { t.restart(p) }
+		return func() { inj.restart(p) }
 	}},
-	{"half of the pool nodes are killed at once", func(t *faultInjector) func() {
+	{"half of the pool nodes are killed at once", func(inj *faultInjector) func() {
 		var killed []*process
-		for _, m := range t.fleet.machines {
-			if t.rand.IntN(2) == 0 {
+		for _, m := range inj.fleet.machines {
+			if inj.rand.IntN(2) == 0 {
 				m.pool.kill()
 				killed = append(killed, m.pool)
 			}
 		}
 		return func() {
 			for _, p := range killed {
-				t.restart(p)
+				inj.restart(p)
 			}
 		}
 	}},
-	{"a control process stands still", func(t *faultInjector) func() {
-		p := t.anyControl().control
+	{"a control process stands still", func(inj *faultInjector) func() {
+		p := inj.anyControl().control
 		p.signal(syscall.SIGSTOP)
 		return func() { p.signal(syscall.SIGCONT) }
 	}},
-	{"a pool node stands still", func(t *faultInjector) func() {
-		p := t.anyMachine().pool
+	{"a pool node stands still", func(inj *faultInjector) func() {
+		p := inj.anyMachine().pool
 		p.signal(syscall.SIGSTOP)
 		return func() { p.signal(syscall.SIGCONT) }
 	}},
-	{"a machine is cut off", func(t *faultInjector) func() {
-		direction := t.rand.IntN(3)
-		return t.partition([]*machine{t.anyMachine()}, t.fleet.machines, direction != 1, direction != 2)
+	{"a machine is cut off", func(inj *faultInjector) func() {
+		direction := inj.rand.IntN(3)
+		return inj.partition([]*machine{inj.anyMachine()}, inj.fleet.machines, direction != 1, direction != 2)
 	}},
-	{"two control machines are cut off", func(t *faultInjector) func() { return t.partition(t.someControls(2), t.fleet.machines, true, true) }},
-	{"the core is cut into halves", func(t *faultInjector) func() {
-		return t.partition(t.someControls(t.fleet.options.controls/2), t.fleet.controls(), true, true)
+	{"two control machines are cut off", func(inj *faultInjector) func() {
+		return inj.partition(inj.someControls(2), inj.fleet.machines, true, true)
 	}},
-	{"connections are reset", func(t *faultInjector) func() {
-		for _, m := range t.fleet.machines {
-			if t.rand.IntN(2) == 0 {
+	{"the core is cut into halves", func(inj *faultInjector) func() {
+		return inj.partition(inj.someControls(inj.fleet.options.controls/2), inj.fleet.controls(), true, true)
+	}},
+	{"connections are reset", func(inj *faultInjector) func() {
+		for _, m := range inj.fleet.machines {
+			if inj.rand.IntN(2) == 0 {
 				for _, r := range m.relays {
 					r.Reset()
 				}
@@ -137,8 +139,8 @@
 		}
 		return func() {}
 	}},
-	{"links are slow", func(t *faultInjector) func() {
-		m := t.anyControl()
+	{"links are slow", func(inj *faultInjector) func() {
+		m := inj.anyControl()
 		for _, r := range m.relays {
 			r.SetLoss(0.3)
 		}
@@ -148,8 +150,8 @@
 			}
 		}
 	}},
-	{"answers to operators are lost", func(t *faultInjector) func() {
-		some := t.someControls(t.fleet.options.controls / 2)
+	{"answers to operators are lost", func(inj *faultInjector) func() {
+		some := inj.someControls(inj.fleet.options.controls / 2)
 		set := func(broken bool) {
 			for _, m := range some {
 				m.operatorRelay.SetPartition(link.Direction{Response: true}, broken)
@@ -161,7 +163,7 @@
 }
 
 // run injects faults until the context ends, and then removes every one.
-func (t *faultInjector) run(ctx context.Context) {
+func (inj *faultInjector) run(ctx context.Context) {
 	var background sync.WaitGroup
 	defer background.Wait()
 	slots := make(chan struct{}, maxFaults)
@@ -169,19 +171,19 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(t.between(100*time.Millisecond, 900*time.Millisecond)):
+		case <-time.After(inj.between(100*time.Millisecond, 900*time.Millisecond)):
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case slots <- struct{}{}:
 		}
-		fault, last := allFaults[t.rand.IntN(len(allFaults))], t.between(200*time.Millisecond, 4*time.Second)
-		if t.fleet.options.verbose {
-			fmt.Fprintf(os.Stderr, "%s seed %d: %s for %v\n", time.Now().UTC().Format("15:04:05.000"), t.fleet.options.seed, fault.name, last.Round(time.Millisecond))
+		fault, last := allFaults[inj.rand.IntN(len(allFaults))], inj.between(200*time.Millisecond, 4*time.Second)
+		if inj.fleet.options.verbose {
+			fmt.Fprintf(os.Stderr, "%s seed %d: %s for %v\n", time.Now().UTC().Format("15:04:05.000"), inj.fleet.options.seed, fault.name, last.Round(time.Millisecond))
 		}
-		t.history.count(func(c *counts) { c.Faults++ })
-		end := fault.inject(t)
+		inj.history.count(func(c *counts) { c.Faults++ })
+		end := fault.inject(inj)
 		background.Go(func() {
 			select {
 			case <-ctx.Done():
