--- a/internal/platform/boundary_test.go
+++ b/internal/platform/boundary_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// words are the platform's own. The marks of the wire count where they stand in
-// texts, all others wherever they stand.
+// The platform's names. Those of the wire count in string literals only, all others
+// anywhere in a source.
 var (
 	allNames  []string
 	wireNames = alternation("QUERY", "READY", "COMPLETE", "STMTERR", "BEGIN", "COMMIT", "ABORT", "FETCH", "STORE", "SETVAR", "PREPARE", "EXECUTE", "RELEASE",
@@ -34,7 +34,7 @@
 	return regexp.MustCompile(`(?:^|\W)(` + strings.Join(ws, "|") + `)(?:$|\W)`)
 }
 
-// platformNames are the platform's words in a Go source.
+// platformNames are the platform's names in a Go source.
 func platformNames(src []byte) (ws []string) {
 	if !slices.ContainsFunc(allNames, func(w string) bool { return bytes.Contains(src, []byte(w)) }) {
 		return nil
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestPlatformNamesStayInThisPackage looks through the product for its words.
+// TestPlatformNamesStayInThisPackage: no other package knows a name of the platform.
 func TestPlatformNamesStayInThisPackage(t *testing.T) {
 	root, files := filepath.Join("..", ".."), 0
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
--- a/internal/platform/database_calls_test.go
+++ b/internal/platform/database_calls_test.go
@@ -16,12 +16,12 @@
 	"stoneford/internal/sessionpool"
 )
 
-// reaction is what a faulty database does with the lines of one connection. It
-// answers through c and says whether it goes on reading.
+// reaction is what a faulty database does with a line of one connection. It answers on the
+// connection, and reports whether the database goes on reading.
 type reaction func(c net.Conn, line string) bool
 
-// faulty is a database whose connections each react in their own way, the last
-// reaction standing for all later ones. It notes the lines of all connections.
+// faulty is a database with a reaction for each of its connections; the last one serves all
+// later ones too. It records the lines of all connections.
 type faulty struct {
 	address string
 	mu      sync.Mutex
@@ -70,7 +70,7 @@
 	}
 }
 
-// count is how many lines with this text came, over all connections.
+// count is how many lines with a text arrived, on all connections.
 func (f *faulty) count(text string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	return n
 }
 
-// on makes a reaction that greets, and gives the other lines to f.
+// on is a reaction that answers the connect, and leaves the other lines to f.
 func on(f reaction) reaction {
 	return func(netConn net.Conn, line string) bool {
 		if strings.HasPrefix(line, verbConnect) {
@@ -121,8 +121,8 @@
 	return conn
 }
 
-// TestUnsolicitedAnswers: what a database sends with nothing asked is
-// neither an answer nor the beginning of one; the connection is given up.
+// TestUnsolicitedAnswers: what a database sends while nothing is in flight is neither an
+// answer nor the beginning of one; the connection is closed.
 func TestUnsolicitedAnswers(t *testing.T) {
 	for name, text := range map[string]string{"a row": "ROW another's\r\n", "an answer": statusAt8, "part of a word": "RO"} {
 		database := newFaulty(t, func(conn net.Conn, _ string) bool { io.WriteString(conn, "READY I 3.7\r\n"+text); return true })
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestSecondAnswerClosesConnection: a database that answers twice does not have the
-// next question answered from what it said before.
+// TestSecondAnswerClosesConnection: the second of two answers to one operation is not taken
+// for that to the next.
 func TestSecondAnswerClosesConnection(t *testing.T) {
 	database := newFaulty(t, answering(statusAt8+statusAt5), answering(statusAt8))
 	client := client(t)
@@ -279,8 +279,8 @@
 	}
 }
 
-// TestNamesAreSingleFields: a name that would be more than one field, or more than
-// one line, never reaches a database.
+// TestNamesAreSingleFields: a name that would be more than one field, or more than one line,
+// is not sent to a database.
 func TestNamesAreSingleFields(t *testing.T) {
 	database := newFaulty(t, answering(statusAt8))
 	for _, name := range []string{"i-1\r\nQUERY - STEPDOWN 9", "i-1 more", "i-1\n", "i\x00", "a\tb"} {
@@ -298,8 +298,8 @@
 	}
 }
 
-// TestWrongDatabaseAtAddress: each connection names the identity it
-// expects, and an answer from another is that of none.
+// TestWrongDatabaseAtAddress: each connect names the expected database, and another one at
+// the address rejects it.
 func TestWrongDatabaseAtAddress(t *testing.T) {
 	database := newFaulty(t, func(netConn net.Conn, line string) bool {
 		if database := strings.Fields(line); len(database) > 3 && database[0] == verbConnect && database[3] != "i-2" {
--- a/internal/platform/dialer_test.go
+++ b/internal/platform/dialer_test.go
@@ -14,7 +14,7 @@
 	"stoneford/internal/ports"
 )
 
-// fakeDatabase is a database that answers by a function of the lines that come.
+// fakeDatabase is a database whose answers are a function of the lines that arrive.
 type fakeDatabase struct {
 	ln    net.Listener
 	mu    sync.Mutex
@@ -76,7 +76,7 @@
 	}
 }
 
-// ordinary answers as a follower does.
+// ordinary answers as a replica does.
 func ordinary(line string) string {
 	switch {
 	case strings.HasPrefix(line, "CONNECT gone "):
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -156,7 +156,7 @@
 	sent     map[string]string
 }
 
-// statement is the next text with an id of its own.
+// statement is the next statement, with an ID of its own.
 func (c *churnClient) statement(text string) (id, line string) {
 	c.seq++
 	id = fmt.Sprintf("%s-%d", c.name, c.seq)
@@ -207,7 +207,8 @@
 	}
 }
 
-// answer reads one answer: all that it holds is of the statement with that id.
+// answer reads one answer, and counts it as foreign if it is not that to the statement of
+// the ID. It is false if the session is over.
 func (c *churnClient) answer(reader *bufio.Reader, id string) bool {
 	for {
 		l, err := reader.ReadString('\n')
--- a/internal/platform/frontend_test.go
+++ b/internal/platform/frontend_test.go
@@ -41,7 +41,7 @@
 
 func (s *recordingHandler) SessionClosed(uint64) { s.events <- "left" }
 
-// echo gives every statement its own text back.
+// echo replies to every statement with its own text.
 func echo(caller sessionpool.Client, st *ports.Statement) {
 	r := ports.Reply{}
 	if st != nil && st.Kind == ports.BadStatement {
@@ -234,7 +234,7 @@
 	expect(t, a, "ROW a\r\nCOMPLETE 7\r\nREADY I -\r\n")
 }
 
-// piped is a caller at one end of a pipe that holds nothing back.
+// piped is a caller at one end of a pipe without a buffer.
 func piped(handler sessionpool.SessionHandler) net.Conn {
 	here, there := net.Pipe()
 	go newCallerConn(here).run(handler)
@@ -344,7 +344,7 @@
 func (f *failing) Close() error   { return nil }
 func (f *failing) Addr() net.Addr { return nil }
 
-// fedConn is a connection whose far end has sent all it will, and takes all.
+// fedConn is a connection whose other side has sent everything, and reads everything.
 type fedConn struct {
 	net.Conn
 	in  io.Reader
@@ -365,7 +365,7 @@
 func (c *fedConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *fedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// echoing gives each statement its own id and text back.
+// echoing replies to each statement with its own ID and text.
 type echoing struct{ c sessionpool.Client }
 
 func (e *echoing) SessionOpened(caller sessionpool.Client, _ string) uint64 {
@@ -386,8 +386,8 @@
 
 func (e *echoing) SessionClosed(uint64) {}
 
-// FuzzSessions feeds complete sessions: each message has one reply, its own, in the
-// messages' order, and nothing is replied to behind the end.
+// FuzzSessions feeds complete sessions: each message gets one reply, its own, in the order of
+// the messages, and none after the end.
 func FuzzSessions(f *testing.F) {
 	for _, s := range []string{"CONNECT a\r\nQUERY 1 FETCH x\r\nQUERY 2 STORE y z\r\nCLOSE\r\nQUERY 3 FETCH w\r\n", "QUERY 1 FETCH x\r\n", "CONNECT a\r\nHELLO\r\nQUERY 1 COMMIT\r\n\r\n",
 		"CONNECT a\r\nQUERY 1 FETCH x\nQUERY 2 FETCH y\r\nQUERY 3 ABORT\r\nhalf", "CONNECT a\r\nCONNECT b\r\nQUERY - STATUS\r\n", "CLOSE\r\n", "CONNECT \r\n"} {
--- a/internal/platform/names_test.go
+++ b/internal/platform/names_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestJSONNames: what goes between stoneford and the platform has the names that the
-// platform gave it, whatever the fields are called here.
+// TestJSONNames: JSON between stoneford and the platform has the platform's names, whatever
+// the fields are called here.
 func TestJSONNames(t *testing.T) {
 	for _, x := range []struct {
 		shape string
--- a/internal/platform/provider_test.go
+++ b/internal/platform/provider_test.go
@@ -72,8 +72,7 @@
 
 const accepted = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// TestPromotionIsSentOnce: whatever becomes of the answer, the platform is
-// called once.
+// TestPromotionIsSentOnce: the platform is called once, whatever becomes of the answer.
 func TestPromotionIsSentOnce(t *testing.T) {
 	elsewhere := newFaultyPlatform(t, replies(accepted))
 	redirect := func(status string) func(net.Conn) {
@@ -129,8 +128,8 @@
 	}
 }
 
-// TestPromotionsUseSeparateConnections: an answer that comes late to one call
-// cannot be that of the next.
+// TestPromotionsUseSeparateConnections: a late answer to one call cannot be taken for that
+// to the next.
 func TestPromotionsUseSeparateConnections(t *testing.T) {
 	late := make(chan struct{})
 	ctx, giveUp := context.WithCancel(t.Context())
--- a/internal/platform/readiness_test.go
+++ b/internal/platform/readiness_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// freeAddress is one of the loopback's at which nobody listens.
+// freeAddress is an address of the loopback at which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/platform/registry_calls_test.go
+++ b/internal/platform/registry_calls_test.go
@@ -17,8 +17,8 @@
 	"stoneford/internal/ports"
 )
 
-// byRevision answers an order by the revision that it names, so that an answer
-// shows whose it is.
+// byRevision answers a change with the revision that it names, so that an answer shows which
+// change it is to.
 type byRevision struct{ fakeControl }
 
 func (b *byRevision) Change(_ context.Context, change ports.TableChange) ports.ChangeResult {
@@ -28,7 +28,7 @@
 	return ports.ChangeResult{Outcome: ports.Committed, Revision: change.Revision}
 }
 
-// serveRegistry serves it with short times, and calls it.
+// serveRegistry serves a registry with a short read time-out, and connects to it.
 func serveRegistry(t *testing.T, c ports.Control, read time.Duration) net.Conn {
 	t.Helper()
 	s := httptest.NewUnstartedServer(nil)
@@ -52,8 +52,8 @@
 	return strings.Replace(exampleTable, `"Revision":7`, fmt.Sprintf(`"Revision":%d`, n), 1)
 }
 
-// TestPipelinedRequests: answers to orders on one connection come in the orders'
-// own order, also behind one that cannot be read.
+// TestPipelinedRequests: answers to changes on one connection come in the order of the
+// changes, also after one that cannot be decoded.
 func TestPipelinedRequests(t *testing.T) {
 	netConn := serveRegistry(t, &byRevision{}, 5*time.Second)
 	all := order(pathReplace, "0", revision(11)) + order(pathReplace, "11", `{"Revision":12,`) + order(pathReplace, "11", revision(13)) +
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestSlowRequestIsNotInvalid: an order whose body does not come in time may
-// be sent again, to another process.
+// TestSlowRequestIsNotInvalid: a change whose body does not arrive in time may be sent once
+// more, to another process.
 func TestSlowRequestIsNotInvalid(t *testing.T) {
 	for _, path := range []string{pathReplace, pathAmend, pathHeartbeat + "i-1", pathDeregister + "i-1"} {
 		control := &fakeControl{}
@@ -88,7 +88,7 @@
 		if err != nil || response.StatusCode != http.StatusRequestTimeout || !response.Close {
 			t.Errorf("%s: %+v %v", path, response, err)
 		}
-		// What comes of it later is not the next order.
+		// What arrives of it later is not the next request.
 		send(t, netConn, request[len(request)-40:])
 		if len(control.changes)+len(control.instances) > 0 {
 			t.Errorf("%s was accepted", path)
@@ -134,7 +134,7 @@
 	}
 }
 
-// TestTwoBaseRevisionsAreInvalid: an order that names two bases was not read by either.
+// TestTwoBaseRevisionsAreInvalid: a change that names two base revisions is rejected.
 func TestTwoBaseRevisionsAreInvalid(t *testing.T) {
 	control := &fakeControl{result: ports.ChangeResult{Outcome: ports.Committed}}
 	request := httptest.NewRequest("POST", pathReplace, strings.NewReader(exampleTable))
--- a/internal/platform/registry_test.go
+++ b/internal/platform/registry_test.go
@@ -253,8 +253,8 @@
 	}
 }
 
-// FuzzChanges reads what operators may send; a change without a problem reads
-// back as what it says.
+// FuzzChanges decodes what operators may send; a change without a problem is the same after
+// it was rendered and decoded.
 func FuzzChanges(f *testing.F) {
 	f.Add(true, "5", []byte(exampleTable))
 	f.Add(false, "7", []byte(`{"Revision":9,"Upsert":{"Routes":[{"Name":"r","RouteClass":"pinned"}],"Backends":[{"Name":"b"}]},"Remove":{"Routes":["x"]}}`))
@@ -295,8 +295,8 @@
 	})
 }
 
-// FuzzHeartbeats reads what databases may send: what is taken can be named in one
-// line of as many fields as it has to have.
+// FuzzHeartbeats decodes what databases may send: the names of an accepted heartbeat are
+// single fields of the wire.
 func FuzzHeartbeats(f *testing.F) {
 	f.Add("i-1", []byte(exampleHeartbeat))
 	f.Add("", []byte(`{}`))
--- a/internal/platform/registry_unavailable_test.go
+++ b/internal/platform/registry_unavailable_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// unresponsiveControl is a control process whose loop does not answer.
+// unresponsiveControl is a control process that does not respond.
 type unresponsiveControl struct{}
 
 func (unresponsiveControl) Announce(ctx context.Context, _ ports.Instance) (bool, string) {
--- a/internal/platform/wire_test.go
+++ b/internal/platform/wire_test.go
@@ -226,8 +226,8 @@
 	}
 }
 
-// FuzzMessages reads what callers may send: the same comes out however the bytes
-// arrive, and what is passed on is the very message, as one message.
+// FuzzMessages parses what callers may send: the result does not depend on how the bytes
+// arrive, and what is forwarded is the message itself, as one message.
 func FuzzMessages(f *testing.F) {
 	for _, s := range []string{"CONNECT a b\r\nQUERY 1 FETCH x\r\n", "QUERY 1 EXECUTE s 1 d\r\nQUERY 2 BEGIN FETCH\r\nCLOSE\r\n", "QUERY  7  STORE a  \r\n",
 		"QUERY 1 FETCH a\nQUERY - STATUS\r\n", "\r\r\n\n\r\n", "QUERY 1 PREPARE a FETCH \x00\r\n", "QUERY 1 EXECUTE \r\n", " QUERY 1 FETCH x\r\n"} {
@@ -277,8 +277,8 @@
 	}
 }
 
-// FuzzAnswers reads what databases may send: an answer is never made of less
-// than came.
+// FuzzAnswers reads what databases may send: the result does not depend on how the bytes
+// arrive, and an incomplete answer is an error.
 func FuzzAnswers(f *testing.F) {
 	for _, s := range []string{"ROW q\r\nCOMPLETE 7.1\r\nREADY I 3.9\r\n", "STMTERR BUSY x\r\nREADY E -\r\n", "COMPLETE -\r\nREADY T -\r\n", "ROW follower 3 3.1 0 12 2 17\r\nCOMPLETE -\r\nREADY I 3.1\r\n", "COMPLETE  \r\nREADY  I  -\r\n"} {
 		f.Add([]byte(s))
