--- a/emulator/simulation/node_request.go
+++ b/emulator/simulation/node_request.go
@@ -18,14 +18,14 @@
 	node       *nodeProcess
 	generation int
 	id         uint64
-	event      any
+	event      querytable.Event
 	arrivedUs  int64
 	ended      bool
 	then       func(querytable.Reply)
 }
 
 // put sends an event to the session's node and waits for its reply.
-func (s *session) put(n *nodeProcess, id uint64, e any, then func(querytable.Reply)) {
+func (s *session) put(n *nodeProcess, id uint64, e querytable.Event, then func(querytable.Reply)) {
 	r := &nodeRequest{session: s, node: n, generation: s.generation, id: id, event: e, then: then}
 	s.fleet.waiting++
 	s.fleet.After(s.fleet.callerDelay(), r.arrive)
--- a/internal/coordinator/contact_test.go
+++ b/internal/coordinator/contact_test.go
@@ -13,72 +13,72 @@
 
 const (
 	partitionDuration = 20_000_000
-	// atOnce is how soon a process refuses that has been cut off for longer than a
+	// atOnce is how soon a process refuses that has been partitioned for longer than a
 	// lease; members are stepped every 10 ms.
 	atOnce = 15_000
-	// maxCatchUpDuration is how soon all is served again after a cut.
+	// maxCatchUpDuration is how soon all is served again after a partition.
 	maxCatchUpDuration = 2_000_000
 )
 
-// partitions are the ways in which a member is cut off.
+// partitions are the ways in which a member is partitioned.
 var partitions = []struct {
 	name     string
 	from, to bool // what is lost: envelopes from it, envelopes to it
-	restart  bool // it is started again while it is cut off
+	restart  bool // it is started again while it is partitioned
 }{
 	{"both directions", true, true, false},
 	{"nothing from it arrives", true, false, false},
 	{"nothing arrives at it", false, true, false},
-	{"restarted while cut", true, true, true},
+	{"restarted while partitioned", true, true, true},
 	{"restarted, nothing from it arrives", true, false, true},
 	{"restarted, nothing arrives at it", false, true, true},
 }
 
-// partitionCase is 20 s with a member cut off while all kinds of calls go to it, and the
+// partitionCase is 20 s with a member partitioned while all kinds of calls go to it, and the
 // others are called as well.
 type partitionCase struct {
 	*cluster
 	callers       *testCallers
-	isolated      string   // the member that is cut off
+	isolated      string   // the member that is partitioned
 	others        []string // the other two
 	partitionedAt int64
-	// refuses is from when on the member has to refuse all calls at once: its last
+	// refusesFrom is from when on the member has to refuse all calls at once: its last
 	// lease is over, or it was started again.
-	refuses int64
-	from    bool
-	to      bool
-	node    *testLearner // hears, while the cut lasts, from that member alone
-
-	base     uint64 // newest revision that was acknowledged
-	last     uint64 // newest number used
-	acked    []ports.TableChange
-	numbers  uint64 // of databases' calls
-	departed []*isolatedCall
-	broken   []string
-	moved    int
+	refusesFrom   int64
+	losesSent     bool
+	losesReceived bool
+	node          *testLearner // hears, while the partition lasts, from that member alone
+
+	newestAcknowledged uint64 // newest revision that was acknowledged
+	newestNumber       uint64 // newest number used
+	acknowledged       []ports.TableChange
+	announcementNumber uint64 // of databases' calls
+	calls              []*isolatedCall
+	violations         []string
+	rehomed            int
 }
 
-// isolatedCall is a call to the member that is cut off, with what was true then.
+// isolatedCall is a call to the member that is partitioned, with what was true then.
 type isolatedCall struct {
 	*testCall
-	what             string
-	order            ports.TableChange
+	kind             string
+	change           ports.TableChange
 	base             uint64 // newest acknowledged when it was sent
-	drainingDatabase string // a database that says that it leaves
+	drainingDatabase string // a database that drains
 }
 
-func (d *partitionCase) bad(rule, f string, a ...any) {
-	d.broken = append(d.broken, rule+": "+fmt.Sprintf(f, a...))
+func (d *partitionCase) violatef(rule, f string, a ...any) {
+	d.violations = append(d.violations, rule+": "+fmt.Sprintf(f, a...))
 }
 
 func newPartitionCase(t *testing.T, seed uint64) *partitionCase {
-	c, k := formedClusterWithTable(t, seed)
-	d := &partitionCase{cluster: c, callers: k, base: 1, last: 1}
-	i := int(seed) % len(c.order)
-	d.isolated = c.order[i]
-	d.others = slices.Delete(slices.Clone(c.order), i, i+1)
+	c, callers := clusterWithTable(t, seed)
+	d := &partitionCase{cluster: c, callers: callers, newestAcknowledged: 1, newestNumber: 1}
+	i := int(seed) % len(c.addresses)
+	d.isolated = c.addresses[i]
+	d.others = slices.Delete(slices.Clone(c.addresses), i, i+1)
 	d.node = c.attachLearner("10.0.9.9:7441")
-	k.run(1_000_000)
+	callers.run(1_000_000)
 	if d.node.learner.LeaseUntil() < c.environment.Now {
 		t.Fatalf("seed %d: the node has no lease", seed)
 	}
@@ -87,60 +87,60 @@
 
 func (d *partitionCase) partition(broken bool) {
 	for _, o := range d.others {
-		d.network.SetPartition(d.isolated, o, broken && d.from)
-		d.network.SetPartition(o, d.isolated, broken && d.to)
+		d.network.SetPartition(d.isolated, o, broken && d.losesSent)
+		d.network.SetPartition(o, d.isolated, broken && d.losesReceived)
 	}
 }
 
 func (d *partitionCase) database(id string, phase string) ports.Instance {
-	d.numbers++
-	return ports.Instance{ID: id, Group: "g", Address: id + ":1", Zone: "z", AnnouncementNumber: d.numbers, Draining: phase != "ready", Gone: phase == "gone"}
+	d.announcementNumber++
+	return ports.Instance{ID: id, Group: "g", Address: id + ":1", Zone: "z", AnnouncementNumber: d.announcementNumber, Draining: phase != "ready", Gone: phase == "gone"}
 }
 
-// advance has an operator put the next order through the others.
+// advance has an operator put the next change through the others.
 func (d *partitionCase) advance() {
-	d.last++
-	o := tableChange(d.base, d.last, "main")
+	d.newestNumber++
+	o := tableChange(d.newestAcknowledged, d.newestNumber, "main")
 	if r := d.callers.changeUntilDecided(o, d.others...); r != ports.Committed {
-		d.bad("SERVED", "the others ended an order as %d", r)
+		d.violatef("SERVED", "the others ended a change as %d", r)
 		return
 	}
-	d.base, d.acked = d.last, append(d.acked, o)
+	d.newestAcknowledged, d.acknowledged = d.newestNumber, append(d.acknowledged, o)
 }
 
-// callIsolated sends the member that is cut off one call of each kind.
+// callIsolated sends the member that is partitioned one call of each kind.
 func (d *partitionCase) callIsolated(round int) {
 	add := func(what string, a *testCall, s isolatedCall) {
-		s.testCall, s.what, s.base = a, what, d.base
-		d.departed = append(d.departed, &s)
+		s.testCall, s.kind, s.base = a, what, d.newestAcknowledged
+		d.calls = append(d.calls, &s)
 	}
 	add("fetch", d.callers.fetch(d.isolated), isolatedCall{})
-	d.last++
-	fresh := tableChange(d.base, d.last, "away")
-	add("order", d.callers.change(d.isolated, fresh), isolatedCall{order: fresh})
-	d.last++
-	again := tableChange(1, d.last, "stale")
-	add("stale order", d.callers.change(d.isolated, again), isolatedCall{order: again})
-	bad := tableChange(d.base, d.last+1, "invalid")
+	d.newestNumber++
+	fresh := tableChange(d.newestAcknowledged, d.newestNumber, "away")
+	add("change", d.callers.change(d.isolated, fresh), isolatedCall{change: fresh})
+	d.newestNumber++
+	outdated := tableChange(1, d.newestNumber, "stale")
+	add("stale change", d.callers.change(d.isolated, outdated), isolatedCall{change: outdated})
+	bad := tableChange(d.newestAcknowledged, d.newestNumber+1, "invalid")
 	bad.Routes[0].Group = "nobody"
-	add("invalid order", d.callers.change(d.isolated, bad), isolatedCall{order: bad})
-	if len(d.acked) > 0 {
-		o := d.acked[len(d.acked)-1]
-		add("taken order", d.callers.change(d.isolated, o), isolatedCall{order: o})
+	add("invalid change", d.callers.change(d.isolated, bad), isolatedCall{change: bad})
+	if len(d.acknowledged) > 0 {
+		o := d.acknowledged[len(d.acknowledged)-1]
+		add("taken change", d.callers.change(d.isolated, o), isolatedCall{change: o})
 	}
 	add("beat", d.callers.announce(d.isolated, d.database("steady", "ready")), isolatedCall{})
-	leaves, ends := fmt.Sprint("leaves-", round), fmt.Sprint("ends-", round)
-	add("leave", d.callers.announce(d.isolated, d.database(leaves, "draining")), isolatedCall{drainingDatabase: leaves})
+	drains, ends := fmt.Sprint("leaves-", round), fmt.Sprint("ends-", round)
+	add("leave", d.callers.announce(d.isolated, d.database(drains, "draining")), isolatedCall{drainingDatabase: drains})
 	add("end", d.callers.announce(d.isolated, d.database(ends, "gone")), isolatedCall{drainingDatabase: ends})
-	add("move", d.callers.send(d.isolated, func(id uint64) any { return Move{ID: id, Group: "g", Site: "z"} }), isolatedCall{})
+	add("move", d.callers.send(d.isolated, func(id uint64) Event { return Move{ID: id, Group: "g", Site: "z"} }), isolatedCall{})
 }
 
-// play cuts the member off, calls it and the others, and mends the cut.
+// play partitions the member, calls it and the others, and heals the partition.
 func (d *partitionCase) play(from, to, restart bool) {
-	d.from, d.to, d.partitionedAt = from, to, d.environment.Now
-	d.refuses = d.partitionedAt + learner.LeaseDurationUs
+	d.losesSent, d.losesReceived, d.partitionedAt = from, to, d.environment.Now
+	d.refusesFrom = d.partitionedAt + learner.LeaseDurationUs
 	d.partition(true)
-	// The node hears the member that is cut off, and it alone.
+	// The node hears the member that is partitioned, and it alone.
 	for _, o := range d.others {
 		d.network.SetPartition(o, d.node.address, true)
 	}
@@ -149,7 +149,7 @@
 			d.kill(d.isolated, false)
 			d.callers.connectionsBroken(d.isolated)
 			d.start(d.isolated)
-			d.refuses = d.environment.Now
+			d.refusesFrom = d.environment.Now
 		}
 		d.callIsolated(round)
 		d.callers.run(d.environment.Between(50_000, 400_000))
@@ -159,13 +159,13 @@
 		d.goOn()
 	}
 	if until := d.node.learner.LeaseUntil(); until > d.partitionedAt+learner.LeaseDurationUs {
-		d.bad("NEWS", "a node that hears a member alone, cut off, has a lease until %d ms after the cut", (until-d.partitionedAt)/1000)
+		d.violatef("NEWS", "a node that hears a member alone, partitioned, has a lease until %d ms after the partition", (until-d.partitionedAt)/1000)
 	}
 	d.partition(false)
 	d.network.Repair()
 	d.callers.run(1_000_000)
 	if d.node.learner.LeaseUntil() < d.environment.Now {
-		d.bad("NEWS", "the node has no lease a second after the cut")
+		d.violatef("NEWS", "the node has no lease a second after the partition")
 	}
 	d.afterwards()
 	d.judgeAll()
@@ -173,23 +173,23 @@
 
 // goOn has the databases that were refused call another member.
 func (d *partitionCase) goOn() {
-	for _, s := range d.departed {
+	for _, s := range d.calls {
 		a, ok := s.answer.(AnnounceDone)
 		if ok && a.OK && s.drainingDatabase != "" && !d.known(s.drainingDatabase) {
-			d.bad("LEAVE", "%s was acknowledged and no other member knows of it", s.drainingDatabase)
+			d.violatef("LEAVE", "%s was acknowledged and no other member knows of it", s.drainingDatabase)
 		}
 		if ok && !a.OK && s.drainingDatabase != "" && !strings.HasSuffix(s.drainingDatabase, "!") {
 			i := d.database(s.drainingDatabase, "draining")
 			s.drainingDatabase += "!"
 			if r, _ := d.callers.wait(d.callers.announce(d.others[0], i), 1_000_000).(AnnounceDone); !r.OK {
-				d.bad("SERVED", "%s is not acknowledged by another member", i.ID)
+				d.violatef("SERVED", "%s is not acknowledged by another member", i.ID)
 			}
-			d.moved++
+			d.rehomed++
 		}
 	}
 }
 
-// known says that a member that is not cut off knows that a database leaves.
+// known says that a member that is not partitioned knows that a database drains.
 func (d *partitionCase) known(id string) bool {
 	return slices.ContainsFunc(d.others, func(o string) bool {
 		r := d.members[o].core.databases.Get(learner.DatabasePrefix + id)
@@ -204,56 +204,56 @@
 		a := d.callers.fetch(d.isolated)
 		d.callers.wait(a, 1_000_000)
 		if f, _ := a.answer.(FetchTableDone); f.OK {
-			if f.Table.Revision < d.base {
-				d.bad("READ", "after the cut it handed out revision %d; %d was acknowledged", f.Table.Revision, d.base)
+			if f.Table.Revision < d.newestAcknowledged {
+				d.violatef("READ", "after the partition it handed out revision %d; %d was acknowledged", f.Table.Revision, d.newestAcknowledged)
 			}
 			if d.environment.Now > began+maxCatchUpDuration {
-				d.bad("SERVED", "it served %d ms after the cut", (d.environment.Now-began)/1000)
+				d.violatef("SERVED", "it served %d ms after the partition", (d.environment.Now-began)/1000)
 			}
 			d.advance()
 			return
 		}
 		d.callers.run(20_000)
 	}
-	d.bad("SERVED", "it does not serve after the cut")
+	d.violatef("SERVED", "it does not serve after the partition")
 }
 
-// judgeAll holds each answer of the member that was cut off against what was true.
+// judgeAll holds each answer of the member that was partitioned against what was true.
 func (d *partitionCase) judgeAll() {
 	final := d.callers.newest(d.others[0])
-	for _, o := range d.acked {
-		if !has(final, o) {
-			d.bad("LOST", "%s was acknowledged and is not in force", o.Digest)
+	for _, o := range d.acknowledged {
+		if !hasRoute(final, o) {
+			d.violatef("LOST", "%s was acknowledged and is not in force", o.Digest)
 		}
 	}
-	for _, s := range d.departed {
+	for _, s := range d.calls {
 		d.judge(s, final)
 	}
 }
 
 func (d *partitionCase) judge(s *isolatedCall, final ports.RoutingTable) {
-	late := s.sentAt >= d.refuses
-	if s.endedAt == 0 || s.endedAt > 0 && s.took() > 1_000_000 && s.what != "move" || late && s.took() > atOnce {
-		d.bad("HELD", "%s, sent %d ms after the cut, was held %d ms", s.what, (s.sentAt-d.partitionedAt)/1000, s.took()/1000)
+	late := s.sentAt >= d.refusesFrom
+	if s.endedAt == 0 || s.endedAt > 0 && s.took() > 1_000_000 && s.kind != "move" || late && s.took() > atOnce {
+		d.violatef("HELD", "%s, sent %d ms after the partition, was held %d ms", s.kind, (s.sentAt-d.partitionedAt)/1000, s.took()/1000)
 	}
 	switch a := s.answer.(type) {
 	case FetchTableDone:
 		if a.OK && a.Table.Revision < s.base {
-			d.bad("READ", "revision %d was handed out; %d was acknowledged before", a.Table.Revision, s.base)
+			d.violatef("READ", "revision %d was handed out; %d was acknowledged before", a.Table.Revision, s.base)
 		}
 		if a.OK && late {
-			d.bad("READ", "a table was handed out %d ms after the cut", (s.sentAt-d.partitionedAt)/1000)
+			d.violatef("READ", "a table was handed out %d ms after the partition", (s.sentAt-d.partitionedAt)/1000)
 		}
 	case ChangeTableDone:
 		d.judgeOrder(s, a.Result, late, final)
 	case AnnounceDone:
-		rule := map[string]string{"beat": "BEAT", "leave": "LEAVE", "end": "END"}[s.what]
+		rule := map[string]string{"beat": "BEAT", "leave": "LEAVE", "end": "END"}[s.kind]
 		if a.OK && late {
-			d.bad(rule, "%s was acknowledged %d ms after the cut", s.what, (s.sentAt-d.partitionedAt)/1000)
+			d.violatef(rule, "%s was acknowledged %d ms after the partition", s.kind, (s.sentAt-d.partitionedAt)/1000)
 		}
 	case MoveDone:
 		if a.Result.Outcome != ports.Unavailable && late {
-			d.bad("MOVE", "a move was decided %d ms after the cut: %d", (s.sentAt-d.partitionedAt)/1000, a.Result.Outcome)
+			d.violatef("MOVE", "a move was decided %d ms after the partition: %d", (s.sentAt-d.partitionedAt)/1000, a.Result.Outcome)
 		}
 	}
 }
@@ -261,24 +261,24 @@
 func (d *partitionCase) judgeOrder(s *isolatedCall, r ports.ChangeResult, late bool, final ports.RoutingTable) {
 	switch r.Outcome {
 	case ports.Committed:
-		if !has(final, s.order) {
-			d.bad("ORDER", "%s was acknowledged and is not in force", s.order.Digest)
+		if !hasRoute(final, s.change) {
+			d.violatef("ORDER", "%s was acknowledged and is not in force", s.change.Digest)
 		}
 		if late {
-			d.bad("ORDER", "%s was acknowledged %d ms after the cut", s.order.Digest, (s.sentAt-d.partitionedAt)/1000)
+			d.violatef("ORDER", "%s was acknowledged %d ms after the partition", s.change.Digest, (s.sentAt-d.partitionedAt)/1000)
 		}
 	case ports.Stale:
-		if has(final, s.order) || late {
-			d.bad("STALE", "%s was refused %d ms after the cut, in force %t", s.order.Digest, (s.sentAt-d.partitionedAt)/1000, has(final, s.order))
+		if hasRoute(final, s.change) || late {
+			d.violatef("STALE", "%s was refused %d ms after the partition, in force %t", s.change.Digest, (s.sentAt-d.partitionedAt)/1000, hasRoute(final, s.change))
 		}
 	case ports.Invalid:
-		if has(final, s.order) || late {
-			d.bad("INVALID", "%s was called invalid %d ms after the cut", s.order.Digest, (s.sentAt-d.partitionedAt)/1000)
+		if hasRoute(final, s.change) || late {
+			d.violatef("INVALID", "%s was called invalid %d ms after the partition", s.change.Digest, (s.sentAt-d.partitionedAt)/1000)
 		}
 	}
 }
 
-// TestPartitionedServesNothing: a member that is cut off for 20 s, in each way, refuses
+// TestPartitionedServesNothing: a member that is partitioned for 20 s, in each way, refuses
 // at once whatever only the newest state can justify; what it acknowledged before
 // is kept, those who called it are served by others, and afterwards it serves
 // nothing until it has caught up.
@@ -291,73 +291,80 @@
 				owners++ // of the group's changes
 			}
 			d.play(x.from, x.to, x.restart)
-			if len(d.broken) > 0 {
-				t.Fatalf("%s, seed %d: %d broken, the first: %s", x.name, seed, len(d.broken), strings.Join(d.broken[:min(4, len(d.broken))], "\n"))
+			if len(d.violations) > 0 {
+				t.Fatalf("%s, seed %d: %d broken, the first: %s", x.name, seed, len(d.violations), strings.Join(d.violations[:min(4, len(d.violations))], "\n"))
 			}
-			if len(d.acked) < 10 || d.moved < 20 {
-				t.Fatalf("%s, seed %d: only %d orders and %d databases went to others", x.name, seed, len(d.acked), d.moved)
+			if len(d.acknowledged) < 10 || d.rehomed < 20 {
+				t.Fatalf("%s, seed %d: only %d changes and %d databases went to others", x.name, seed, len(d.acknowledged), d.rehomed)
 			}
-			calls, moved = calls+len(d.departed), moved+d.moved
+			calls, moved = calls+len(d.calls), moved+d.rehomed
 		}
 	}
 	if owners == 0 {
-		t.Fatal("no member that was cut off held a group's duty")
+		t.Fatal("no member that was partitioned owned a group's role")
 	}
-	t.Logf("%d ways to be cut off, 6 seeds each, in %d with a duty held: %d calls to the member that was cut off, %d databases went on to others", len(partitions), owners, calls, moved)
+	t.Logf("%d ways to be partitioned, 6 seeds each, in %d with a role owned: %d calls to the member that was partitioned, %d databases went on to others", len(partitions), owners, calls, moved)
 }
 
-// TestMutationServesAlone: a member that says what it knows by itself, each kind of
-// answer by its own, is seen.
+// TestMutationServesAlone: a member that answers by what it knows alone, each kind of
+// call by a mutation of its own, is detected.
 func TestMutationServesAlone(t *testing.T) {
-	plants := []struct {
+	mutations := []struct {
 		rule  string
-		alone func(d *partitionCase, event any) any
+		alone func(d *partitionCase, event Event) Effect
 	}{
-		{"READ", func(d *partitionCase, event any) any {
+		{"READ", func(d *partitionCase, event Event) Effect {
 			if e, ok := event.(FetchTable); ok {
 				return FetchTableDone{ID: e.ID, Table: d.appliedTable(d.isolated), OK: true}
 			}
 			return nil
 		}},
-		{"ORDER", planOutcome(ports.Committed)},
-		{"STALE", planOutcome(ports.Stale)},
-		{"INVALID", planOutcome(ports.Invalid)},
-		{"BEAT", planAnnounced(func(i ports.Instance) bool { return !i.Draining })},
-		{"LEAVE", planAnnounced(func(i ports.Instance) bool { return i.Draining && !i.Gone })},
-		{"END", planAnnounced(func(i ports.Instance) bool { return i.Gone })},
-		{"MOVE", func(_ *partitionCase, event any) any {
+		{"ORDER", mutateOutcome(ports.Committed)},
+		{"STALE", mutateOutcome(ports.Stale)},
+		{"INVALID", mutateOutcome(ports.Invalid)},
+		{"BEAT", mutateAnnounced(func(i ports.Instance) bool { return !i.Draining })},
+		{"LEAVE", mutateAnnounced(func(i ports.Instance) bool { return i.Draining && !i.Gone })},
+		{"END", mutateAnnounced(func(i ports.Instance) bool { return i.Gone })},
+		{"MOVE", func(_ *partitionCase, event Event) Effect {
 			if e, ok := event.(Move); ok {
 				return MoveDone{ID: e.ID, Result: MoveResult{Outcome: ports.Invalid, Problem: "no such group"}}
 			}
 			return nil
 		}},
 	}
-	for _, p := range plants {
-		red := 0
-		for seed := range uint64(4) {
-			d := newPartitionCase(t, seed)
-			d.callers.mutation = func(to string, event any) any {
-				if to != d.isolated || d.partitionedAt == 0 {
-					return nil
+	for _, mutation := range mutations {
+		t.Run(mutation.rule, func(t *testing.T) {
+			detected := 0
+			for seed := range uint64(4) {
+				if newPartitionCase(t, seed).detects(mutation.rule, mutation.alone) {
+					detected++
 				}
-				return p.alone(d, event)
 			}
-			d.play(true, true, false)
-			if slices.ContainsFunc(d.broken, func(b string) bool { return strings.HasPrefix(b, p.rule+":") }) {
-				red++
+			if detected < 4 {
+				t.Errorf("detected in %d of 4", detected)
 			}
+			t.Logf("detected in %d of 4", detected)
+		})
+	}
+}
+
+// detects plays the case with the isolated member's replies mutated, and reports whether
+// the rule was broken.
+func (d *partitionCase) detects(rule string, alone func(*partitionCase, Event) Effect) bool {
+	d.callers.mutation = func(to string, event Event) Effect {
+		if to != d.isolated || d.partitionedAt == 0 {
+			return nil
 		}
-		if red < 4 {
-			t.Errorf("%s: seen in %d of 4", p.rule, red)
-		}
-		t.Logf("%s: seen in %d of 4", p.rule, red)
+		return alone(d, event)
 	}
+	d.play(true, true, false)
+	return slices.ContainsFunc(d.violations, func(b string) bool { return strings.HasPrefix(b, rule+":") })
 }
 
-// planOutcome plants a member that judges orders by the table it holds, where that
+// mutateOutcome plants a member that judges changes by the table it holds, where that
 // leads to an outcome.
-func planOutcome(want ports.Outcome) func(*partitionCase, any) any {
-	return func(d *partitionCase, event any) any {
+func mutateOutcome(want ports.Outcome) func(*partitionCase, Event) Effect {
+	return func(d *partitionCase, event Event) Effect {
 		e, ok := event.(ChangeTable)
 		if !ok {
 			return nil
@@ -373,8 +380,8 @@
 	}
 }
 
-func planAnnounced(which func(ports.Instance) bool) func(*partitionCase, any) any {
-	return func(_ *partitionCase, event any) any {
+func mutateAnnounced(which func(ports.Instance) bool) func(*partitionCase, Event) Effect {
+	return func(_ *partitionCase, event Event) Effect {
 		if e, ok := event.(Announce); ok && which(e.Instance) {
 			return AnnounceDone{ID: e.ID, OK: true}
 		}
@@ -397,127 +404,179 @@
 			}
 		}
 		d.play(true, true, false)
-		if !slices.ContainsFunc(d.broken, func(b string) bool { return strings.HasPrefix(b, "NEWS:") }) {
-			t.Errorf("seed %d: it is not seen: %v", seed, d.broken)
+		if !slices.ContainsFunc(d.violations, func(b string) bool { return strings.HasPrefix(b, "NEWS:") }) {
+			t.Errorf("seed %d: it is not seen: %v", seed, d.violations)
 		}
 	}
 }
 
-// TestStartingServesNothing: a member that has not met a majority yet refuses all
-// calls at once, whether it starts for the first time or has its disk.
+// TestStartingServesNothing: a member that has not met a majority yet refuses all calls
+// at once, whether it starts for the first time or has its disk.
 func TestStartingServesNothing(t *testing.T) {
 	for seed := range uint64(6) {
 		for _, founded := range []bool{false, true} {
-			c, k := newCluster(t, seed, 3, 3, 1), (*testCallers)(nil)
-			if k = newCallers(c); founded {
-				c, k = formedClusterWithTable(t, seed)
-				for _, a := range c.order {
-					c.kill(a, false)
+			t.Run(fmt.Sprintf("seed %d, founded %t", seed, founded), func(t *testing.T) {
+				c, callers := stoppedCluster(t, seed, founded)
+				starting := c.addresses[0]
+				c.start(starting)
+				c.members[starting].effects, callers.collected[starting] = nil, 0
+				for range 20 {
+					callers.checkRefusesAll(t, starting)
 				}
-			}
-			a := c.order[0]
-			c.start(a)
-			c.members[a].done, k.collected[a] = nil, 0
-			for range 20 {
-				for _, q := range []*testCall{k.fetch(a), k.change(a, tableChange(0, 1, "first")), k.change(a, tableChange(1, 2, "next")),
-					k.announce(a, ports.Instance{ID: "d", Group: "g", Address: "d:1", AnnouncementNumber: 1}), k.announce(a, ports.Instance{ID: "e", Group: "g", Address: "e:1", AnnouncementNumber: 1, Draining: true})} {
-					k.run(100_000)
-					switch r := q.answer.(type) {
-					case FetchTableDone:
-						if r.OK {
-							t.Fatalf("seed %d, founded %t: it handed out %d", seed, founded, r.Table.Revision)
-						}
-					case ChangeTableDone:
-						if r.Result.Outcome != ports.Unavailable {
-							t.Fatalf("seed %d, founded %t: an order ended as %d", seed, founded, r.Result.Outcome)
-						}
-					case AnnounceDone:
-						if r.OK {
-							t.Fatalf("seed %d, founded %t: a database's word was acknowledged", seed, founded)
-						}
-					}
-					if q.endedAt == 0 || q.took() > atOnce {
-						t.Fatalf("seed %d, founded %t: a call was held", seed, founded)
-					}
+				for _, address := range c.addresses[1:] {
+					c.start(address)
 				}
-			}
-			for _, o := range c.order[1:] {
-				c.start(o)
-			}
-			k.run(2_000_000)
-			if o := k.changeUntilDecided(tableChange(0, 1, "first"), a); o != ports.Committed {
-				t.Fatalf("seed %d, founded %t: with a majority the first order ended as %d", seed, founded, o)
-			}
+				callers.run(2_000_000)
+				if outcome := callers.changeUntilDecided(tableChange(0, 1, "first"), starting); outcome != ports.Committed {
+					t.Fatalf("with a majority the first change ended as %d", outcome)
+				}
+			})
+		}
+	}
+}
+
+// stoppedCluster is a cluster of three of which no process runs: one that was never
+// started, or one that has formed and taken revision 1.
+func stoppedCluster(t *testing.T, seed uint64, founded bool) (*cluster, *testCallers) {
+	t.Helper()
+	if !founded {
+		c := newCluster(t, seed, 3, 3, 1)
+		return c, newCallers(c)
+	}
+	c, callers := clusterWithTable(t, seed)
+	for _, address := range c.addresses {
+		c.kill(address, false)
+	}
+	return c, callers
+}
+
+// checkRefusesAll sends a member one call of each kind and checks that each is refused
+// at once.
+func (callers *testCallers) checkRefusesAll(t *testing.T, to string) {
+	t.Helper()
+	serving := ports.Instance{ID: "d", Group: "g", Address: "d:1", AnnouncementNumber: 1}
+	draining := ports.Instance{ID: "e", Group: "g", Address: "e:1", AnnouncementNumber: 1, Draining: true}
+	calls := []*testCall{
+		callers.fetch(to),
+		callers.change(to, tableChange(0, 1, "first")),
+		callers.change(to, tableChange(1, 2, "next")),
+		callers.announce(to, serving),
+		callers.announce(to, draining),
+	}
+	for _, call := range calls {
+		callers.run(100_000)
+		if problem := servedProblem(call.answer); problem != "" {
+			t.Fatal(problem)
+		}
+		if call.endedAt == 0 || call.took() > atOnce {
+			t.Fatal("a call was not refused at once")
 		}
 	}
 }
 
+// servedProblem says what a reply serves that only a majority can justify, empty if it
+// serves nothing.
+func servedProblem(reply Effect) string {
+	switch r := reply.(type) {
+	case FetchTableDone:
+		if r.OK {
+			return fmt.Sprintf("it returned table %d", r.Table.Revision)
+		}
+	case ChangeTableDone:
+		if r.Result.Outcome != ports.Unavailable {
+			return fmt.Sprintf("a change ended as %d", r.Result.Outcome)
+		}
+	case AnnounceDone:
+		if r.OK {
+			return "an announcement was acknowledged"
+		}
+	}
+	return ""
+}
+
 // TestThawedServesNothingOld: what came while a member stood still is refused when
 // it goes on, and no return that waited with it is taken for the newest state.
 func TestThawedServesNothingOld(t *testing.T) {
 	for seed := range uint64(8) {
-		c, k := formedClusterWithTable(t, seed)
-		m := c.members[c.order[0]]
+		c, callers := clusterWithTable(t, seed)
+		m := c.members[c.addresses[0]]
 		var waiting []*schema.Envelope
 		take := c.network.Receive
 		// The reading leaves, and its returns wait with the member.
-		a := k.fetch(c.order[0])
+		a := callers.fetch(c.addresses[0])
 		m.up = false
 		c.network.Receive = func(to string, e *schema.Envelope) {
-			if to == c.order[0] {
+			if to == c.addresses[0] {
 				waiting = append(waiting, e)
 				return
 			}
 			take(to, e)
 		}
-		k.run(3_000_000)
-		if o := k.changeUntilDecided(tableChange(1, 2, "meanwhile"), c.order[1], c.order[2]); o != ports.Committed {
-			t.Fatalf("seed %d: the others ended an order as %d", seed, o)
+		callers.run(3_000_000)
+		if o := callers.changeUntilDecided(tableChange(1, 2, "meanwhile"), c.addresses[1], c.addresses[2]); o != ports.Committed {
+			t.Fatalf("seed %d: the others ended a change as %d", seed, o)
 		}
 		m.up = true
-		evs := make([]any, len(waiting))
+		events := make([]Event, len(waiting))
 		for i, e := range waiting {
-			evs[i] = e
+			events[i] = Message{e}
 		}
-		c.step(c.order[0], evs...)
-		k.collect()
+		c.step(c.addresses[0], events...)
+		callers.collect()
 		if f, _ := a.answer.(FetchTableDone); f.OK {
 			t.Fatalf("seed %d: it handed out revision %d, %d ms after it was asked", seed, f.Table.Revision, a.took()/1000)
 		}
 	}
 }
 
-// TestNobodyIsGoneWithoutContact: a member that is cut off hears nothing of
-// databases that call others, and says of none that it is gone; nor does it say so
-// right after the cut, when it has a lease and has not heard of them yet.
+// TestNobodyIsGoneWithoutContact: a member that is partitioned hears nothing of
+// databases that call others, and declares none gone; nor does it right after the
+// partition, when it has a lease and has not heard of them yet.
 func TestNobodyIsGoneWithoutContact(t *testing.T) {
 	plays := 0
 	for _, x := range partitions {
+		if x.restart {
+			continue
+		}
 		for seed := range uint64(12) {
-			if x.restart {
-				continue
-			}
 			d := newPartitionCase(t, seed)
-			beat := func(to string) { d.callers.announce(to, d.database("steady", "ready")) }
-			beat(d.isolated)
-			d.callers.run(500_000)
-			d.from, d.to, d.partitionedAt = x.from, x.to, d.environment.Now
-			d.partition(true)
-			mendAt := d.partitionedAt + partitionDuration + int64(seed)*300_000
-			d.environment.After(mendAt-d.environment.Now, func() { d.network.Repair() })
-			for d.environment.Now < mendAt+8_000_000 {
-				beat(d.others[0])
-				d.callers.run(1_200_000)
-			}
-			for _, m := range d.order {
-				for _, did := range d.members[m].done {
-					if s, ok := did.(LogEntry); ok && strings.HasPrefix(s.Text, "steady ") && strings.HasSuffix(s.Text, "gone true") {
-						t.Fatalf("%s, seed %d: %s took a database for gone that called another one", x.name, seed, m)
-					}
-				}
+			d.losesSent, d.losesReceived = x.from, x.to
+			d.playAnnouncingElsewhere(seed)
+			if member := d.declaredGone("steady"); member != "" {
+				t.Fatalf("%s, seed %d: %s declared a database gone that called another one", x.name, seed, member)
 			}
 			plays++
 		}
 	}
 	t.Logf("%d plays", plays)
 }
+
+// playAnnouncingElsewhere partitions the member for a while, in which a database that
+// announced itself to it calls another one.
+func (d *partitionCase) playAnnouncingElsewhere(seed uint64) {
+	announce := func(to string) { d.callers.announce(to, d.database("steady", "ready")) }
+	announce(d.isolated)
+	d.callers.run(500_000)
+	d.partitionedAt = d.environment.Now
+	d.partition(true)
+	healAt := d.partitionedAt + partitionDuration + int64(seed)*300_000
+	d.environment.After(healAt-d.environment.Now, func() { d.network.Repair() })
+	for d.environment.Now < healAt+8_000_000 {
+		announce(d.others[0])
+		d.callers.run(1_200_000)
+	}
+}
+
+// declaredGone is the member that logged that a database is gone, empty if none did.
+func (d *partitionCase) declaredGone(id string) string {
+	for _, address := range d.addresses {
+		gone := slices.ContainsFunc(d.members[address].effects, func(effect Effect) bool {
+			entry, ok := effect.(LogEntry)
+			return ok && strings.HasPrefix(entry.Text, id+" ") && strings.HasSuffix(entry.Text, "gone true")
+		})
+		if gone {
+			return address
+		}
+	}
+	return ""
+}
--- a/internal/routingtable/orders.go
+++ b/internal/routingtable/orders.go
@@ -13,8 +13,8 @@
 // 18).
 
 const (
-	// recentOrderLimit is how many of the newest orders a table names. Each adds
-	// about 20 bytes to every table; an operator's retry comes within a few orders.
+	// recentOrderLimit is how many of the newest orders a table names: an order that is
+	// sent again later than that is Forgotten. Each adds some 20 bytes to every table.
 	recentOrderLimit = 32
 	// digestSize is how many bytes of an order's hash a table keeps.
 	digestSize = 12
@@ -24,12 +24,12 @@
 type OrderState uint8
 
 const (
-	// NotApplied: the order was never applied.
+	// NotApplied means that the order was never applied.
 	NotApplied OrderState = iota
-	// Applied: the order, with this very content, was applied.
+	// Applied means that the order, with this very content, was applied.
 	Applied
-	// Forgotten: the order is older than those that the table names, so that it may
-	// or may not have been applied.
+	// Forgotten means that the order is older than those that the table names, so that
+	// it may or may not have been applied.
 	Forgotten
 )
 
