--- a/crdt/antientropy.go
+++ b/crdt/antientropy.go
@@ -23,10 +23,13 @@
 	Updated []*schema.Record // records that became newer here
 }
 
-// CompareRange starts a comparison of the keys from start up to, without, end with
-// another replica; an empty end has no bound.
-func (s *Store) CompareRange(to, start, end string) statemachine.Send {
-	return s.digestsTo(to, []*schema.RangeDigest{s.rangeDigest(start, end)})
+// KeyRange is the keys from Start up to, but without, End. An empty End has no bound, so
+// the zero value is all keys.
+type KeyRange struct{ Start, End string }
+
+// CompareRange starts a comparison of a range of keys with another replica.
+func (s *Store) CompareRange(to string, keys KeyRange) statemachine.Send {
+	return s.digestsTo(to, []*schema.RangeDigest{s.rangeDigest(keys)})
 }
 
 // Step handles another replica's digests or records; other messages are ignored.
@@ -62,7 +65,7 @@
 	var digests []*schema.RangeDigest
 	var records []*schema.Record
 	for _, theirs := range ranges {
-		keys := s.keysInRange(theirs.Start, theirs.End)
+		keys := s.keysInRange(KeyRange{theirs.Start, theirs.End})
 		if s.digest(keys) == theirs.Digest && len(keys) == int(theirs.Count) {
 			continue
 		}
@@ -100,19 +103,19 @@
 		if end == start && !last {
 			continue
 		}
-		parts = append(parts, s.rangeDigest(start, end))
+		parts = append(parts, s.rangeDigest(KeyRange{start, end}))
 		start = end
 	}
 	return parts
 }
 
-// keysInRange returns the keys from start up to, without, end; an empty end has no
-// bound. The slice is valid until the store changes.
-func (s *Store) keysInRange(start, end string) []string {
-	first, _ := slices.BinarySearch(s.sortedKeys, start)
+// keysInRange returns the keys of a range that have a record. The slice is valid until
+// the store changes.
+func (s *Store) keysInRange(keys KeyRange) []string {
+	first, _ := slices.BinarySearch(s.sortedKeys, keys.Start)
 	last := len(s.sortedKeys)
-	if end != "" {
-		last, _ = slices.BinarySearch(s.sortedKeys, end)
+	if keys.End != "" {
+		last, _ = slices.BinarySearch(s.sortedKeys, keys.End)
 	}
 	return s.sortedKeys[first:max(first, last)]
 }
@@ -131,9 +134,9 @@
 	return h.Sum64()
 }
 
-func (s *Store) rangeDigest(start, end string) *schema.RangeDigest {
-	keys := s.keysInRange(start, end)
-	return &schema.RangeDigest{Start: start, End: end, Digest: s.digest(keys), Count: uint32(len(keys))}
+func (s *Store) rangeDigest(keys KeyRange) *schema.RangeDigest {
+	present := s.keysInRange(keys)
+	return &schema.RangeDigest{Start: keys.Start, End: keys.End, Digest: s.digest(present), Count: uint32(len(present))}
 }
 
 func (s *Store) recordsTo(to string, records []*schema.Record) statemachine.Send {
--- a/crdt/store_test.go
+++ b/crdt/store_test.go
@@ -34,7 +34,7 @@
 
 // compare starts a comparison and delivers messages until none is left.
 func (p *replicaPair) compare(from, to string) {
-	queue := []statemachine.Send{p.stores[from].CompareRange(to, "", "")}
+	queue := []statemachine.Send{p.stores[from].CompareRange(to, KeyRange{})}
 	for len(queue) > 0 {
 		message := queue[0]
 		queue = queue[1:]
@@ -80,7 +80,7 @@
 			p.compare("b", "a")
 		}
 		p.check(greatest)
-		comparison := p.stores["a"].CompareRange("b", "", "")
+		comparison := p.stores["a"].CompareRange("b", KeyRange{})
 		if n := len(p.stores["b"].Step(0, comparison.Envelope).Send); n != 0 {
 			t.Fatalf("seed %d: equal replicas send %d envelopes", seed, n)
 		}
@@ -91,7 +91,7 @@
 	a, b := New("a"), New("b")
 	a.Merge(0, &schema.Record{Key: "report/stock-a", Timestamp: 7, Data: []byte("new")})
 	b.Merge(0, &schema.Record{Key: "report/stock-a", Timestamp: 6, Data: []byte("old")})
-	comparison := a.CompareRange("b", "", "")
+	comparison := a.CompareRange("b", KeyRange{})
 	for _, s := range b.Step(0, comparison.Envelope).Send { // b sends its older record
 		for _, repair := range a.Step(0, s.Envelope).Send { // a sends back its newer one
 			b.Step(0, repair.Envelope)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -8,6 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"stoneford/crdt"
 	"stoneford/failuredetector"
 	"stoneford/internal/membership"
 	"stoneford/result"
@@ -74,7 +75,7 @@
 func (c *Core) compareRecords() {
 	c.schedule.peer++
 	if peer := c.config.Seeds[c.schedule.peer%len(c.config.Seeds)]; peer != c.self {
-		c.send(c.records.CompareRange(peer, "", ""))
+		c.send(c.records.CompareRange(peer, crdt.KeyRange{}))
 	}
 }
 
--- a/internal/coordinator/databases.go
+++ b/internal/coordinator/databases.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"stoneford/crdt"
 	"stoneford/internal/learner"
 	"stoneford/result"
 	"stoneford/schema"
@@ -41,7 +42,7 @@
 	c.maintenance.turn++
 	voters := c.learner.Voters()
 	if address := voters[c.maintenance.turn%len(voters)]; address != c.self {
-		c.send(c.databases.CompareRange(address, "", ""))
+		c.send(c.databases.CompareRange(address, crdt.KeyRange{}))
 	}
 	c.forgetPollers(now)
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -34,10 +34,9 @@
 	Alive bool // neither draining nor confirmed dead
 }
 
-// ReplicatedRanges returns the ranges of keys that every node replicates, as pairs of a
-// first key and the first key behind the range.
-func ReplicatedRanges() [][2]string {
-	return [][2]string{{NodePrefix, nodePrefixEnd}, {SuspectPrefix, suspectPrefixEnd}}
+// ReplicatedRanges returns the ranges of keys that every node replicates.
+func ReplicatedRanges() []crdt.KeyRange {
+	return []crdt.KeyRange{{Start: NodePrefix, End: nodePrefixEnd}, {Start: SuspectPrefix, End: suspectPrefixEnd}}
 }
 
 // SuspectKey returns the key of a watcher's suspicion of a node.
--- a/internal/pool/fleet.go
+++ b/internal/pool/fleet.go
@@ -57,8 +57,8 @@
 	if peer == "" {
 		peer = c.nextSeed()
 	}
-	for _, r := range membership.ReplicatedRanges() {
-		c.send(c.records.CompareRange(peer, r[0], r[1]))
+	for _, keys := range membership.ReplicatedRanges() {
+		c.send(c.records.CompareRange(peer, keys))
 	}
 }
 
