--- /dev/null
+++ b/internal/control/configuration_test.go
@@ -0,0 +1,60 @@
+package control
+
+import (
+	"testing"
+
+	"stoneford/result"
+	"stoneford/schema"
+)
+
+// TestNextConfiguration: what a change makes of the current configuration, or why it is
+// rejected.
+func TestNextConfiguration(t *testing.T) {
+	current := &schema.Value{Revision: 3, Data: []byte(`{"time_zone":"UTC","classes":{"c":{"kind":"stale"}}}`)}
+	for name, x := range map[string]struct {
+		change  PutConfiguration
+		current *schema.Value
+		next    string
+		code    result.Code
+	}{
+		"complete":                {PutConfiguration{Base: 3, Text: []byte(`{}`)}, current, `{}`, result.OK},
+		"patch":                   {PutConfiguration{Base: 3, Patch: true, Text: []byte(`{"classes":null}`)}, current, `{"time_zone":"UTC"}`, result.OK},
+		"patch of nothing":        {PutConfiguration{Patch: true, Text: []byte(`{"time_zone":"UTC"}`)}, nil, `{"time_zone":"UTC"}`, result.OK},
+		"based on an older":       {PutConfiguration{Base: 2, Text: []byte(`{}`)}, current, "", result.LosingRevision},
+		"patch that is no object": {PutConfiguration{Base: 3, Patch: true, Text: []byte(`{`)}, current, "", result.OperatorBadJSON},
+		"invalid":                 {PutConfiguration{Base: 3, Text: []byte(`{"time_zone":"nowhere"}`)}, current, "", result.InvalidConfiguration},
+	} {
+		t.Run(name, func(t *testing.T) {
+			next, rejection := nextConfiguration(x.change, x.current)
+			code := result.OK
+			if rejection != nil {
+				code = rejection.Code
+			}
+			if string(next) != x.next || code != x.code {
+				t.Errorf("%s, code %d; want %s, code %d", next, code, x.next, x.code)
+			}
+		})
+	}
+}
+
+// TestMajorityTracker: a majority counts as lost only after a delay, and as reachable as
+// soon as it is heard.
+func TestMajorityTracker(t *testing.T) {
+	var m majorityTracker
+	for _, x := range []struct {
+		now              int64
+		heard, reachable bool
+	}{
+		{1_000_000, true, true},
+		{2_000_000, false, true},
+		{2_499_999, false, true},
+		{2_500_000, false, false},
+		{2_600_000, true, true},
+		{2_700_000, false, true},
+	} {
+		m.update(x.now, x.heard)
+		if m.reachable() != x.reachable {
+			t.Errorf("at %d: reachable %t", x.now, m.reachable())
+		}
+	}
+}
