--- a/emulator/simulation/day_test.go
+++ b/emulator/simulation/day_test.go
@@ -16,9 +16,9 @@
 	dayHours = flag.Float64("day-hours", 0, "length of one day to run instead of the short ones")
 )
 
-// day runs one day: a burden that rises until noon and falls again, faults and
-// booked moves through it, one last fault at its end as a configuration is
-// accepted, then a cold start and the reading back.
+// day runs one day: a load that rises until noon and falls again, faults and scheduled
+// maintenance throughout, one last fault at its end as a configuration is accepted, then
+// a restart of all control processes and the reading back.
 func day(seed uint64, lengthUs, faultUs int64, change func(*simulation.Plan)) (*simulation.Fleet, checker.Verdict) {
 	p := plan(seed)
 	p.DayUs = lengthUs
--- a/emulator/simulation/fault_kinds.go
+++ b/emulator/simulation/fault_kinds.go
@@ -65,9 +65,9 @@
 	{always, (*Fleet).replaceGroup},
 	{always, (*Fleet).loseAllPrimaries},
 	{always, (*Fleet).disturbPlatform},
-	{always, (*Fleet).bookMaintenance},
-	{always, (*Fleet).bookMaintenance},
-	{always, (*Fleet).bookMaintenance},
+	{always, (*Fleet).scheduleMaintenance},
+	{always, (*Fleet).scheduleMaintenance},
+	{always, (*Fleet).scheduleMaintenance},
 }
 
 // randomFault draws a target and a kind, and injects that fault if it is allowed now.
@@ -303,4 +303,4 @@
 	f.later(2_000_000, 6_000_000, func() { f.MaxPlatformUs, f.PlatformFailureProbability = defaultMaxPlatformUs, 0 })
 }
 
-func (f *Fleet) bookMaintenance(t faultTarget) { f.randomBooking(t.group) }
+func (f *Fleet) scheduleMaintenance(t faultTarget) { f.randomBooking(t.group) }
--- a/emulator/simulation/finish.go
+++ b/emulator/simulation/finish.go
@@ -74,34 +74,17 @@
 	return f.waiting == 0 && f.controlsHealthy()
 }
 
-// ReadBack reads every partner's configuration and holds it against the newest
-// that was told accepted.
+// maxReadBackUs is how long it may take to read back all configurations.
+const maxReadBackUs = 12_000_000
+
+// ReadBack reads every partner's configuration and checks it against the newest that was
+// accepted.
 func (f *Fleet) ReadBack() {
-	read, cs := map[string]bool{}, []*controlProcess{}
-	for _, c := range f.Controls {
-		if c.up && !c.frozen {
-			cs = append(cs, c)
-		}
-	}
+	read := map[string]bool{}
 	for i, p := range f.Partners() {
-		was := f.Oracle.accepted[p]
-		var try func()
-		try = func() {
-			f.Operate(cs[(i+len(read))%len(cs)], func(id uint64) any { return control.GetConfiguration{ID: id, Partner: p} }, func(r control.ConfigurationResult) {
-				switch {
-				case r.Code != result.OK:
-					f.After(300_000, try)
-				case r.Revision < was.Revision || r.Revision == was.Revision && string(r.Text) != string(was.Text):
-					f.Violation("%s reads back revision %d, and %d was told accepted", p, r.Revision, was.Revision)
-					fallthrough
-				default:
-					read[p] = true
-				}
-			})
-		}
-		try()
+		f.readBack(p, i, read)
 	}
-	for end := f.Now + 12_000_000; f.Now < end && len(read) < len(f.texts); {
+	for end := f.Now + maxReadBackUs; f.Now < end && len(read) < len(f.texts); {
 		f.Run(f.Now + 100_000)
 	}
 	for _, p := range f.Partners() {
@@ -111,31 +94,52 @@
 	}
 }
 
-// CheckEndOfDay brings one last fault about just as a configuration is accepted, then
-// every control process is started cold and the configuration read back.
+// readBack reads the i-th partner's configuration from one control process after the other
+// until one returns it, and then adds the partner to read.
+func (f *Fleet) readBack(partner string, i int, read map[string]bool) {
+	var running []*controlProcess
+	for _, c := range f.Controls {
+		if c.up && !c.frozen {
+			running = append(running, c)
+		}
+	}
+	accepted := f.Oracle.accepted[partner]
+	var attempt func()
+	attempt = func() {
+		f.Operate(running[(i+len(read))%len(running)], func(id uint64) any { return control.GetConfiguration{ID: id, Partner: partner} }, func(r control.ConfigurationResult) {
+			if r.Code != result.OK {
+				f.After(300_000, attempt)
+				return
+			}
+			if r.Revision < accepted.Revision || r.Revision == accepted.Revision && string(r.Text) != string(accepted.Text) {
+				f.Violation("%s reads back revision %d, and %d was acknowledged", partner, r.Revision, accepted.Revision)
+			}
+			read[partner] = true
+		})
+	}
+	attempt()
+}
+
+// CheckEndOfDay ends a day: one last fault strikes a control process just as a
+// configuration is accepted; then all control processes are ended, all but that one start
+// again on their disks, or that one starts on an empty disk, and the configurations are
+// read back.
 func (f *Fleet) CheckEndOfDay() {
 	f.Halt()
 	f.Heal()
 	f.Run(f.Now + 12_000_000)
 	p := f.Partners()[f.Random.IntN(len(f.texts))]
-	ci, kind, done := f.Random.IntN(3), f.Random.IntN(5), false
+	struck, kind, done := f.Random.IntN(controlCount), f.Random.IntN(5), false
 	base := f.Oracle.accepted[p].Revision
-	f.Operate(f.Controls[f.Random.IntN(3)], func(id uint64) any {
+	f.Operate(f.Controls[f.Random.IntN(controlCount)], func(id uint64) any {
 		return control.PutConfiguration{ID: id, Partner: p, Base: base, Patch: true, Text: fmt.Appendf(nil, `{"time_zone":"Etc/GMT+%d"}`, f.Random.IntN(12))}
 	}, func(r control.ConfigurationResult) {
 		done = true
 		if r.Code == result.OK {
 			f.Oracle.configured(p, r)
 		}
-		f.logf("the day's last configuration is told %d, revision %d", r.Code, r.Revision)
-		switch kind {
-		case 0, 1:
-			f.KillControl(ci)
-		case 2:
-			f.FreezeControl(ci)
-		case 3:
-			f.Isolate(f.Controls[ci].boot.Listen, f.Chance(0.5))
-		}
+		f.logf("the day's last configuration ends with %d, revision %d", r.Code, r.Revision)
+		f.strikeControl(struck, kind)
 	})
 	f.Run(f.Now + 5_000_000)
 	if !done {
@@ -147,12 +151,24 @@
 	f.Network.Repair()
 	f.Run(f.Now + 500_000)
 	for i := range f.Controls {
-		if i == ci && kind == 1 {
+		if i == struck && kind == 1 {
 			f.LoseDisk(i)
 		}
-		if i != ci || kind > 0 {
+		if i != struck || kind > 0 {
 			f.StartControl(i)
 		}
 	}
 	f.ReadBack()
 }
+
+// strikeControl kills, freezes or isolates a control process, or does nothing to it.
+func (f *Fleet) strikeControl(i, kind int) {
+	switch kind {
+	case 0, 1:
+		f.KillControl(i)
+	case 2:
+		f.FreezeControl(i)
+	case 3:
+		f.Isolate(f.Controls[i].boot.Listen, f.Chance(0.5))
+	}
+}
--- a/emulator/simulation/fleet_test.go
+++ b/emulator/simulation/fleet_test.go
@@ -107,16 +107,16 @@
 }
 
 // TestServesAfterAProcessReturns: a zone is lost for ten seconds under three times the
-// burden, or every pool node at once, and comes back; of what callers send from
-// 12 s after the return on, at least a quarter is served. With permits lost on
-// the way, which is planted, nothing is.
+// load, or every pool node at once, and comes back; of what callers send from 12 s after
+// the return on, at least a quarter is served. With connection leases lost, as a mutation,
+// nothing is.
 func TestServesAfterAProcessReturns(t *testing.T) {
 	least := 1.0
 	for _, c := range []struct {
 		name    string
 		all     bool
 		planted bool
-	}{{"a zone", false, false}, {"all nodes", true, false}, {"all nodes, no permits", true, true}} {
+	}{{"a zone", false, false}, {"all nodes", true, false}, {"all nodes, no connection leases", true, true}} {
 		var mu sync.Mutex
 		runSeeds(6, 0, func(seed uint64) {
 			p := plan(seed)
--- a/emulator/simulation/maintenance_test.go
+++ b/emulator/simulation/maintenance_test.go
@@ -27,14 +27,14 @@
 	}
 }
 
-// clock is a sentence's time, so many minutes ahead.
+// clock is the time a number of minutes ahead, as operators write it.
 func clock(f *simulation.Fleet, minutes int) string {
 	return time.UnixMicro(f.Now + int64(minutes)*60_000_000).UTC().Format("2006-01-02 15:04")
 }
 
-// TestPlannedMoves: a replica and then the primary are replaced, the primary is
-// switched and a machine stopped, all from the calendar, under burden; on odd
-// seeds the control process that carries the move out is killed in its midst.
+// TestPlannedMoves: a replica and then the primary are replaced, the primary is switched
+// and a machine stopped, all from the calendar, under load; on odd seeds the control
+// process that carries out the move is killed in its midst.
 func TestPlannedMoves(t *testing.T) {
 	runSeeds(12, 0, func(seed uint64) {
 		p := plan(seed)
@@ -98,9 +98,9 @@
 	})
 }
 
-// TestCalendarInvariants: overlapping moves of a group, too many machines at
-// once, past times and moves that have begun are bounced, and two who book at
-// once do not both get the time.
+// TestCalendarInvariants: overlapping windows of a group, too many machines at once, past
+// times and changes of windows that have begun are rejected, and of several that are
+// scheduled at once for the same time one is accepted.
 func TestCalendarInvariants(t *testing.T) {
 	p := plan(3)
 	p.MorePartners, p.Sessions, p.Machines = nil, 0, 6
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestWhy: a partner asks why a read was served where it was, and hears all that
-// was weighed as it was decided; of the other partner's reads it hears nothing.
+// TestWhy: a partner queries why a read was served where it was, and gets what was
+// compared for that decision; of the other partner's reads it gets nothing.
 func TestWhy(t *testing.T) {
 	p := plan(5)
 	p.LagUs = 40_000
@@ -164,7 +164,7 @@
 	for _, c := range []struct {
 		who, text string
 		want      result.Code
-		says      []string
+		contains  []string
 	}{
 		{"pharmacies", "why is read " + read + " on its copy", result.OK, []string{read, "least burden, run time and wait together", "inventory-1-b: burden", "inventory-1-c: burden", "needed"}},
 		{"pharmacies", "why are reads of inventory-1 where they are", result.OK, []string{"reserve", "lookup", "pickup", "by pool-"}},
@@ -176,7 +176,7 @@
 		if a.Code != c.want {
 			t.Errorf("%s: %q: %d %s", c.who, c.text, a.Code, a.Text)
 		}
-		for _, w := range c.says {
+		for _, w := range c.contains {
 			if !strings.Contains(a.Text, w) {
 				t.Errorf("%s: %q does not say %q:\n%s", c.who, c.text, w, a.Text)
 			}
--- a/emulator/simulation/mutations_test.go
+++ b/emulator/simulation/mutations_test.go
@@ -10,49 +10,48 @@
 	"stoneford/internal/control"
 )
 
-// TestMutationsAreDetected: for each line of what must never happen, a scenario
-// that leads up to it. As it is, no seed shows anything; with the fault planted
-// in the harness around the cores, at least half of the seeds show that very
-// line (docs/never-happens.md).
+// TestMutationsAreDetected: for each rule of docs/never-happens.md, a scenario that leads up
+// to its violation. As it is, no seed shows any violation; with a mutation of the simulated
+// environment, at least half of the seeds show the violation of that very rule.
 func TestMutationsAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		plant    simulation.Mutation
+		mutation simulation.Mutation
 		name     string
-		says     string // part of what the check says
+		contains string // part of the violation
 		lag      int64
 		sessions int
 		lengthUs int64
 		scenario func(*simulation.Fleet)
 	}{
-		{simulation.WriteTwice, "a write is passed on twice", "took effect 2 times", 5_000, 16, 4_000_000, nil},
-		{simulation.NotExecutedClaimed, "a lost return is told as nothing kept", "was kept after nothing kept was told", 5_000, 16, 5_000_000, lostResponses},
-		{simulation.AckBeforeMajority, "a write is told done before a majority holds it", "is gone", 5_000, 16, 6_000_000, replicasReceiveNothing},
-		{simulation.UnsealedTakeover, "a takeover seals nobody", "is gone", 5_000, 200, 4_000_000, partitionHalf},
-		{simulation.UnmeantPromotion, "a late order promotes an empty copy in the primary's place", "are kept", 5_000, 40, 8_000_000, lateOrders},
+		{simulation.WriteTwice, "a write is executed twice", "took effect 2 times", 5_000, 16, 4_000_000, nil},
+		{simulation.NotExecutedClaimed, "a lost response is reported as not executed", "was kept after nothing kept was told", 5_000, 16, 5_000_000, lostResponses},
+		{simulation.AckBeforeMajority, "a write is acknowledged before a majority received it", "is gone", 5_000, 16, 6_000_000, replicasReceiveNothing},
+		{simulation.UnsealedTakeover, "a failover seals no replica", "is gone", 5_000, 200, 4_000_000, partitionHalf},
+		{simulation.UnmeantPromotion, "a late order promotes an empty database at the primary's address", "are kept", 5_000, 40, 8_000_000, lateOrders},
 		{simulation.SkippedEntry, "polls leave the newest commits out", "were acknowledged before it", 300_000, 16, 4_000_000, nil},
-		{simulation.ClaimedApplied, "copies are said to have applied what they hold", "us old", 5_000, 16, 8_000_000, laggingReplicas},
+		{simulation.ClaimedApplied, "replicas are reported to have applied what they received", "us old", 5_000, 16, 8_000_000, laggingReplicas},
 		{simulation.TokenForgotten, "a session goes on without its token", "changes of own/", 700_000, 16, 8_000_000, wander},
 		{simulation.TornSession, "a connection is not reset", "the values of another", 5_000, 16, 4_000_000, nil},
 		{simulation.ForeignPrepared, "a prepared name keeps another's text", "the values of another", 5_000, 16, 4_000_000, nil},
 		{simulation.ChangedText, "a statement's text is changed", "what was sent changes", 5_000, 16, 4_000_000, nil},
-		{simulation.UnheardDraining, "tables do not hear that a database leaves", "after it learned that it leaves", 5_000, 16, 14_000_000, func(f *simulation.Fleet) { f.DrainPrimary(f.Plan.Groups[0]) }},
+		{simulation.UnheardDraining, "tables do not hear that a database drains", "after it learned that it leaves", 5_000, 16, 14_000_000, func(f *simulation.Fleet) { f.DrainPrimary(f.Plan.Groups[0]) }},
 		{simulation.DroppedAtStop, "a stopping node gives no grace", "dropped", 5_000, 150, 5_000_000, stops},
-		{simulation.LateUpdates, "news of a configuration is held up", "accepted 3", 5_000, 16, 8_000_000, operate},
+		{simulation.LateUpdates, "updates of a configuration are delayed", "accepted 3", 5_000, 16, 8_000_000, operate},
 		{simulation.SlippingBack, "a node that starts again believes an old reading", "went back from revision", 5_000, 16, 9_000_000, restarts},
 		{simulation.UncheckedChange, "an invalid change passes", "an invalid configuration was accepted", 5_000, 16, 8_000_000, operate},
 		{simulation.RebasedChange, "a losing change passes", "a losing change", 5_000, 16, 8_000_000, operate},
-		{simulation.UnsyncedDisk, "what was told accepted was not synced", "was told accepted", 5_000, 16, 4_000_000, (*simulation.Fleet).CheckEndOfDay},
-		{simulation.DelayedRejections, "a bounce is held until the expiry", "held a query for", 5_000, 16, 6_000_000, func(f *simulation.Fleet) { f.KillDatabase(f.Primary(f.Plan.Groups[0]).Name()) }},
+		{simulation.UnsyncedDisk, "what was reported accepted was not synced", "was acknowledged", 5_000, 16, 4_000_000, (*simulation.Fleet).CheckEndOfDay},
+		{simulation.DelayedRejections, "a rejection is delayed beyond the deadline", "held a query for", 5_000, 16, 6_000_000, func(f *simulation.Fleet) { f.KillDatabase(f.Primary(f.Plan.Groups[0]).Name()) }},
 	} {
-		for _, plant := range []simulation.Mutation{simulation.NoMutation, c.plant} {
+		for _, mutation := range []simulation.Mutation{simulation.NoMutation, c.mutation} {
 			var mu sync.Mutex
 			n, first, seeds := 0, "", uint64(4)
-			if plant == simulation.NoMutation {
+			if mutation == simulation.NoMutation {
 				seeds = 2
 			}
 			runSeeds(seeds, 0, func(seed uint64) {
 				pl := plan(seed)
-				pl.Mutation, pl.LagUs, pl.Sessions = plant, c.lag, c.sessions
+				pl.Mutation, pl.LagUs, pl.Sessions = mutation, c.lag, c.sessions
 				f := simulation.NewFleet(pl)
 				f.Quiet = true
 				f.PutConfiguration(nil)
@@ -67,7 +66,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				for _, b := range v.Violations {
-					if plant == simulation.NoMutation || strings.Contains(b, c.says) {
+					if mutation == simulation.NoMutation || strings.Contains(b, c.contains) {
 						n++
 						if first == "" {
 							first = fmt.Sprintf("seed %d: %s", seed, b)
@@ -77,18 +76,18 @@
 				}
 			})
 			switch {
-			case plant == simulation.NoMutation && n > 0:
-				t.Errorf("%s, without the plant: %d of %d seeds: %s", c.name, n, seeds, first)
-			case plant != simulation.NoMutation && uint64(n) < seeds/2:
+			case mutation == simulation.NoMutation && n > 0:
+				t.Errorf("%s, without the mutation: %d of %d seeds: %s", c.name, n, seeds, first)
+			case mutation != simulation.NoMutation && uint64(n) < seeds/2:
 				t.Errorf("%s: only %d of %d seeds show it: %s", c.name, n, seeds, first)
-			case plant != simulation.NoMutation:
+			case mutation != simulation.NoMutation:
 				t.Logf("%s: seen by %d of %d seeds: %s", c.name, n, seeds, first)
 			}
 		}
 	}
 }
 
-// lostResponses: the primaries run what they are sent and some returns never come.
+// lostResponses: the primaries execute what they are sent and some responses never come.
 func lostResponses(f *simulation.Fleet) {
 	for i := range 4 {
 		f.After(int64(i)*700_000, func() {
@@ -114,9 +113,9 @@
 	})
 }
 
-// partitionHalf: the primary is cut off from the control processes and all pool
-// nodes but one, which goes on writing to it and hears no news; the platform
-// is slow, and the copy that is chosen receives nothing from then on.
+// partitionHalf: the primary is partitioned off from the control processes and all pool
+// nodes but one, which goes on writing to it and receives no updates; the platform is
+// slow, and the database that is elected receives nothing from then on.
 func partitionHalf(f *simulation.Fleet) {
 	f.MaxPlatformUs = 1_500_000
 	g := f.Plan.Groups[0]
@@ -151,7 +150,7 @@
 	var then func()
 	then = func() {
 		if p := f.Primary(g); f.HasRedundancy(g) {
-			f.SlowControls(300_000) // they see late that another copy is there
+			f.SlowControls(300_000) // they see late that another database is there
 			f.LoseDatabase(p.Name())
 			f.After(2_500_000, func() { f.SlowControls(0) })
 			return
--- a/emulator/simulation/random_faults.go
+++ b/emulator/simulation/random_faults.go
@@ -167,76 +167,101 @@
 		owner, what = n.Partner, n.Name+" for stop"
 	}
 	c := f.Controls[f.Random.IntN(3)]
-	f.logf("%s books %s", who, what)
+	f.logf("%s schedules %s", who, what)
 	f.RunOperatorCommand(c, who, "book "+what+" at "+time.UnixMicro(f.Now).UTC().Format("2006-01-02 15:04"), func(a control.CommandResult) {
 		if a.Code != result.OK || len(a.Bookings) != 1 {
-			f.logf("it is told %d %s", a.Code, a.Text)
+			f.logf("the reply is %d %s", a.Code, a.Text)
 			return
 		}
-		id := a.Bookings[0].Id
-		confirm := func(p string, then func()) {
-			f.RunOperatorCommand(c, p, fmt.Sprintf("confirm booking %d", id), func(a control.CommandResult) {
-				if p != owner && a.Code == result.OK {
-					f.Violation("%s confirmed a booking that belongs to %s", p, owner)
-				}
-				then()
-			})
-		}
-		other := f.Partners()[0]
-		if other == owner {
-			other = f.Partners()[len(f.texts)-1]
+		id, other := a.Bookings[0].Id, f.otherPartner(owner)
+		f.confirmWindow(c, other, owner, id, func() { f.confirmWindow(c, owner, owner, id, func() {}) })
+	})
+}
+
+// otherPartner is a partner other than the given one, if there is another.
+func (f *Fleet) otherPartner(partner string) string {
+	if first := f.Partners()[0]; first != partner {
+		return first
+	}
+	return f.Partners()[len(f.texts)-1]
+}
+
+// confirmWindow has a partner confirm a maintenance window; only its owner may.
+func (f *Fleet) confirmWindow(c *controlProcess, partner, owner string, id uint64, then func()) {
+	f.RunOperatorCommand(c, partner, fmt.Sprintf("confirm booking %d", id), func(a control.CommandResult) {
+		if partner != owner && a.Code == result.OK {
+			f.Violation("%s confirmed a booking that belongs to %s", partner, owner)
 		}
-		confirm(other, func() { confirm(owner, func() {}) })
+		then()
 	})
 }
 
-// Operators race: two send changes based on the same revision, one of them
-// perhaps with an error in it, from different control processes.
+// Operators has two operators race: both send changes based on the same revision, perhaps
+// invalid ones, to different control processes. At most one may be accepted.
 func (f *Fleet) Operators() {
-	p := f.Partners()[f.Random.IntN(len(f.texts))]
-	base := f.Oracle.accepted[p].Revision
-	g := f.Plan.Groups[slices.IndexFunc(f.Plan.Groups, func(g string) bool { return f.owner[g] == p })]
-	accepted := 0
+	partner := f.Partners()[f.Random.IntN(len(f.texts))]
+	race := &operatorRace{fleet: f, partner: partner, base: f.Oracle.accepted[partner].Revision}
+	group := f.Plan.Groups[slices.IndexFunc(f.Plan.Groups, func(g string) bool { return f.owner[g] == partner })]
 	for i := range 2 {
-		c := f.Controls[f.Random.IntN(3)]
+		c := f.Controls[f.Random.IntN(controlCount)]
 		if !c.up {
 			continue
 		}
-		line := 300 + f.Random.IntN(300)
-		good := f.Chance(0.7)
-		text := fmt.Sprintf(`{"routes":{"%s":{"line":%d}}}`, g, line)
-		if !good {
-			text = fmt.Sprintf(`{"routes":{"%s":{"line":0,"group":"nowhere"}}}`, g)
+		limit := 300 + f.Random.IntN(300)
+		change := &operatorChange{race: race, operator: i, control: c, valid: f.Chance(0.7)}
+		change.text = fmt.Sprintf(`{"routes":{"%s":{"line":%d}}}`, group, limit)
+		if !change.valid {
+			change.text = fmt.Sprintf(`{"routes":{"%s":{"line":0,"group":"nowhere"}}}`, group)
 		}
-		f.logf("operator %d of %s sends a change on revision %d", i, p, base)
-		var send func(on uint64)
-		var heard func(r control.ConfigurationResult)
-		send = func(on uint64) {
-			f.Operate(c, func(id uint64) any {
-				e := control.PutConfiguration{ID: id, Partner: p, Base: on, Patch: true, Text: []byte(text)}
-				if f.Plan.Mutation == UncheckedChange && !good {
-					e.Text = []byte(`{"time_zone":"UTC"}`)
-				}
-				return e
-			}, func(r control.ConfigurationResult) { heard(r) })
-		}
-		heard = func(r control.ConfigurationResult) {
-			if r.Code == result.LosingRevision && f.Plan.Mutation == RebasedChange {
-				send(r.Revision)
-				return
-			}
-			f.logf("operator %d hears %d revision %d", i, r.Code, r.Revision)
-			if r.Code != result.OK {
-				return
-			}
-			if !good {
-				f.Violation("an invalid configuration was accepted")
-			}
-			if accepted++; accepted > 1 || r.Revision != base+1 {
-				f.Violation("a losing change on revision %d was accepted as revision %d", base, r.Revision)
-			}
-			f.Oracle.configured(p, r)
+		f.logf("operator %d of %s sends a change on revision %d", i, partner, race.base)
+		change.send(race.base)
+	}
+}
+
+// operatorRace is two changes on one revision.
+type operatorRace struct {
+	fleet    *Fleet
+	partner  string
+	base     uint64
+	accepted int
+}
+
+// operatorChange is one of them.
+type operatorChange struct {
+	race     *operatorRace
+	operator int
+	control  *controlProcess
+	valid    bool
+	text     string
+}
+
+func (c *operatorChange) send(base uint64) {
+	f := c.race.fleet
+	f.Operate(c.control, func(id uint64) any {
+		e := control.PutConfiguration{ID: id, Partner: c.race.partner, Base: base, Patch: true, Text: []byte(c.text)}
+		if f.Plan.Mutation == UncheckedChange && !c.valid {
+			e.Text = []byte(`{"time_zone":"UTC"}`)
 		}
-		send(base)
+		return e
+	}, c.ended)
+}
+
+// ended takes the reply to a change.
+func (c *operatorChange) ended(r control.ConfigurationResult) {
+	race, f := c.race, c.race.fleet
+	if r.Code == result.LosingRevision && f.Plan.Mutation == RebasedChange {
+		c.send(r.Revision)
+		return
+	}
+	f.logf("operator %d receives %d revision %d", c.operator, r.Code, r.Revision)
+	if r.Code != result.OK {
+		return
+	}
+	if !c.valid {
+		f.Violation("an invalid configuration was accepted")
+	}
+	if race.accepted++; race.accepted > 1 || r.Revision != race.base+1 {
+		f.Violation("a losing change on revision %d was accepted as revision %d", race.base, r.Revision)
 	}
+	f.Oracle.configured(race.partner, r)
 }
--- a/emulator/simulation/replacement_test.go
+++ b/emulator/simulation/replacement_test.go
@@ -79,10 +79,10 @@
 	}
 }
 
-// TestServesWhileRoleOwnerChanges: the holder of the groups' duties dies, or is
-// stopped, just as a crowd of five times the sessions comes and a machine joins.
-// Nodes that are up go on with their shares; the one that joins has its own within
-// the time stated in docs/operating.md, and soon after a stop.
+// TestServesWhileRoleOwnerChanges: the leader of the groups dies, or is stopped, just as a
+// crowd of five times the sessions comes and a machine joins. Nodes that are up go on with
+// their connections; the one that joins has its own within the time stated in
+// docs/operating.md, and soon after a stop.
 func TestServesWhileRoleOwnerChanges(t *testing.T) {
 	var mu sync.Mutex
 	took, least := map[bool][]int64{}, 1.0
