--- a/cmd/stoneford-simulate/main.go
+++ b/cmd/stoneford-simulate/main.go
@@ -137,7 +137,7 @@
 		row(n+", served", func(f whatif.Figures) float64 { return f.Kinds[n].Served })
 		row(n+", p99 ms", func(f whatif.Figures) float64 { return float64(f.Kinds[n].P99Us) / 1000 })
 	}
-	for _, n := range []string{checker.Lookup, checker.Pinned} {
+	for _, n := range []string{checker.Lookup, checker.ReadYourWrites} {
 		row(n+", greatest age ms", func(f whatif.Figures) float64 { return float64(f.Ages[n].MaxUs) / 1000 })
 	}
 	row("status polls a query", func(f whatif.Figures) float64 { return f.Polls })
--- a/emulator/callers/callers.go
+++ b/emulator/callers/callers.go
@@ -323,7 +323,7 @@
 	case p < 0.87:
 		s.read(ctx, checker.Lookup, query{Class: s.class("stale")})
 	default:
-		s.read(ctx, checker.Pinned, query{Class: s.class("pinned")})
+		s.read(ctx, checker.ReadYourWrites, query{Class: s.class("pinned")})
 	}
 }
 
--- /dev/null
+++ b/emulator/checker/check.go
@@ -0,0 +1,122 @@
+package checker
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"stoneford/emulator/databasereplica"
+	"stoneford/result"
+)
+
+// check is one comparison of what callers were sent with what the databases hold.
+type check struct {
+	checker *Checker
+	verdict Verdict
+	sent    map[string]Write            // by route and tag
+	commits map[string]int64            // number of commits by route and tag
+	ticks   map[string][]int64          // times of the ticks by route, in order
+	changes map[string]map[string]int64 // committed changes by route and row
+}
+
+func (k *check) violation(format string, a ...any) {
+	k.verdict.Violations = append(k.verdict.Violations, fmt.Sprintf(format, a...))
+}
+
+// checkLog checks that each commit changes what one caller sent, and that every
+// acknowledged change is in the log.
+func (k *check) checkLog(route string, log []databasereplica.LogEntry) {
+	changes := map[string]int64{}
+	k.changes[route] = changes
+	for i, e := range log {
+		rows, tag := rowsOf(e)
+		for _, r := range rows {
+			changes[r]++
+		}
+		switch {
+		case len(rows) == 0:
+		case tag != "":
+			k.checkCommit(route, tag, i+1, rows)
+		case slices.Equal(rows, []string{TickRow}):
+			k.ticks[route] = append(k.ticks[route], e.AtUs)
+		default:
+			k.violation("%s: position %d changes %v, which nobody sent in one", route, i+1, rows)
+		}
+	}
+	for r, acknowledged := range k.checker.acknowledged[route] {
+		if n := changes[r]; n < acknowledged {
+			k.violation("%s: %d changes of %s were acknowledged and %d are kept", route, acknowledged, r, n)
+		}
+	}
+}
+
+// checkCommit checks that a commit with a tag changes the rows that were sent with it.
+func (k *check) checkCommit(route, tag string, position int, rows []string) {
+	k.commits[route+" "+tag]++
+	w, ok := k.sent[route+" "+tag]
+	want := slices.Sorted(slices.Values(append(slices.Clone(w.Rows), TagRow(tag))))
+	if !ok || !slices.Equal(rows, want) {
+		k.violation("%s: position %d changes %v; what was sent changes %v", route, position, rows, want)
+	}
+}
+
+// checkWrite checks a write's effect against the outcome that its caller was sent.
+func (k *check) checkWrite(w Write) {
+	n := k.commits[w.Route+" "+w.Tag]
+	switch {
+	case n > 1:
+		k.violation("%s: write %s took effect %d times", w.Route, w.Tag, n)
+	case w.Outcome == result.Done && n == 0:
+		k.violation("%s: acknowledged write %s (at %d) is gone", w.Route, w.Tag, w.AtUs)
+	case w.Outcome == result.NoEffect && n > 0:
+		k.violation("%s: write %s was kept after nothing kept was told", w.Route, w.Tag)
+	}
+	switch w.Outcome {
+	case result.Done:
+		k.verdict.Acknowledged++
+	case result.Uncertain:
+		k.verdict.InDoubt++
+		k.verdict.InDoubtCommitted += int(min(n, 1))
+	}
+}
+
+// checkReads checks what reads showed and how old it was.
+func (k *check) checkReads() {
+	ages := map[string][]int64{}
+	for _, r := range k.checker.reads {
+		ages[r.Kind] = append(ages[r.Kind], k.checkRead(r))
+	}
+	for kind, a := range ages {
+		slices.Sort(a)
+		k.verdict.Ages[kind] = Ages{Reads: len(a), MedianUs: Quantile(a, 0.5), P99Us: Quantile(a, 0.99), MaxUs: a[len(a)-1]}
+	}
+}
+
+// checkRead checks one read and returns the age of what it showed, in microseconds.
+func (k *check) checkRead(read Read) (age int64) {
+	where := fmt.Sprintf("%s: a %s %s", read.Route, read.Kind, read.Database)
+	for _, r := range read.Rows {
+		if ticks := k.ticks[read.Route]; r.Row == TickRow && r.Value < int64(len(ticks)) {
+			// The first tick that it did not show was committed then.
+			age = max(0, read.AtUs-ticks[r.Value])
+		}
+		changes := k.changes[read.Route][r.Row]
+		switch {
+		case r.Value < r.Acknowledged && read.mustShow(r.Row):
+			k.violation("%s showed %d changes of %s, %d were acknowledged before it", where, r.Value, r.Row, r.Acknowledged)
+		case read.Kind == Current && r.Value > changes:
+			k.violation("%s showed %d changes of %s, %d are kept", where, r.Value, r.Row, changes)
+		}
+	}
+	switch {
+	case read.Kind == Lookup && age > LookupStalenessLimit, read.Kind == ReadYourWrites && age > ReadYourWritesStalenessLimit:
+		k.violation("%s was %d us old", where, age)
+	}
+	return age
+}
+
+// mustShow says whether a read has to show every acknowledged change of a row: a current
+// read of any row, one that reads its session's writes of the session's own row.
+func (r Read) mustShow(row string) bool {
+	return r.Kind == Current || r.Kind == ReadYourWrites && strings.HasPrefix(row, ownPrefix)
+}
--- a/emulator/checker/checker.go
+++ b/emulator/checker/checker.go
@@ -1,5 +1,3 @@
-// Package checker holds what callers were told against what the databases hold
-// in the end. The real fleet and the simulated one use the same checker.
 package checker
 
 import (
@@ -13,19 +11,19 @@
 	"stoneford/result"
 )
 
-// Kinds of reads, each with its own promise.
+// Kinds of reads, each with its own guarantee.
 const (
-	Current = "current read"
-	Lookup  = "lookup"
-	Pinned  = "pinned"
+	Current        = "current read" // shows every write acknowledged before it
+	Lookup         = "lookup"       // is at most LookupStalenessLimit old
+	ReadYourWrites = "pinned"       // shows its session's writes, at most ReadYourWritesStalenessLimit old
 )
 
-// Write is one write that a caller sent under a tag of its own: the row
-// ledger/TAG and the other rows that its commit changes by one each.
+// Write is one write that a caller sent under a tag of its own: its commit changes the
+// tag's row and the other rows by one each.
 type Write struct {
 	Route   string
 	Tag     string
-	Rows    []string // RELATION/KEY, the tag's own left out
+	Rows    []string // RELATION/KEY, without the tag's own
 	Outcome result.Outcome
 	AtUs    int64
 }
@@ -47,22 +45,28 @@
 	Database string
 }
 
-// TickRow is the row that is added to all the time: how far it is tells how
-// fresh a read was.
+// TickRow is the row that is incremented all the time: its value shows how old a read's
+// data was.
 const TickRow = "ticks/t"
 
+// Prefixes of rows by their relation.
+const (
+	ownPrefix = "own/"
+	tagPrefix = "ledger/"
+)
+
 // OwnRow is the row that only one session writes.
-func OwnRow(session string) string { return "own/" + session }
+func OwnRow(session string) string { return ownPrefix + session }
 
 // TagRow is the row of a write's tag.
-func TagRow(tag string) string { return "ledger/" + tag }
+func TagRow(tag string) string { return tagPrefix + tag }
 
 // ReadStatement is the statement that reads rows.
 func ReadStatement(rows []string) string {
 	return "read " + strings.ReplaceAll(strings.Join(rows, " "), "/", " ")
 }
 
-// Checker collects.
+// Checker collects what callers sent and were sent. It may be used by several goroutines.
 type Checker struct {
 	mu           sync.Mutex
 	writes       []Write
@@ -91,6 +95,7 @@
 	c.acknowledge(route, TickRow)
 }
 
+// acknowledge counts an acknowledged change of each row.
 func (c *Checker) acknowledge(route string, rows ...string) {
 	m := c.acknowledged[route]
 	if m == nil {
@@ -102,7 +107,8 @@
 	}
 }
 
-// ReadExpectation is what was acknowledged of the rows that a read is about to ask for.
+// ReadExpectation is how many changes of rows are acknowledged now, before a read of them is
+// sent.
 func (c *Checker) ReadExpectation(route string, rows ...string) []ObservedRow {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,8 +119,8 @@
 	return ss
 }
 
-// RecordRead notes what a read showed of the rows it was sent for: the texts of its
-// return, as they came.
+// RecordRead notes what a read showed of the rows it was sent for: the values of its
+// response, one for each row.
 func (c *Checker) RecordRead(r Read, values [][]string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +141,7 @@
 	c.reads = append(c.reads, r)
 }
 
-// RecordViolation notes something that is wrong by itself.
+// RecordViolation notes a violation that the caller found.
 func (c *Checker) RecordViolation(f string, a ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,11 +150,11 @@
 
 // Limits on the age of what a read shows, in microseconds.
 const (
-	LookupStalenessLimit = 1_500_000
-	PinnedStalenessLimit = 2_500_000
+	LookupStalenessLimit         = 1_500_000
+	ReadYourWritesStalenessLimit = 2_500_000
 )
 
-// Ages sums the ages of one kind of read.
+// Ages are the ages of what reads of one kind showed.
 type Ages struct {
 	Reads    int   `json:"reads"`
 	MedianUs int64 `json:"median_us"`
@@ -165,93 +171,24 @@
 	InDoubtCommitted int             `json:"uncertain_writes_kept"`
 }
 
-// Check holds what callers were told against what the group behind each route
-// holds in the end.
+// Check compares what callers were sent with the logs of the groups behind their routes
+// at the end of a run.
 func (c *Checker) Check(logs map[string][]databasereplica.LogEntry) Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v := Verdict{Violations: slices.Clone(c.violations), Ages: map[string]Ages{}}
-	bad := func(f string, a ...any) { v.Violations = append(v.Violations, fmt.Sprintf(f, a...)) }
-	sent := map[string]Write{}
+	k := &check{checker: c, verdict: Verdict{Violations: slices.Clone(c.violations), Ages: map[string]Ages{}},
+		sent: map[string]Write{}, commits: map[string]int64{}, ticks: map[string][]int64{}, changes: map[string]map[string]int64{}}
 	for _, w := range c.writes {
-		sent[w.Route+" "+w.Tag] = w
+		k.sent[w.Route+" "+w.Tag] = w
 	}
-	tags := map[string]int64{}
-	ticks := map[string][]int64{}
-	kept := map[string]map[string]int64{}
-	for rt, log := range logs {
-		kept[rt] = map[string]int64{}
-		for i, e := range log {
-			rows, tag := rowsOf(e)
-			for _, r := range rows {
-				kept[rt][r]++
-			}
-			w, ok := sent[rt+" "+tag]
-			switch {
-			case len(rows) == 0:
-			case tag != "":
-				tags[rt+" "+tag]++
-				want := slices.Sorted(slices.Values(append(slices.Clone(w.Rows), TagRow(tag))))
-				if !ok || !slices.Equal(rows, want) {
-					bad("%s: position %d changes %v; what was sent changes %v", rt, i+1, rows, want)
-				}
-			case slices.Equal(rows, []string{TickRow}):
-				ticks[rt] = append(ticks[rt], e.AtUs)
-			default:
-				bad("%s: position %d changes %v, which nobody sent in one", rt, i+1, rows)
-			}
-		}
-		for r, a := range c.acknowledged[rt] {
-			if n := kept[rt][r]; n < a {
-				bad("%s: %d changes of %s were acknowledged and %d are kept", rt, a, r, n)
-			}
-		}
+	for route, log := range logs {
+		k.checkLog(route, log)
 	}
 	for _, w := range c.writes {
-		n := tags[w.Route+" "+w.Tag]
-		switch {
-		case n > 1:
-			bad("%s: write %s took effect %d times", w.Route, w.Tag, n)
-		case w.Outcome == result.Done && n == 0:
-			bad("%s: acknowledged write %s (at %d) is gone", w.Route, w.Tag, w.AtUs)
-		case w.Outcome == result.NoEffect && n > 0:
-			bad("%s: write %s was kept after nothing kept was told", w.Route, w.Tag)
-		}
-		switch w.Outcome {
-		case result.Done:
-			v.Acknowledged++
-		case result.Uncertain:
-			v.InDoubt++
-			v.InDoubtCommitted += int(min(n, 1))
-		}
-	}
-	ages := map[string][]int64{}
-	for _, d := range c.reads {
-		age := int64(0)
-		where := fmt.Sprintf("%s: a %s %s", d.Route, d.Kind, d.Database)
-		for _, r := range d.Rows {
-			if ts := ticks[d.Route]; r.Row == TickRow && r.Value < int64(len(ts)) {
-				// The first tick it did not show was committed then.
-				age = max(0, d.AtUs-ts[r.Value])
-			}
-			switch {
-			case r.Value < r.Acknowledged && (d.Kind == Current || d.Kind == Pinned && strings.HasPrefix(r.Row, "own/")):
-				bad("%s showed %d changes of %s, %d were acknowledged before it", where, r.Value, r.Row, r.Acknowledged)
-			case d.Kind == Current && r.Value > kept[d.Route][r.Row]:
-				bad("%s showed %d changes of %s, %d are kept", where, r.Value, r.Row, kept[d.Route][r.Row])
-			}
-		}
-		ages[d.Kind] = append(ages[d.Kind], age)
-		switch {
-		case d.Kind == Lookup && age > LookupStalenessLimit, d.Kind == Pinned && age > PinnedStalenessLimit:
-			bad("%s was %d us old", where, age)
-		}
-	}
-	for k, as := range ages {
-		slices.Sort(as)
-		v.Ages[k] = Ages{Reads: len(as), MedianUs: Quantile(as, 0.5), P99Us: Quantile(as, 0.99), MaxUs: as[len(as)-1]}
+		k.checkWrite(w)
 	}
-	return v
+	k.checkReads()
+	return k.verdict
 }
 
 // rowsOf is the rows that one commit changes, sorted, and its tag.
@@ -262,7 +199,7 @@
 			r += " by another amount"
 		}
 		rows = append(rows, r)
-		if t, ok := strings.CutPrefix(r, "ledger/"); ok {
+		if t, ok := strings.CutPrefix(r, tagPrefix); ok {
 			tag = t
 		}
 	}
@@ -270,10 +207,10 @@
 	return rows, tag
 }
 
-// Quantile of sorted values.
-func Quantile(vs []int64, q float64) int64 {
-	if len(vs) == 0 {
+// Quantile is the q-th quantile of sorted values, q from 0 to 1; 0 without values.
+func Quantile(sorted []int64, q float64) int64 {
+	if len(sorted) == 0 {
 		return 0
 	}
-	return vs[min(len(vs)-1, int(float64(len(vs))*q))]
+	return sorted[min(len(sorted)-1, int(float64(len(sorted))*q))]
 }
--- a/emulator/run-fleet/main.go
+++ b/emulator/run-fleet/main.go
@@ -243,7 +243,7 @@
 		rep.Kinds[k] = addCounters(l)
 	}
 	reads := lo.Filter(ss, func(s callers.Sample, _ int) bool {
-		return (s.Kind == checker.Lookup || s.Kind == checker.Pinned || s.Kind == checker.Current) && s.Outcome == result.Done
+		return (s.Kind == checker.Lookup || s.Kind == checker.ReadYourWrites || s.Kind == checker.Current) && s.Outcome == result.Done
 	})
 	by := lo.CountValuesBy(reads, func(s callers.Sample) string { return s.Database })
 	rep.All.Databases = by
--- a/emulator/simulation/sessions.go
+++ b/emulator/simulation/sessions.go
@@ -61,7 +61,7 @@
 	case p < 0.85:
 		s.read(checker.Lookup, querytable.Query{Class: s.class("stale")}, done)
 	case p < 0.98:
-		s.read(checker.Pinned, querytable.Query{Class: s.class("pinned")}, done)
+		s.read(checker.ReadYourWrites, querytable.Query{Class: s.class("pinned")}, done)
 	default:
 		s.change(done)
 	}
