--- a/emulator/databasereplica/copy.go
+++ b/emulator/databasereplica/replica.go
@@ -1,9 +1,3 @@
-// Package databasereplica is the stand-in for one database of a group: it
-// implements docs/database-interface.md over real rows, so that a checker can
-// see double writes, lost commits and the age of each read.
-//
-// Copy is the deterministic part; Server puts HTTP, a log on disk and timers
-// around it.
 package databasereplica
 
 import (
@@ -26,10 +20,10 @@
 type LogEntry struct {
 	Epoch  uint64  `json:"epoch"`
 	Writes []Write `json:"writes,omitempty"`
-	AtUs   int64   `json:"at_us"` // the stand-in's own clock, for the checker
+	AtUs   int64   `json:"at_us"` // by the emulated database's own clock, for the checker
 }
 
-// PersistentState is what a copy keeps on disk beside its log.
+// PersistentState is what a replica keeps on disk beside its log.
 type PersistentState struct {
 	Identity  string `json:"identity"`
 	Epoch     uint64 `json:"epoch"`
@@ -60,7 +54,7 @@
 	Values   map[string]string `json:"values,omitempty"`
 }
 
-// Result is one step's return.
+// Result is the result of one operation.
 type Result struct {
 	Rows      [][]string `json:"rows,omitempty"`
 	Position  int64      `json:"position,omitempty"` // of a commit
@@ -69,6 +63,7 @@
 	Error     string     `json:"error,omitempty"`
 }
 
+// connection is an open connection with its session state and its transaction.
 type connection struct {
 	owner         string
 	usedUs        int64
@@ -78,7 +73,8 @@
 	pending       []Write
 }
 
-// Replica is one database's whole state.
+// Replica is the state of one database. Its methods return what happened and do nothing
+// else; it is not safe for concurrent use.
 type Replica struct {
 	PersistentState
 	Name            string
@@ -92,20 +88,21 @@
 	lastConnection  int64
 }
 
-// New makes a copy; an initial primary is told so by Promote. Connections are
-// numbered from firstConn: no run of the process may use a number again that
-// an earlier one gave out, or a pool's old connection would be another's.
+// New makes an empty, sealed replica. Connections are numbered from firstConn: no run of
+// the process may use a number that an earlier run used, or a pool's old connection would
+// be another's.
 func New(name, identity string, limit int, firstConn int64) *Replica {
 	return &Replica{Name: name, ConnectionLimit: limit, lastConnection: firstConn, PersistentState: PersistentState{Identity: identity}, rows: map[string]map[string]int64{}, connections: map[int64]*connection{}, newestRuns: map[string]uint64{}}
 }
 
-// Restore takes what was kept on disk; all of it is applied.
+// Restore takes the state and the log from disk and applies all of it.
 func (c *Replica) Restore(k PersistentState, log []LogEntry) {
 	c.PersistentState, c.log = k, slices.Clone(log)
 	c.rows, c.applied = map[string]map[string]int64{}, 0
 	c.Apply(int64(len(c.log)))
 }
 
+// role is primary, replica or sealed.
 func (c *Replica) role() string {
 	switch {
 	case c.Primary:
@@ -116,13 +113,13 @@
 	return "sealed"
 }
 
-// Received is the position of the newest commit held.
+// Received is the position of the newest commit in the log.
 func (c *Replica) Received() int64 { return int64(len(c.log)) }
 
 // Applied is the position up to which rows show the log.
 func (c *Replica) Applied() int64 { return c.applied }
 
-// LogEpoch is the epoch of the newest commit held.
+// LogEpoch is the epoch of the newest commit in the log.
 func (c *Replica) LogEpoch() uint64 { return c.epochAt(c.Received()) }
 
 func (c *Replica) epochAt(p int64) uint64 {
@@ -132,16 +129,17 @@
 	return c.log[p-1].Epoch
 }
 
-// Log is the commits behind a position.
+// Log is the part of the log behind a position.
 func (c *Replica) Log(after int64) []LogEntry { return slices.Clone(c.log[min(after, c.Received()):]) }
 
-// Status tells all of itself.
+// Status is the replica's status, as the interface returns it.
 func (c *Replica) Status() Status {
 	return Status{Database: c.Name, Identity: c.Identity, Role: c.role(), Epoch: c.Epoch, LogEpoch: c.LogEpoch(),
 		Received: c.Received(), Applied: c.applied, Following: c.Following, Draining: c.Draining, Health: "ok"}
 }
 
-// Seal makes the copy take no log and no statement of a lower epoch.
+// Seal makes the replica reject the log and the statements of lower epochs. It returns
+// false if the replica has a role in that epoch or a higher one.
 func (c *Replica) Seal(e uint64) bool {
 	if e < c.Epoch || e == c.Epoch && (c.Primary || c.Following != "") {
 		return false
@@ -153,8 +151,8 @@
 	return true
 }
 
-// Promote makes the copy the primary of an epoch, if it is the one that is meant;
-// the first commit of an epoch is an empty one that marks it.
+// Promote makes the replica the primary of an epoch, if it has the identity, which may be
+// empty for any. The first commit of an epoch is an empty one.
 func (c *Replica) Promote(e uint64, identity string, atUs int64) bool {
 	if identity != "" && identity != c.Identity {
 		return false
@@ -173,7 +171,7 @@
 	return true
 }
 
-// Follow makes the copy take the log of an epoch's primary.
+// Follow makes the replica follow an epoch's primary, which is named by its address.
 func (c *Replica) Follow(e uint64, primary string) bool {
 	if e < c.Epoch || e == c.Epoch && (c.Primary || c.Following != "" && c.Following != primary) {
 		return false
@@ -187,8 +185,9 @@
 
 func (c *Replica) dropConnections() { c.connections = map[int64]*connection{} }
 
-// LogFor hands a follower the log behind (after, afterEpoch). back is where it
-// should ask from instead when the two logs part before that; -1 otherwise.
+// LogFor is the log behind a position for a replica whose entry there has afterEpoch. Where
+// the two logs diverge before that, back is the position to fetch from instead; else it is
+// -1. ok is false if this is not the primary of the epoch.
 func (c *Replica) LogFor(epoch uint64, after int64, afterEpoch uint64, limit int) (es []LogEntry, back int64, ok bool) {
 	if !c.Primary || epoch != c.Epoch {
 		return nil, -1, false
@@ -204,12 +203,12 @@
 	return slices.Clone(es[:min(len(es), limit)]), -1, true
 }
 
-// EpochAt is the epoch of one commit held.
+// EpochAt is the epoch of the commit at a position, 0 if there is none.
 func (c *Replica) EpochAt(p int64) uint64 { return c.epochAt(p) }
 
-// AppendLog takes log of an epoch behind a position, dropping a tail that the
-// primary does not have. cut says that a tail was dropped.
-func (c *Replica) AppendLog(epoch uint64, after int64, es []LogEntry) (partitioned, ok bool) {
+// AppendLog appends entries of an epoch's primary behind a position, after truncating what
+// the primary does not have.
+func (c *Replica) AppendLog(epoch uint64, after int64, es []LogEntry) (truncated, ok bool) {
 	if c.Primary || c.Following == "" || epoch != c.Epoch || after > c.Received() {
 		return false, false
 	}
@@ -220,7 +219,7 @@
 		}
 		if p <= c.Received() {
 			c.log = slices.Clone(c.log[:p-1])
-			partitioned = true
+			truncated = true
 			if c.applied >= p {
 				c.rows, c.applied = map[string]map[string]int64{}, 0
 				c.Apply(p - 1)
@@ -228,7 +227,7 @@
 		}
 		c.log = append(c.log, e)
 	}
-	return partitioned, true
+	return truncated, true
 }
 
 // Apply shows the log up to a position in the rows.
@@ -253,11 +252,11 @@
 	r[w.Key] += w.Add
 }
 
-// idleCloseUs is how long an unused connection stays open.
+// idleCloseUs is how long an unused connection stays open while others want one.
 const idleCloseUs = 12_000_000
 
-// Open makes a connection, within the limit. A new run of an owner ends the
-// connections of its earlier run; nothing of an older run is opened.
+// Open opens a connection, within the limit. A new run of an owner closes the connections
+// of its earlier runs, and earlier runs open none any more.
 func (c *Replica) Open(owner string, run uint64, atUs int64) (int64, bool) {
 	if run < c.newestRuns[owner] {
 		return 0, false
@@ -280,17 +279,18 @@
 // Close ends a connection; an open transaction is rolled back.
 func (c *Replica) Close(id int64) { delete(c.connections, id) }
 
-// Connections is how many are open.
+// Connections is the number of open connections.
 func (c *Replica) Connections() int { return len(c.connections) }
 
-// Refusals of a whole run: nothing of it took effect.
+// Reasons to reject a run before anything of it is executed.
 const (
 	RejectedConnection = "connection"
 	RejectedEpoch      = "epoch"
 	RejectedRole       = "role"
 )
 
-// Run runs ops in order and stops behind the first that fails.
+// Run executes operations on a connection, in order, up to the first that fails. refused is
+// the reason where it rejects all of them.
 func (c *Replica) Run(id int64, epoch uint64, ops []Operation, readOnly bool, atUs int64) (rs []Result, refused string) {
 	n := c.connections[id]
 	if n == nil {
@@ -313,6 +313,7 @@
 	return rs, ""
 }
 
+// runOperation executes one operation.
 func (c *Replica) runOperation(n *connection, o Operation, readOnly bool, atUs int64) Result {
 	switch o.Op {
 	case "reset":
@@ -366,6 +367,7 @@
 	return Result{}
 }
 
+// commit appends writes to the log and applies them.
 func (c *Replica) commit(ws []Write, atUs int64) Result {
 	if len(ws) == 0 {
 		return Result{}
@@ -382,9 +384,9 @@
 	return Result{Position: c.Received(), Tuples: int64(len(ws)), Relations: slices.Sorted(maps.Keys(rs))}
 }
 
-// statement knows a few words: read RELATION KEY [RELATION KEY ...],
-// add RELATION KEY N,
-// put RELATION KEY N, value NAME. A ? stands for the next parameter.
+// statement executes one of a few statements: read RELATION KEY [RELATION KEY ...], add
+// RELATION KEY N, put RELATION KEY N and value NAME, in which a ? is the next parameter. It
+// returns the writes that a commit makes.
 func (c *Replica) statement(n *connection, text string, ps []string) (Result, []Write) {
 	fs := strings.Fields(text)
 	for i, f := range fs {
@@ -421,6 +423,7 @@
 	return Result{Error: fmt.Sprintf("cannot run %q", text)}, nil
 }
 
+// row is a row's value as a transaction sees it, with its own writes.
 func (c *Replica) row(n *connection, rel, key string) int64 {
 	v := c.rows[rel][key]
 	for _, w := range n.pending {
--- a/emulator/databasereplica/server.go
+++ b/emulator/databasereplica/server.go
@@ -15,14 +15,28 @@
 	"github.com/tidwall/wal"
 )
 
-// Faults are set by the fleet runner.
+// Times in microseconds.
+const (
+	followWithoutPrimaryUs = 20_000  // until a replica without a primary looks for one again
+	followAfterErrorUs     = 50_000  // until a replica that did not reach its primary tries again
+	logWaitUs              = 500_000 // how long a primary waits for new entries before it responds
+	applyIntervalUs        = 5_000   // how often entries whose lag has passed are applied
+)
+
+// maxLogBatch bounds the entries of one response.
+const maxLogBatch = 500
+
+// callTimeout bounds a replica's calls to its primary.
+const callTimeout = 3 * time.Second
+
+// Faults are set over HTTP by whoever runs the fleet.
 type Faults struct {
-	ServiceUs     int64 `json:"service_us"`     // time each run takes
+	ServiceUs     int64 `json:"service_us"`     // time that each run takes
 	LagUs         int64 `json:"lag_us"`         // a commit is applied no earlier than this after it
-	StopReceiving bool  `json:"stop_receiving"` // the copy takes no log
-	StopApplying  bool  `json:"stop_applying"`  // the copy applies no log
-	LoseResponses int   `json:"lose_returns"`   // so many runs are run and never returned
-	Unresponsive  bool  `json:"dark"`           // nothing is returned at all
+	StopReceiving bool  `json:"stop_receiving"` // the replica receives no log
+	StopApplying  bool  `json:"stop_applying"`  // the replica applies no log
+	LoseResponses int   `json:"lose_returns"`   // number of next runs that are executed and whose responses are lost
+	Unresponsive  bool  `json:"dark"`           // no request gets a response
 }
 
 // RunRequest is the body of a run.
@@ -32,7 +46,7 @@
 	Ops      []Operation `json:"ops"`
 }
 
-// RunResponse is its return.
+// RunResponse is the response to it.
 type RunResponse struct {
 	Refused string   `json:"refused,omitempty"`
 	Results []Result `json:"results,omitempty"`
@@ -41,14 +55,15 @@
 	AtUs    int64    `json:"at_us"`
 }
 
+// diskEntry is one record of the log on disk: the state, a commit, or a truncation.
 type diskEntry struct {
 	State       *PersistentState `json:"kept,omitempty"`
 	Entry       *LogEntry        `json:"entry,omitempty"`
 	TruncatedTo *int64           `json:"cut,omitempty"`
 }
 
-// Server runs a Copy. Its log is written before a return leaves but not
-// synced: what fails here is processes, not machines.
+// Server serves a Replica over HTTP. Its log is written before a response is sent but not
+// synced: what fails here are processes, not machines.
 type Server struct {
 	mu         sync.Mutex
 	replica    *Replica
@@ -58,17 +73,18 @@
 	faults     Faults
 	client     *http.Client
 	persisted  PersistentState
-	cancelPull context.CancelFunc // ends the pull under way
+	cancelPull context.CancelFunc // ends the fetch under way
 }
 
-// NewServer opens the log in the folder and restores the copy from it.
+// NewServer opens the log in a folder and restores the replica from it, or makes a new one
+// with an identity in an empty folder. Calls to the primary come from an address.
 func NewServer(name, identity, folder string, limit int, from net.Addr, f Faults) (*Server, error) {
 	w, err := wal.Open(folder, &wal.Options{NoSync: true, LogFormat: wal.JSON, NoCopy: false, SegmentSize: 20 << 20, SegmentCacheSize: 2})
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{replica: New(name, identity, limit, rand.Int64N(1<<30)<<32), wal: w, changed: make(chan struct{}), faults: f,
-		client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{LocalAddr: from}).DialContext}}}
+		client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{LocalAddr: from}).DialContext}}}
 	last, err := w.LastIndex()
 	if err != nil {
 		return nil, err
@@ -115,11 +131,12 @@
 	return nil
 }
 
-// persist writes what changed since the log was `had` long, and wakes who waits.
-func (s *Server) persist(had int64, partitioned bool) error {
+// persist writes what changed since the log had a length, and wakes those who wait for a
+// change. A truncated log is written from that length on.
+func (s *Server) persist(had int64, truncated bool) error {
 	if s.persisted != s.replica.PersistentState {
 		if s.cancelPull != nil {
-			s.cancelPull() // whom it follows may have changed
+			s.cancelPull() // the primary may be another one now
 		}
 		k := s.replica.PersistentState
 		if err := s.append(diskEntry{State: &k}); err != nil {
@@ -127,7 +144,7 @@
 		}
 		s.persisted = k
 	}
-	if partitioned {
+	if truncated {
 		if err := s.append(diskEntry{TruncatedTo: &had}); err != nil {
 			return err
 		}
@@ -137,14 +154,13 @@
 			return err
 		}
 	}
-	close(s.changed)
-	s.changed = make(chan struct{})
+	s.signalChange()
 	return nil
 }
 
 func nowUs() int64 { return time.Now().UnixMicro() }
 
-// Serve serves on the listener until the context ends.
+// Serve serves the interface, and the faults and the log for tools, until the context ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/status", s.status)
@@ -201,7 +217,8 @@
 	return n
 }
 
-// status may wait until received or applied has come to a position.
+// status serves the status, once the positions in the query are reached or its time has
+// passed.
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
 	rec, app, until := queryInteger(r, "received"), queryInteger(r, "applied"), nowUs()+queryInteger(r, "wait_us")
 	for {
@@ -295,16 +312,18 @@
 	writeJSON(w, out)
 }
 
+// logResponse is the response to a replica that fetches the log.
 type logResponse struct {
 	Entries []LogEntry `json:"entries,omitempty"`
 	Back    int64      `json:"back"`
 }
 
+// serveLog serves the log to a replica, once there is something behind its position.
 func (s *Server) serveLog(w http.ResponseWriter, r *http.Request) {
 	until := nowUs() + queryInteger(r, "wait_us")
 	for {
 		s.mu.Lock()
-		es, back, ok := s.replica.LogFor(uint64(queryInteger(r, "epoch")), queryInteger(r, "after"), uint64(queryInteger(r, "after_epoch")), 500)
+		es, back, ok := s.replica.LogFor(uint64(queryInteger(r, "epoch")), queryInteger(r, "after"), uint64(queryInteger(r, "after_epoch")), maxLogBatch)
 		ch := s.changed
 		s.mu.Unlock()
 		if !ok {
@@ -322,57 +341,77 @@
 	}
 }
 
-// follow takes the primary's log for as long as there is one to follow.
+// logFetch is what a replica fetches next.
+type logFetch struct {
+	epoch uint64
+	from  int64 // position behind which it fetches; -1 for the end of its log
+}
+
+// follow fetches the primary's log for as long as there is one to follow.
 func (s *Server) follow(ctx context.Context) {
-	requested := int64(-1) // where to ask from when the logs parted
-	var epoch uint64
+	next := logFetch{from: -1}
 	for ctx.Err() == nil {
-		s.mu.Lock()
-		k, f, ch := s.replica.PersistentState, s.faults, s.changed
-		if requested < 0 || epoch != k.Epoch || requested > s.replica.Received() {
-			requested, epoch = s.replica.Received(), k.Epoch
-		}
-		ae := s.replica.EpochAt(requested)
-		pull, end := context.WithCancel(ctx)
-		s.cancelPull = end
-		s.mu.Unlock()
-		if k.Following == "" || f.StopReceiving || f.Unresponsive {
-			end()
-			waitForChange(ctx, ch, 20_000)
-			continue
-		}
-		u := fmt.Sprintf("http://%s/v1/log?epoch=%d&after=%d&after_epoch=%d&wait_us=500000", k.Following, k.Epoch, requested, ae)
-		var lr logResponse
-		err := s.get(pull, u, &lr)
+		next = s.fetch(ctx, next)
+	}
+}
+
+// fetch fetches and appends one part of the log, or waits where there is none, and returns
+// what to fetch after it.
+func (s *Server) fetch(ctx context.Context, next logFetch) logFetch {
+	s.mu.Lock()
+	state, faults, changed := s.replica.PersistentState, s.faults, s.changed
+	if next.from < 0 || next.epoch != state.Epoch || next.from > s.replica.Received() {
+		next = logFetch{epoch: state.Epoch, from: s.replica.Received()}
+	}
+	fromEpoch := s.replica.EpochAt(next.from)
+	pull, end := context.WithCancel(ctx)
+	s.cancelPull = end
+	s.mu.Unlock()
+	defer end()
+	if state.Following == "" || faults.StopReceiving || faults.Unresponsive {
+		waitForChange(ctx, changed, followWithoutPrimaryUs)
+		return next
+	}
+	url := fmt.Sprintf("http://%s/v1/log?epoch=%d&after=%d&after_epoch=%d&wait_us=%d", state.Following, state.Epoch, next.from, fromEpoch, logWaitUs)
+	var response logResponse
+	if err := s.get(pull, url, &response); err != nil {
 		end()
-		if err != nil {
-			waitForChange(ctx, ch, 50_000)
-			continue
-		}
-		if lr.Back >= 0 {
-			requested = lr.Back
-			continue
-		}
-		s.mu.Lock()
-		if !s.faults.StopReceiving && !s.faults.Unresponsive {
-			had := s.replica.Received()
-			if partitioned, ok := s.replica.AppendLog(k.Epoch, requested, lr.Entries); ok {
-				if partitioned {
-					had = requested
-				}
-				if s.faults.LagUs == 0 && !s.faults.StopApplying {
-					s.replica.Apply(s.replica.Received())
-				}
-				if partitioned || s.replica.Received() > had {
-					if err := s.persist(had, partitioned); err != nil {
-						panic(err)
-					}
-				}
-			}
-		}
-		requested = -1
-		s.mu.Unlock()
+		waitForChange(ctx, changed, followAfterErrorUs)
+		return next
+	}
+	if response.Back >= 0 {
+		next.from = response.Back
+		return next
+	}
+	if err := s.appendLog(state.Epoch, next.from, response.Entries); err != nil {
+		panic(err) // the disk failed: the process must not serve what it did not write
+	}
+	next.from = -1
+	return next
+}
+
+// appendLog appends what a primary of an epoch sent behind a position, and writes it.
+func (s *Server) appendLog(epoch uint64, after int64, entries []LogEntry) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.faults.StopReceiving || s.faults.Unresponsive {
+		return nil
+	}
+	had := s.replica.Received()
+	truncated, ok := s.replica.AppendLog(epoch, after, entries)
+	if !ok {
+		return nil
+	}
+	if truncated {
+		had = after
+	}
+	if s.faults.LagUs == 0 && !s.faults.StopApplying {
+		s.replica.Apply(s.replica.Received())
 	}
+	if !truncated && s.replica.Received() <= had {
+		return nil
+	}
+	return s.persist(had, truncated)
 }
 
 func (s *Server) get(ctx context.Context, u string, v any) error {
@@ -391,34 +430,46 @@
 	return json.NewDecoder(rs.Body).Decode(v)
 }
 
-// applyWithLag applies what lag held back.
+// applyWithLag applies entries whose lag has passed.
 func (s *Server) applyWithLag(ctx context.Context) {
-	for waitForChange(ctx, nil, 5_000) {
-		s.mu.Lock()
-		if !s.faults.StopApplying {
-			until, had := s.replica.Applied(), s.replica.Applied()
-			for _, e := range s.replica.Log(until) {
-				if e.AtUs+s.faults.LagUs > nowUs() {
-					break
-				}
-				until++
-			}
-			s.replica.Apply(until)
-			if s.replica.Applied() != had {
-				close(s.changed)
-				s.changed = make(chan struct{})
-			}
+	for waitForChange(ctx, nil, applyIntervalUs) {
+		s.applyDue()
+	}
+}
+
+func (s *Server) applyDue() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.faults.StopApplying {
+		return
+	}
+	until, had := s.replica.Applied(), s.replica.Applied()
+	for _, e := range s.replica.Log(until) {
+		if e.AtUs+s.faults.LagUs > nowUs() {
+			break
 		}
-		s.mu.Unlock()
+		until++
+	}
+	s.replica.Apply(until)
+	if s.replica.Applied() != had {
+		s.signalChange()
 	}
 }
 
+// signalChange wakes all that wait for a change of the replica.
+func (s *Server) signalChange() {
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// roleRequest is the body of seal, promote and follow.
 type roleRequest struct {
 	Identity string `json:"identity"`
 	Epoch    uint64 `json:"epoch"`
 	Primary  string `json:"primary"`
 }
 
+// roleCall serves a change of role, which is persisted before the response.
 func (s *Server) roleCall(f func(*Replica, roleRequest) bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var a roleRequest
@@ -443,21 +494,23 @@
 	}
 }
 
+// drain sets whether the database announces that it drains.
 func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
 	var a struct {
-		Leaving bool `json:"leaving"`
+		Draining bool `json:"leaving"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&a); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	s.replica.Draining = a.Leaving
+	s.replica.Draining = a.Draining
 	st := s.replica.Status()
 	s.mu.Unlock()
 	writeJSON(w, st)
 }
 
+// serveOracleLog serves the log to the checker, also of a database that does not respond.
 func (s *Server) serveOracleLog(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	es := s.replica.Log(queryInteger(r, "after"))
@@ -465,7 +518,8 @@
 	writeJSON(w, es)
 }
 
-// Call posts a JSON body to a stand-in and reads its JSON return; tools use it.
+// Call posts a JSON body to an emulated database or platform and decodes the JSON response
+// into out, if that is not nil.
 func Call(ctx context.Context, url string, in, out any) error {
 	b, err := json.Marshal(in)
 	if err != nil {
--- a/emulator/databasereplica/stored_test.go
+++ b/emulator/databasereplica/stored_test.go
@@ -12,7 +12,7 @@
 // written again: see testdata/README.md.
 var record = flag.Bool("record", false, "write the fixtures under testdata that are missing")
 
-// recordReplica has a copy follow, take commits, lose one to the next primary, and be
+// recordReplica has a replica follow, receive commits, lose one to the next primary, and be
 // promoted.
 func recordReplica(t *testing.T, folder string) {
 	t.Helper()
@@ -20,17 +20,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	step := func(do func(c *Replica) (partitioned, ok bool)) {
+	step := func(do func(c *Replica) (truncated, ok bool)) {
 		t.Helper()
 		had := s.replica.Received()
-		partitioned, ok := do(s.replica)
+		truncated, ok := do(s.replica)
 		if !ok {
 			t.Fatal("refused")
 		}
-		if partitioned {
+		if truncated {
 			had = 2
 		}
-		if err := s.persist(had, partitioned); err != nil {
+		if err := s.persist(had, truncated); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestStoredReplica: a folder that earlier code wrote is read whole: whom the copy
-// followed, its epoch and identity, each commit, and that one was cut off.
+// TestStoredReplica: a folder that earlier code wrote is read completely: the primary that
+// the replica followed, its epoch and identity, each commit, and a truncation.
 func TestStoredReplica(t *testing.T) {
 	fixture := filepath.Join("testdata", "copy")
 	if _, err := os.Stat(fixture); *record && os.IsNotExist(err) {
