--- a/emulator/fleet/callers_test.go
+++ b/emulator/fleet/callers_test.go
@@ -79,7 +79,7 @@
 			t.Errorf("%s %.80s: %d %q, not %d", c.path, c.body, v.Code, v.Outcome, c.want)
 		}
 	}
-	// A query asked twice by its own id runs once.
+	// A query that is sent twice under its own id runs once.
 	for range 3 {
 		if v := post(q, `{"query":"once","class":"reserve","statements":[{"text":"add right y 1"}]}`); v.Code != result.OK || v.Rows[0][0][0] != "1" {
 			t.Errorf("asked again by its id: %+v", v)
@@ -98,7 +98,7 @@
 	if v := post(q, `{"class":"reserve","rollback":true}`); v.Code != result.OK || v.Open {
 		t.Errorf("rollback: %+v", v)
 	}
-	// Two callers of one session at once: one is served, the other told so.
+	// Two callers use one session at once: one is served, the other rejected.
 	codes := map[result.Code]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -170,8 +170,8 @@
 	})
 }
 
-// TestBadInputOfOperators: what is wrong with it is told by its own code and takes
-// no effect; nothing of one partner is open to the other.
+// TestBadInputOfOperators: invalid input is rejected with a code of its own and has no
+// effect; nothing of one partner is open to the other.
 func TestBadInputOfOperators(t *testing.T) {
 	ctx, f := shaped(t, "two", 3)
 	ops := f.Operators("pharmacies").Addresses
--- a/emulator/fleet/faults.go
+++ b/emulator/fleet/faults.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"slices"
@@ -11,12 +10,9 @@
 	"strings"
 	"syscall"
 	"time"
-
-	"stoneford/emulator/databasereplica"
-	"stoneford/emulator/link"
 )
 
-// Fault is one entry of a schedule.
+// Fault is one entry of a schedule of faults.
 type Fault struct {
 	At     time.Duration
 	Action string
@@ -24,7 +20,7 @@
 	Value  int64
 }
 
-// Actions and what each does.
+// Actions describes what each action does, for a reader.
 var Actions = map[string]string{
 	"kill":           "kill the process at once",
 	"start":          "start it again on its data",
@@ -92,151 +88,62 @@
 	return fs, nil
 }
 
-// Inject brings one fault about and returns the process it hit.
+// crowdDuration is how long the sessions of a crowd stay.
+const crowdDuration = 4 * time.Second
+
+// Inject injects one fault and returns the name of the process that it struck.
 func (f *Fleet) Inject(ctx context.Context, ft Fault) (string, error) {
-	n := ft.Target
 	switch ft.Action {
 	case "join":
 		return f.Join()
 	case "configure":
-		took, err := f.Configure(ctx, n, 300+int64(ft.At/time.Millisecond)%300)
-		return fmt.Sprintf("%s, in force everywhere after %d ms", n, took.Milliseconds()), err
+		took, err := f.Configure(ctx, ft.Target, 300+int64(ft.At/time.Millisecond)%300)
+		return fmt.Sprintf("%s, in force everywhere after %d ms", ft.Target, took.Milliseconds()), err
 	case "crowd":
-		f.load.AddCrowd(int(ft.Value), 4*time.Second)
-		return n, nil
+		f.load.AddCrowd(int(ft.Value), crowdDuration)
+		return ft.Target, nil
 	case "move":
-		f.load.MoveZone(n)
-		return n, nil
+		f.load.MoveZone(ft.Target)
+		return ft.Target, nil
 	case "roll":
-		return n, f.roll(ctx, n)
+		return ft.Target, f.roll(ctx, ft.Target)
 	case "kill-machine", "wipe-machine", "start-machine":
-		return n, f.machine(ft)
-	}
-	if from, to, ok := strings.Cut(n, ">"); ok {
-		return n, f.setPartition(from, to, ft.Action == "cut-way")
+		return ft.Target, f.machine(ft)
 	}
-	if g, ok := strings.CutPrefix(n, "primary@"); ok {
-		n = f.Primary(ctx, g)
-	} else if g, ok := strings.CutPrefix(n, "replica@"); ok {
-		p := f.Primary(ctx, g)
-		for _, c := range "abc" {
-			if n = fmt.Sprintf("%s-%c", g, c); n != p {
-				break
-			}
-		}
+	if from, to, ok := strings.Cut(ft.Target, ">"); ok {
+		return ft.Target, f.setPartition(from, to, ft.Action == "cut-way")
 	}
-	p := f.processes[n]
+	name := f.resolveTarget(ctx, ft.Target)
+	p := f.processes[name]
 	if p == nil {
-		return n, fmt.Errorf("no process %q", n)
+		return name, fmt.Errorf("no process %q", name)
 	}
-	set := func(d databasereplica.Faults) error {
-		return databasereplica.Call(ctx, "http://"+p.http+"/faults", d, nil)
-	}
-	const plain = 1000 // the stand-in's own service time
-	switch ft.Action {
-	case "kill":
-		p.signal(syscall.SIGKILL, true)
-	case "start":
-		return n, f.start(p)
-	case "wipe":
-		p.signal(syscall.SIGKILL, true)
-		if err := os.RemoveAll(p.folder); err != nil {
-			return n, err
-		}
-		return n, f.start(p)
-	case "stop":
-		p.signal(syscall.SIGTERM, true)
-	case "upgrade", "downgrade":
-		if f.olderProgramsFolder == "" {
-			return n, errors.New("there are no programs of an earlier revision")
-		}
-		p.signal(syscall.SIGTERM, true)
-		p.olderPrograms = ft.Action == "downgrade"
-		return n, f.start(p)
-	case "restart":
-		p.signal(syscall.SIGTERM, true)
-		return n, f.start(p)
-	case "pause":
-		p.signal(syscall.SIGSTOP, false)
-	case "resume":
-		p.slow(0)
-		p.signal(syscall.SIGCONT, false)
-	case "slow":
-		return n, set(databasereplica.Faults{ServiceUs: plain + ft.Value})
-	case "lag":
-		return n, set(databasereplica.Faults{ServiceUs: plain, LagUs: ft.Value})
-	case "lose":
-		return n, set(databasereplica.Faults{ServiceUs: plain, LoseResponses: int(ft.Value)})
-	case "dark":
-		return n, set(databasereplica.Faults{ServiceUs: plain, Unresponsive: true})
-	case "light":
-		return n, set(databasereplica.Faults{ServiceUs: plain})
-	case "stop-receiving":
-		return n, set(databasereplica.Faults{ServiceUs: plain, StopReceiving: true})
-	case "stop-applying":
-		return n, set(databasereplica.Faults{ServiceUs: plain, StopApplying: true})
-	case "cut", "mend", "reset", "drop":
-		if ft.Action == "mend" {
-			for _, o := range f.order { // what this one sends passes the links of others
-				for _, k := range f.processes[o].links {
-					k.SetPartition(link.Direction{From: p.ip}, false)
-					k.SetPartition(link.Direction{From: p.ip, Response: true}, false)
-				}
-			}
-		}
-		for _, k := range p.links {
-			switch ft.Action {
-			case "cut":
-				k.SetPartition(link.Direction{}, true)
-				k.SetPartition(link.Direction{Response: true}, true)
-			case "mend":
-				k.Repair()
-				k.SetLoss(0)
-			case "reset":
-				k.Reset()
-			case "drop":
-				k.SetLoss(float64(ft.Value) / 100)
-			}
-		}
-	case "deaf", "mute":
-		for _, o := range f.order {
-			from, to := n, o
-			if ft.Action == "deaf" {
-				from, to = o, n
-			}
-			if o != n {
-				if err := f.setPartition(from, to, true); err != nil {
-					return n, err
-				}
-			}
-		}
-	case "slow-machine":
-		p.slow(time.Duration(ft.Value) * time.Millisecond)
-	case "boot":
-		return n, rewrite(p.configFile, ft.Value)
-	case "leave", "stay":
-		return n, databasereplica.Call(ctx, "http://"+p.http+"/v1/leave", map[string]bool{"leaving": ft.Action == "leave"}, nil)
+	if inject := processFaults[ft.Action]; inject != nil {
+		return name, inject(ctx, f, p, ft.Value)
 	}
-	return n, nil
+	return name, nil
 }
 
-// setPartition stops, or lets go on, what one process sends another: on the links of
-// the one what it returns, on those of the other what comes from it.
-func (f *Fleet) setPartition(from, to string, partitioned bool) error {
-	a, b := f.processes[from], f.processes[to]
-	if a == nil || b == nil {
-		return fmt.Errorf("no processes %s and %s", from, to)
+// resolveTarget is the process that a target names; primary@GROUP is a group's primary
+// now, and replica@GROUP one of its other databases.
+func (f *Fleet) resolveTarget(ctx context.Context, target string) string {
+	if group, ok := strings.CutPrefix(target, "primary@"); ok {
+		return f.Primary(ctx, group)
 	}
-	for _, k := range b.links {
-		k.SetPartition(link.Direction{From: a.ip}, partitioned)
+	group, ok := strings.CutPrefix(target, "replica@")
+	if !ok {
+		return target
 	}
-	for _, k := range a.links {
-		k.SetPartition(link.Direction{From: b.ip, Response: true}, partitioned)
+	primary, name := f.Primary(ctx, group), ""
+	for _, c := range "abc" {
+		if name = fmt.Sprintf("%s-%c", group, c); name != primary {
+			break
+		}
 	}
-	return nil
+	return name
 }
 
-// roll restarts every process of a kind in turn, each once the one before is
+// roll restarts every process of a kind, one after the other, each once the one before is
 // ready again.
 func (f *Fleet) roll(ctx context.Context, kind string) error {
 	pre := map[string]string{"pools": "pool-", "controls": "control-"}[kind]
@@ -257,7 +164,7 @@
 	return nil
 }
 
-// machine ends or starts both processes of a disk machine.
+// machine ends or starts the control process and the pool node of a machine.
 func (f *Fleet) machine(ft Fault) error {
 	for _, n := range []string{"control-" + ft.Target, "pool-" + ft.Target} {
 		p := f.processes[n]
@@ -280,74 +187,7 @@
 	return nil
 }
 
-// slow has the process run for so much of each 100 ms, 0 for all of it.
-func (p *process) slow(runs time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.endSlowdown != nil {
-		close(p.endSlowdown)
-		p.endSlowdown = nil
-	}
-	if runs <= 0 || p.cmd == nil {
-		return
-	}
-	stop, c, done := make(chan struct{}), p.cmd, p.exited
-	p.endSlowdown = stop
-	go func() {
-		for i := 0; ; i++ {
-			sig, d := syscall.SIGCONT, runs
-			if i%2 == 1 {
-				sig, d = syscall.SIGSTOP, 100*time.Millisecond-runs
-			}
-			_ = c.Process.Signal(sig)
-			t := time.NewTimer(d)
-			select {
-			case <-done:
-				t.Stop()
-				return
-			case <-stop:
-				t.Stop()
-				_ = c.Process.Signal(syscall.SIGCONT)
-				return
-			case <-t.C:
-			}
-		}
-	}()
-}
-
-// rewrite changes a boot file in place, as an operator's editor may.
-func rewrite(file string, how int64) error {
-	complete, err := os.ReadFile(file + ".whole")
-	if errors.Is(err, os.ErrNotExist) {
-		if complete, err = os.ReadFile(file); err == nil {
-			err = os.WriteFile(file+".whole", complete, 0o644)
-		}
-	}
-	if err != nil {
-		return err
-	}
-	m := map[string]any{}
-	if err := json.Unmarshal(complete, &m); err != nil {
-		return err
-	}
-	out := complete
-	switch how {
-	case 0:
-		m["log_level"] = "debug"
-		out, err = json.Marshal(m)
-	case 1:
-		out = complete[:len(complete)/2]
-	case 2:
-		m["log_level"] = "loud"
-		out, err = json.Marshal(m)
-	}
-	if err != nil {
-		return err
-	}
-	return os.WriteFile(file, out, 0o644)
-}
-
-// String is the schedule's own form.
+// String is the form in which ParseFaults reads it.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%s:%s:%s", f.At, f.Action, f.Target)
 	if f.Value != 0 {
@@ -356,5 +196,5 @@
 	return s
 }
 
-// MarshalJSON gives the schedule's own form.
+// MarshalJSON encodes that form.
 func (f Fault) MarshalJSON() ([]byte, error) { return json.Marshal(f.String()) }
--- a/emulator/fleet/fleet.go
+++ b/emulator/fleet/fleet.go
@@ -1,5 +1,3 @@
-// Package fleet starts a whole fleet on one machine as separate processes,
-// brings faults about on a schedule, and reports what callers saw.
 package fleet
 
 import (
@@ -17,62 +15,42 @@
 	"time"
 
 	"stoneford/emulator/callers"
-	"stoneford/emulator/link"
 	"stoneford/emulator/platform"
 	"stoneford/internal/cleanup"
 	"stoneford/internal/databaseclient"
 	"stoneford/result"
 )
 
-// process is one process of the fleet.
-type process struct {
-	name          string
-	kind          string
-	args          []string
-	folder        string // its data folder, wiped when it is lost for good
-	http          string // where the runner itself reaches it, past its links
-	olderPrograms bool   // runs the programs of an earlier revision
-	ip            string // where its connections come from
-	configFile    string // its boot file
-	zone          string
-	links         []*link.Link
-	mu            sync.Mutex
-	cmd           *exec.Cmd
-	exited        chan struct{}
-	endSlowdown   chan struct{} // ends its slow machine
-	exitExpected  bool          // an exit now is a fault of the schedule
-}
-
-// Fleet is a running fleet.
+// Fleet is a fleet of processes on one machine.
 type Fleet struct {
 	Shape               Shape
 	programsFolder      string
-	olderProgramsFolder string // programs of an earlier revision, "" for none
+	olderProgramsFolder string // with programs of an earlier revision; empty for none
 	folder              string
 	processes           map[string]*process
 	order               []string
-	databaseAddresses   map[string]string // databases' addresses
-	operatorAddresses   []string          // operators' addresses
-	platformAddress     string            // the platform's address
+	databaseAddresses   map[string]string // by database
+	operatorAddresses   []string          // of control processes, for operators
+	platformAddress     string            //
 	platform            *platform.Server
 	seeds               []string
-	nodes               []string // callers' addresses of all pool nodes
-	freePorts           []string // ports not taken yet
+	nodes               []string // addresses of all pool nodes for callers
+	freePorts           []string // addresses with free ports, not used yet
 	lastIP              int
 	zones               map[string]string // of pool nodes, by callers' address
-	load                *callers.Runner   // what callers do, once they run
+	load                *callers.Runner   // the callers, once they run
 	crashed             []string
 	mu                  sync.Mutex
 	cleanup             cleanup.Stack
 }
 
-// Token is what a partner's operators send.
+// Token is the token by which a partner's operators authenticate.
 func Token(partner string) string { return partner + "-token" }
 
-// Programs a fleet is made of.
+// programs are those that a fleet consists of.
 var programs = []string{"./cmd/stoneford-pool", "./cmd/stoneford-control", "./emulator/emulated-database"}
 
-// Build builds the programs into a folder, from the module's root.
+// Build builds the programs of a fleet into a folder. root is the module's root.
 func Build(ctx context.Context, root, bin string) error {
 	c := exec.CommandContext(ctx, "go", append([]string{"build", "-o", bin + "/"}, programs...)...)
 	c.Dir = root
@@ -83,7 +61,7 @@
 	return nil
 }
 
-// freeLoopbackPorts finds n free ports on the loopback address.
+// freeLoopbackPorts are n addresses with free ports on the loopback interface.
 func freeLoopbackPorts(n int) ([]string, error) {
 	var ls []net.Listener
 	var as []string
@@ -102,11 +80,12 @@
 	return as, nil
 }
 
-// New lays a fleet out; nothing runs yet.
+// New makes a fleet of a shape, with its configuration files and data in a folder; nothing
+// runs yet.
 func New(s Shape, bin, folder string) (*Fleet, error) {
 	f := &Fleet{Shape: s, programsFolder: bin, folder: folder, processes: map[string]*process{}, databaseAddresses: map[string]string{}, zones: map[string]string{}}
-	// Every process listens on a port of its own behind a link that others
-	// reach it through; some ports are kept for machines that join later.
+	// Every process listens on a port of its own, behind links through which others reach
+	// it. Some ports are kept for machines that join later.
 	problems, err := freeLoopbackPorts(1 + 2*(2*3+2*(s.Machines+spareMachines)+3*len(s.groups())))
 	if err != nil {
 		return nil, err
@@ -154,26 +133,23 @@
 	return f, nil
 }
 
-// spareMachines is how many machines may join later.
+// spareMachines bounds the machines that join later.
 const spareMachines = 4
 
-// nextIP gives each process an address of its own on the loopback, so that what
-// it sends can be told by where it comes from.
+// nextIP is an address on the loopback interface for one more process, so that links know
+// by it which process a connection comes from.
 func (f *Fleet) nextIP() string {
 	f.lastIP++
 	return fmt.Sprintf("127.0.%d.%d", 1+f.lastIP/200, 1+f.lastIP%200)
 }
 
-// at is the process's own address with a port that was found free.
-func (p *process) at(addr string) string { return p.ip + addr[strings.LastIndex(addr, ":"):] }
-
 func (f *Fleet) takeAddress() string {
 	p := f.freePorts[0]
 	f.freePorts = f.freePorts[1:]
 	return p
 }
 
-// addPool lays one more pool node out.
+// addPool adds one more pool node; it does not run yet.
 func (f *Fleet) addPool() (string, error) {
 	i := len(f.nodes)
 	n, h := fmt.Sprintf("pool-%d", i+1), f.takeAddress()
@@ -182,7 +158,7 @@
 		"listen": f.takeAddress(), "http": h, "seeds": f.seeds})
 }
 
-// Join has a new machine join: its node is started and the platform told.
+// Join starts a pool node on a new machine and adds it to the platform's nodes.
 func (f *Fleet) Join() (string, error) {
 	if len(f.freePorts) < 4 {
 		return "", errors.New("no more machines are kept")
@@ -198,8 +174,7 @@
 	return n, nil
 }
 
-// replace loses a database's disk and starts it empty, if it is still the copy
-// that was meant.
+// replace starts a database on an empty disk, if it still has the identity.
 func (f *Fleet) replace(database, identity string) error {
 	p := f.processes[database]
 	if p == nil {
@@ -224,15 +199,6 @@
 	return nil
 }
 
-// link puts a link in front of a process.
-func (f *Fleet) link(p *process, addr, target string) {
-	k := link.New(addr, target)
-	p.links = append(p.links, k)
-	f.cleanup.Push(k.Close)
-}
-
-func (f *Fleet) add(p *process) { f.processes[p.name] = p; f.order = append(f.order, p.name) }
-
 func (f *Fleet) boot(name, kind string, m map[string]any) error {
 	p := &process{name: name, kind: kind, ip: f.nextIP(), zone: m["zone"].(string)}
 	for _, k := range [][2]string{{"listen", "bind"}, {"http", "bind_http"}} {
@@ -258,7 +224,7 @@
 	return nil
 }
 
-// Load is what callers of the shape do, so many sessions and queries a second.
+// Load is the load of the shape's callers, with a number of sessions and of queries a second.
 func (f *Fleet) Load(sessions int, rate float64, seed uint64) callers.Load {
 	b := callers.Load{Routes: f.Shape.groups(), Classes: map[string]map[string]string{}, Sessions: sessions, Rate: rate, Seed: seed, Nodes: f.Nodes,
 		Zones: f.Shape.Parts[0].Zones, Zone: f.zoneOf}
@@ -270,66 +236,8 @@
 	return b
 }
 
-func (f *Fleet) start(p *process) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	lf, err := os.OpenFile(filepath.Join(f.folder, p.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
-	if err != nil {
-		return err
-	}
-	bin := f.programsFolder
-	if p.olderPrograms {
-		bin = f.olderProgramsFolder
-	}
-	c := exec.Command(filepath.Join(bin, p.kind), p.args...)
-	c.Stdout, c.Stderr = lf, lf
-	if err := c.Start(); err != nil {
-		lf.Close()
-		return err
-	}
-	p.cmd, p.exited, p.exitExpected = c, make(chan struct{}), false
-	done := p.exited
-	for _, k := range p.links {
-		if err := k.Listen(); err != nil {
-			return err
-		}
-	}
-	go func() {
-		err := c.Wait()
-		lf.Close()
-		for _, k := range p.links {
-			err = errors.Join(err, k.StopListening())
-		}
-		p.mu.Lock()
-		if !p.exitExpected {
-			f.mu.Lock()
-			f.crashed = append(f.crashed, fmt.Sprintf("%s ended by itself: %v (see its log)", p.name, err))
-			f.mu.Unlock()
-		}
-		p.mu.Unlock()
-		close(done)
-	}()
-	return nil
-}
-
-func (p *process) signal(s syscall.Signal, ends bool) {
-	p.mu.Lock()
-	c, done := p.cmd, p.exited
-	if c != nil {
-		p.exitExpected = p.exitExpected || ends
-		_ = c.Process.Signal(s)
-		if ends {
-			_ = c.Process.Signal(syscall.SIGCONT)
-		}
-	}
-	p.mu.Unlock()
-	if c != nil && ends {
-		<-done
-	}
-}
-
-// UseOlderPrograms has every process of ours begin with the programs in a folder, of an
-// earlier revision, but the control process that operators ask first: their paths
+// UseOlderPrograms has every process of stoneford start with the programs of an earlier
+// revision in a folder, but the control process that operators call first, since their calls
 // are those of this revision.
 func (f *Fleet) UseOlderPrograms(bin string) {
 	f.olderProgramsFolder = bin
@@ -338,7 +246,11 @@
 	}
 }
 
-// Start starts every process and puts the configuration in force.
+// startTimeout bounds the time until a configuration is accepted, and until all nodes are
+// ready.
+const startTimeout = 30 * time.Second
+
+// Start starts every process, configures the fleet, and waits until all nodes are ready.
 func (f *Fleet) Start(ctx context.Context) error {
 	pctx, end := context.WithCancel(context.Background())
 	f.cleanup.Push(func() error { end(); return nil })
@@ -363,7 +275,7 @@
 		if err != nil {
 			return err
 		}
-		if err := Until(ctx, 30*time.Second, func() error {
+		if err := Until(ctx, startTimeout, func() error {
 			r, err := f.Operators(partner.Partner).Change(ctx, 0, b, false, false)
 			if err != nil {
 				return err
@@ -376,7 +288,7 @@
 			return err
 		}
 	}
-	return Until(ctx, 30*time.Second, func() error {
+	return Until(ctx, startTimeout, func() error {
 		if n := len(f.Nodes()); n < f.Shape.Machines {
 			return fmt.Errorf("%d of %d nodes are ready", n, f.Shape.Machines)
 		}
@@ -387,8 +299,8 @@
 // Close ends every process.
 func (f *Fleet) Close() error { return f.cleanup.Run() }
 
-// Configure sends a change of a partner's and returns how long after its
-// acceptance every process that is up works by it, as they report themselves.
+// Configure sends a partner's change of the configuration, and returns how long after its
+// acceptance every process reports to work by it.
 func (f *Fleet) Configure(ctx context.Context, partner string, line int64) (time.Duration, error) {
 	o := f.Operators(partner)
 	r, err := o.Configuration(ctx, false)
@@ -406,7 +318,7 @@
 		return 0, fmt.Errorf("the change ended as %d: %w", r.Code, err)
 	}
 	at := time.Now()
-	err = Until(ctx, 30*time.Second, func() error {
+	err = Until(ctx, startTimeout, func() error {
 		a, err := o.Configuration(ctx, true)
 		if err != nil {
 			return err
--- a/emulator/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -48,7 +48,7 @@
 	return ctx, f
 }
 
-// checkVerdict holds what callers were told against what the databases hold.
+// checkVerdict checks what callers were sent against what the databases hold.
 func checkVerdict(ctx context.Context, t *testing.T, f *fleet.Fleet, r *callers.Runner) checker.Verdict {
 	t.Helper()
 	logs, err := f.Logs(ctx)
@@ -65,7 +65,7 @@
 // TestProcessesThroughATakeover runs the small shape as real processes: the
 // primary is killed under load, and the run goes on until writes are
 // acknowledged again; then the old primary and an emptied control process come
-// back, and what callers were told is held against what the databases hold.
+// back, and what callers were sent is checked against what the databases hold.
 func TestProcessesThroughATakeover(t *testing.T) {
 	ctx, f := started(t, 4)
 	lctx, end := context.WithCancel(ctx)
@@ -122,11 +122,11 @@
 	}
 }
 
-// TestTwoPartnersMoveByLanguage: two partners' fleets on one pool, real processes
-// under load. A copy of one is booked for replacement by the other, confirmed by
-// its owner alone, and carried out, then its primary is switched; meanwhile a disk
-// machine is lost whole, one way between two processes is cut, callers change zones,
-// a crowd comes, and boot files are rewritten well, badly and half.
+// TestTwoPartnersMoveByLanguage: two partners' fleets on one pool, real processes under
+// load. The replacement of one partner's database is scheduled by the other, confirmed by
+// its owner alone, and carried out, then its primary is switched; meanwhile a machine and
+// its disk are lost, one direction between two processes is partitioned, callers change
+// zones, a crowd comes, and configuration files are rewritten validly, badly and half.
 func TestTwoPartnersMoveByLanguage(t *testing.T) {
 	ctx, f := shaped(t, "two", 4)
 	lctx, end := context.WithCancel(ctx)
--- a/emulator/fleet/observe.go
+++ b/emulator/fleet/observe.go
@@ -20,9 +20,9 @@
 	"stoneford/internal/operators"
 )
 
-// Until tries f again until it does not fail or the time is over.
-func Until(ctx context.Context, limit time.Duration, f func() error) error {
-	end := time.Now().Add(limit)
+// Until retries f until it succeeds or the time has passed, and returns its last error.
+func Until(ctx context.Context, timeout time.Duration, f func() error) error {
+	end := time.Now().Add(timeout)
 	for {
 		err := f()
 		if err == nil || time.Now().After(end) {
@@ -38,12 +38,12 @@
 	}
 }
 
-// Operators is a partner's operators' side of the fleet.
+// Operators is a client of the fleet for a partner's operators.
 func (f *Fleet) Operators(partner string) operators.Client {
 	return operators.Client{Addresses: f.operatorAddresses, Token: Token(partner)}
 }
 
-// Nodes are the ready pool nodes, as the platform hands them out.
+// Nodes are the ready pool nodes, as the platform lists them; none if it does not respond.
 func (f *Fleet) Nodes() []string {
 	c := http.Client{Timeout: time.Second}
 	r, err := c.Get("http://" + f.platformAddress + "/v1/nodes")
@@ -58,7 +58,7 @@
 	return ns
 }
 
-// Ready asks a process whether it is ready.
+// Ready returns an error unless a process reports to be ready.
 func (f *Fleet) Ready(ctx context.Context, name string) error {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.processes[name].http+"/v1/ready", nil)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Primary is a group's primary now.
+// Primary is a group's primary now; empty if it is not known.
 func (f *Fleet) Primary(ctx context.Context, group string) string {
 	s, err := f.Operators(f.Shape.Parts[0].Partner).Status(ctx)
 	if err != nil {
@@ -88,8 +88,7 @@
 	return s.Groups[i].Primary
 }
 
-// Logs reads what each group's primary holds, from the copies themselves: the
-// furthest log in the latest epoch.
+// Logs reads the log of each group's primary, by PARTNER/GROUP.
 func (f *Fleet) Logs(ctx context.Context) (map[string][]databasereplica.LogEntry, error) {
 	out := map[string][]databasereplica.LogEntry{}
 	for _, k := range f.Shape.groups() {
@@ -123,22 +122,21 @@
 	return out, nil
 }
 
-// Crashed tells which processes ended by themselves.
+// Crashed lists the processes that ended without a fault.
 func (f *Fleet) Crashed() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.crashed)
 }
 
-// zoneOf is the zone of the pool node at a callers' address.
+// zoneOf is the zone of the pool node at an address for callers.
 func (f *Fleet) zoneOf(node string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.zones[node]
 }
 
-// CPU is the processor time of our living processes so far, by kind, as the
-// kernel accounts it.
+// CPU is the processor time of stoneford's running processes so far, by kind.
 func (f *Fleet) CPU() map[string]time.Duration {
 	m := map[string]time.Duration{}
 	for _, n := range f.order {
@@ -177,7 +175,7 @@
 	Links map[string]float64 `json:"links"`
 }
 
-// Counters sums what all pool nodes counted so far.
+// Counters is the sum of the counts of all pool nodes that respond.
 func (f *Fleet) Counters(ctx context.Context) (c Counters) {
 	for _, n := range f.order {
 		p := f.processes[n]
@@ -206,13 +204,13 @@
 	return c
 }
 
-// Callers starts callers that faults can crowd and move; Go sends the load.
+// Callers makes the callers, on which the faults crowd and move act.
 func (f *Fleet) Callers(b callers.Load) *callers.Runner {
 	f.load = callers.New(b)
 	return f.load
 }
 
-// WriteDeployment prints how the fleet can be reached.
+// WriteDeployment writes the addresses and tokens by which the fleet is reached.
 func (f *Fleet) WriteDeployment(w io.Writer) {
 	var ts []string
 	for _, p := range f.Shape.Parts {
--- /dev/null
+++ b/emulator/fleet/process_faults.go
@@ -0,0 +1,228 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"syscall"
+	"time"
+
+	"stoneford/emulator/databasereplica"
+	"stoneford/emulator/link"
+)
+
+// processFault injects a fault of one process.
+type processFault func(ctx context.Context, f *Fleet, p *process, value int64) error
+
+// processFaults are the faults of one process, by their actions.
+var processFaults = map[string]processFault{
+	"kill":         endProcess(syscall.SIGKILL),
+	"stop":         endProcess(syscall.SIGTERM),
+	"start":        func(_ context.Context, f *Fleet, p *process, _ int64) error { return f.start(p) },
+	"restart":      restartProcess,
+	"wipe":         wipeProcess,
+	"upgrade":      replaceProgram(false),
+	"downgrade":    replaceProgram(true),
+	"pause":        freezeProcess,
+	"resume":       resumeProcess,
+	"slow-machine": slowMachine,
+	"boot":         func(_ context.Context, _ *Fleet, p *process, value int64) error { return rewrite(p.configFile, value) },
+	"slow":         databaseFault(func(v int64) databasereplica.Faults { return databasereplica.Faults{ServiceUs: serviceUs + v} }),
+	"lag":          databaseFault(func(v int64) databasereplica.Faults { return databasereplica.Faults{ServiceUs: serviceUs, LagUs: v} }),
+	"lose": databaseFault(func(v int64) databasereplica.Faults {
+		return databasereplica.Faults{ServiceUs: serviceUs, LoseResponses: int(v)}
+	}),
+	"dark": databaseFault(func(int64) databasereplica.Faults {
+		return databasereplica.Faults{ServiceUs: serviceUs, Unresponsive: true}
+	}),
+	"light": databaseFault(func(int64) databasereplica.Faults { return databasereplica.Faults{ServiceUs: serviceUs} }),
+	"stop-receiving": databaseFault(func(int64) databasereplica.Faults {
+		return databasereplica.Faults{ServiceUs: serviceUs, StopReceiving: true}
+	}),
+	"stop-applying": databaseFault(func(int64) databasereplica.Faults {
+		return databasereplica.Faults{ServiceUs: serviceUs, StopApplying: true}
+	}),
+	"leave": setDraining(true),
+	"stay":  setDraining(false),
+	"cut":   partitionProcess,
+	"mend":  repairProcess,
+	"reset": resetConnections,
+	"drop":  loseToProcess,
+	"deaf":  func(_ context.Context, f *Fleet, p *process, _ int64) error { return f.partitionAll(p, true) },
+	"mute":  func(_ context.Context, f *Fleet, p *process, _ int64) error { return f.partitionAll(p, false) },
+}
+
+// serviceUs is the time that a run takes on an emulated database without faults.
+const serviceUs = 1000
+
+// endProcess ends a process with a signal and waits for its end.
+func endProcess(signal syscall.Signal) processFault {
+	return func(_ context.Context, _ *Fleet, p *process, _ int64) error {
+		p.signal(signal, true)
+		return nil
+	}
+}
+
+func restartProcess(_ context.Context, f *Fleet, p *process, _ int64) error {
+	p.signal(syscall.SIGTERM, true)
+	return f.start(p)
+}
+
+// wipeProcess kills a process and starts it without its data.
+func wipeProcess(_ context.Context, f *Fleet, p *process, _ int64) error {
+	p.signal(syscall.SIGKILL, true)
+	if err := os.RemoveAll(p.folder); err != nil {
+		return err
+	}
+	return f.start(p)
+}
+
+// replaceProgram restarts a process with the program of this revision or an earlier one.
+func replaceProgram(older bool) processFault {
+	return func(_ context.Context, f *Fleet, p *process, _ int64) error {
+		if f.olderProgramsFolder == "" {
+			return errors.New("there are no programs of an earlier revision")
+		}
+		p.signal(syscall.SIGTERM, true)
+		p.olderPrograms = older
+		return f.start(p)
+	}
+}
+
+func freezeProcess(_ context.Context, _ *Fleet, p *process, _ int64) error {
+	p.signal(syscall.SIGSTOP, false)
+	return nil
+}
+
+func resumeProcess(_ context.Context, _ *Fleet, p *process, _ int64) error {
+	p.slow(0)
+	p.signal(syscall.SIGCONT, false)
+	return nil
+}
+
+// slowMachine lets a process run for a number of milliseconds of each period only.
+func slowMachine(_ context.Context, _ *Fleet, p *process, value int64) error {
+	p.slow(time.Duration(value) * time.Millisecond)
+	return nil
+}
+
+// databaseFault sets the faults of an emulated database.
+func databaseFault(faults func(value int64) databasereplica.Faults) processFault {
+	return func(ctx context.Context, _ *Fleet, p *process, value int64) error {
+		return databasereplica.Call(ctx, "http://"+p.http+"/faults", faults(value), nil)
+	}
+}
+
+// setDraining has an emulated database announce that it drains, or that it does not.
+func setDraining(draining bool) processFault {
+	return func(ctx context.Context, _ *Fleet, p *process, _ int64) error {
+		return databasereplica.Call(ctx, "http://"+p.http+"/v1/leave", map[string]bool{"leaving": draining}, nil)
+	}
+}
+
+func partitionProcess(_ context.Context, _ *Fleet, p *process, _ int64) error {
+	for _, k := range p.links {
+		k.SetPartition(link.Direction{}, true)
+		k.SetPartition(link.Direction{Response: true}, true)
+	}
+	return nil
+}
+
+// repairProcess ends partitions and losses of a process, also on the links of others, which
+// what it sends passes.
+func repairProcess(_ context.Context, f *Fleet, p *process, _ int64) error {
+	for _, other := range f.order {
+		for _, k := range f.processes[other].links {
+			k.SetPartition(link.Direction{From: p.ip}, false)
+			k.SetPartition(link.Direction{From: p.ip, Response: true}, false)
+		}
+	}
+	for _, k := range p.links {
+		k.Repair()
+		k.SetLoss(0)
+	}
+	return nil
+}
+
+func resetConnections(_ context.Context, _ *Fleet, p *process, _ int64) error {
+	for _, k := range p.links {
+		k.Reset()
+	}
+	return nil
+}
+
+// loseToProcess has a percentage of what is sent to a process arrive late.
+func loseToProcess(_ context.Context, _ *Fleet, p *process, value int64) error {
+	for _, k := range p.links {
+		k.SetLoss(float64(value) / 100)
+	}
+	return nil
+}
+
+// partitionAll stops what all others send to a process, or what it sends to all others.
+func (f *Fleet) partitionAll(p *process, incoming bool) error {
+	for _, other := range f.order {
+		if other == p.name {
+			continue
+		}
+		from, to := p.name, other
+		if incoming {
+			from, to = other, p.name
+		}
+		if err := f.setPartition(from, to, true); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// setPartition stops what one process sends to another, or lets it pass again: responses on
+// the sender's links, requests on the receiver's.
+func (f *Fleet) setPartition(from, to string, partitioned bool) error {
+	a, b := f.processes[from], f.processes[to]
+	if a == nil || b == nil {
+		return fmt.Errorf("no processes %s and %s", from, to)
+	}
+	for _, k := range b.links {
+		k.SetPartition(link.Direction{From: a.ip}, partitioned)
+	}
+	for _, k := range a.links {
+		k.SetPartition(link.Direction{From: b.ip, Response: true}, partitioned)
+	}
+	return nil
+}
+
+// rewrite changes a configuration file in place, as an operator's editor may: 0 validly, 1
+// to a half-written file, 2 to a wrong value, anything else back to what it was.
+func rewrite(file string, how int64) error {
+	original, err := os.ReadFile(file + ".whole")
+	if errors.Is(err, os.ErrNotExist) {
+		if original, err = os.ReadFile(file); err == nil {
+			err = os.WriteFile(file+".whole", original, 0o644)
+		}
+	}
+	if err != nil {
+		return err
+	}
+	fields := map[string]any{}
+	if err := json.Unmarshal(original, &fields); err != nil {
+		return err
+	}
+	text := original
+	switch how {
+	case 0:
+		fields["log_level"] = "debug"
+		text, err = json.Marshal(fields)
+	case 1:
+		text = original[:len(original)/2]
+	case 2:
+		fields["log_level"] = "loud"
+		text, err = json.Marshal(fields)
+	}
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(file, text, 0o644)
+}
--- a/emulator/fleet/shape.go
+++ b/emulator/fleet/shape.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// PartnerShape is what one partner brings.
+// PartnerShape is the databases and classes of one partner.
 type PartnerShape struct {
 	Partner     string
 	Groups      []string
 	Zones       []string // its names for the three zones
 	Connections int
-	Classes     [3]string // its names of the current, the stale and the pinned class
+	Classes     [3]string // its names of the classes current, stale and pinned
 }
 
 // Shape is a deployment's sizes.
@@ -28,7 +28,7 @@
 	lender     = PartnerShape{Partner: "lender", Groups: []string{"ledger-1", "ledger-2", "ledger-3"}, Zones: []string{"cluj", "iasi", "brasov"}, Connections: 80, Classes: [3]string{"disburse", "repayment", "limit"}}
 )
 
-// Shapes are the users' two, both on one pool, and a smaller one.
+// Shapes are those of two partners, both of them on one pool, and smaller ones.
 var Shapes = map[string]Shape{
 	"pharmacies": {Parts: []PartnerShape{pharmacies}, Machines: 11, Sessions: 290, Rate: 450},
 	"lender":     {Parts: []PartnerShape{lender}, Machines: 10, Sessions: 290, Rate: 450},
@@ -48,10 +48,10 @@
 	return gs
 }
 
-// owner is whom a machine belongs to: the partners bring them in turn.
+// owner is the partner that a machine belongs to: the partners bring them in turn.
 func (s Shape) owner(machine int) string { return s.Parts[machine%len(s.Parts)].Partner }
 
-// partner is whom a group belongs to; groups of different partners have
+// partner is the partner that a group belongs to; groups of different partners have
 // different names here.
 func (s Shape) partner(group string) string {
 	for _, p := range s.Parts {
