--- a/emulator/fleet/fleet.go
+++ b/emulator/fleet/fleet.go
@@ -31,7 +31,7 @@
 	order               []string
 	databaseAddresses   map[string]string // by database
 	operatorAddresses   []string          // of control processes, for operators
-	platformAddress     string            //
+	platformAddress     string
 	platform            *platform.Server
 	seeds               []string
 	nodes               []string // addresses of all pool nodes for callers
--- a/emulator/run-fleet/main.go
+++ b/emulator/run-fleet/main.go
@@ -1,6 +1,6 @@
-// Command run-fleet starts a whole fleet on this machine, puts a load on it,
-// brings faults about and prints what callers saw as JSON. It exits with 1 if
-// anything happened that must never happen.
+// Command run-fleet runs a complete fleet of processes on this machine (emulator/fleet),
+// puts a load on it, injects faults and prints what callers saw as JSON. It exits with 1 if
+// a rule of docs/never-happens.md was broken.
 package main
 
 import (
@@ -14,54 +14,15 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
-	"stoneford/emulator/callers"
-	"stoneford/emulator/checker"
 	"stoneford/emulator/fleet"
-	"stoneford/result"
 )
 
-type figures struct {
-	Queries   int            `json:"queries"`
-	Served    float64        `json:"served_share"`
-	FirstTry  float64        `json:"served_at_first_try_share"`
-	P50Us     int64          `json:"p50_us"`
-	P99Us     int64          `json:"p99_us"`
-	Codes     map[string]int `json:"codes"`
-	Databases map[string]int `json:"copies,omitempty"`
-}
-
-type fault struct {
-	Fault     fleet.Fault `json:"fault"`
-	Hit       string      `json:"hit"`
-	AtS       float64     `json:"at_s"`
-	FirstAckS float64     `json:"first_acknowledged_write_after_s,omitempty"`
-}
-
-type report struct {
-	Shape     string             `json:"shape"`
-	Seed      uint64             `json:"seed"`
-	Seconds   float64            `json:"seconds"`
-	StartS    float64            `json:"start_to_all_ready_s"`
-	Rate      float64            `json:"queries_per_s"`
-	All       figures            `json:"all"`
-	Kinds     map[string]figures `json:"kinds"`
-	OnReplica float64            `json:"reads_on_replicas_share"`
-	PerSecond []string           `json:"served_of_sent_per_second"`
-	Faults    []fault            `json:"faults,omitempty"`
-	Check     checker.Verdict    `json:"check"`
-	CPU       map[string]float64 `json:"cpu_us_per_query"` // by kind of process
-	Polls     float64            `json:"status_polls_per_query"`
-	Envelopes float64            `json:"envelopes_of_nodes_per_query"`
-	Died      []string           `json:"ended_by_themselves,omitempty"`
-}
-
 func main() {
 	c := &cli.Command{
 		Name: "run-fleet", Usage: "start a fleet, burden it, break it and report",
@@ -85,6 +46,7 @@
 	}
 }
 
+// actions describes the actions of the flag --faults.
 func actions() string {
 	var b strings.Builder
 	for _, a := range slices.Sorted(maps.Keys(fleet.Actions)) {
@@ -93,201 +55,138 @@
 	return b.String()
 }
 
+// settings are what the flags say.
+type settings struct {
+	shapeName string
+	shape     fleet.Shape
+	seconds   int
+	rate      float64
+	sessions  int
+	seed      uint64
+	faults    []fleet.Fault
+	folder    string // empty for a new one that is removed at the end
+	older     string // folder with programs of an earlier revision, empty for none
+	hold      bool
+}
+
+func readSettings(c *cli.Command) (settings, error) {
+	s := settings{shapeName: c.String("shape"), seconds: c.Int("seconds"), rate: c.Float("rate"), sessions: c.Int("sessions"), seed: c.Uint64("seed"),
+		folder: c.String("folder"), older: c.String("older"), hold: c.Bool("hold")}
+	var ok bool
+	if s.shape, ok = fleet.Shapes[s.shapeName]; !ok {
+		return s, fmt.Errorf("no shape %q", s.shapeName)
+	}
+	s.rate = lo.Ternary(s.rate > 0, s.rate, s.shape.Rate)
+	s.sessions = lo.Ternary(s.sessions > 0, s.sessions, s.shape.Sessions)
+	var err error
+	s.faults, err = fleet.ParseFaults(c.String("faults"))
+	return s, err
+}
+
 func run(ctx context.Context, c *cli.Command) (err error) {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	sh, ok := fleet.Shapes[c.String("shape")]
-	if !ok {
-		return fmt.Errorf("no shape %q", c.String("shape"))
-	}
-	fs, err := fleet.ParseFaults(c.String("faults"))
+	s, err := readSettings(c)
 	if err != nil {
 		return err
 	}
-	dir := c.String("folder")
-	if dir == "" {
-		if dir, err = os.MkdirTemp("", "stoneford-fleet-"); err != nil {
-			return err
-		}
-		defer func() {
-			if err == nil {
-				err = os.RemoveAll(dir)
-			} else {
-				fmt.Fprintln(os.Stderr, "run-fleet: logs are left in", dir)
-			}
-		}()
-	} else if err := os.MkdirAll(dir, 0o755); err != nil {
-		return err
-	}
-	bin := filepath.Join(dir, "bin")
-	if err := fleet.Build(ctx, ".", bin); err != nil {
+	folder, remove, err := makeFolder(s.folder)
+	if err != nil {
 		return err
 	}
-	f, err := fleet.New(sh, bin, dir)
+	defer func() { err = remove(err) }()
+	f, err := newFleet(ctx, s, folder)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
-	if o := c.String("older"); o != "" {
-		f.UseOlderPrograms(o)
-	}
-	t0 := time.Now()
+	began := time.Now()
 	if err := f.Start(ctx); err != nil {
 		return err
 	}
-	rep := report{Shape: c.String("shape"), Seed: c.Uint64("seed"), StartS: seconds(time.Since(t0)), Kinds: map[string]figures{}}
-	if c.Bool("hold") {
+	r := report{Shape: s.shapeName, Seed: s.seed, StartS: seconds(time.Since(began)), Kinds: map[string]figures{}}
+	if s.hold {
 		f.WriteDeployment(os.Stdout)
 		<-ctx.Done()
 		return nil
 	}
-	rate, ses := c.Float("rate"), c.Int("sessions")
-	rate = lo.Ternary(rate > 0, rate, sh.Rate)
-	ses = lo.Ternary(ses > 0, ses, sh.Sessions)
-	var mu sync.Mutex
-	var nodes []string
-	poll := func() {
-		if ns := f.Nodes(); len(ns) > 0 {
-			mu.Lock()
-			nodes = ns
-			mu.Unlock()
-		}
+	if err := runLoad(ctx, f, s, &r); err != nil {
+		return err
 	}
-	poll()
-	lctx, lstop := context.WithTimeout(ctx, time.Duration(c.Int("seconds"))*time.Second)
-	defer lstop()
-	go func() {
-		t := time.NewTicker(200 * time.Millisecond)
-		defer t.Stop()
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-t.C:
-				poll()
-			}
+	return printReport(r)
+}
+
+// makeFolder makes the folder for configuration files, logs and data. remove removes a new
+// one at the end, unless the run failed: it takes the run's error and returns it with its
+// own.
+func makeFolder(name string) (folder string, remove func(error) error, err error) {
+	if name != "" {
+		return name, func(err error) error { return err }, os.MkdirAll(name, 0o755)
+	}
+	if folder, err = os.MkdirTemp("", "stoneford-fleet-"); err != nil {
+		return "", nil, err
+	}
+	return folder, func(err error) error {
+		if err == nil {
+			return os.RemoveAll(folder)
 		}
-	}()
-	load := f.Load(ses, rate, c.Uint64("seed"))
-	load.Nodes = func() []string { mu.Lock(); defer mu.Unlock(); return nodes }
-	r := f.Callers(load)
+		fmt.Fprintln(os.Stderr, "run-fleet: logs are left in", folder)
+		return err
+	}, nil
+}
+
+// newFleet builds the programs and makes the fleet; it does not run yet.
+func newFleet(ctx context.Context, s settings, folder string) (*fleet.Fleet, error) {
+	programs := filepath.Join(folder, "bin")
+	if err := fleet.Build(ctx, ".", programs); err != nil {
+		return nil, err
+	}
+	f, err := fleet.New(s.shape, programs, folder)
+	if err == nil && s.older != "" {
+		f.UseOlderPrograms(s.older)
+	}
+	return f, err
+}
+
+// runLoad runs callers and faults and fills the report.
+func runLoad(ctx context.Context, f *fleet.Fleet, s settings, r *report) error {
+	nodes := watchNodes(ctx, f)
+	loadCtx, stop := context.WithTimeout(ctx, time.Duration(s.seconds)*time.Second)
+	defer stop()
+	load := f.Load(s.sessions, s.rate, s.seed)
+	load.Nodes = nodes.get
+	runner := f.Callers(load)
 	cpu, counts := f.CPU(), f.Counters(ctx)
 	began := time.Now()
-	var wg sync.WaitGroup
-	ats := make([]int64, len(fs))
-	rep.Faults = make([]fault, len(fs))
-	ferrs := make([]error, len(fs))
-	for i, ft := range fs {
-		wg.Go(func() {
-			t := time.NewTimer(ft.At)
-			defer t.Stop()
-			select {
-			case <-lctx.Done():
-				ferrs[i] = fmt.Errorf("%s: the run ended before it", ft)
-				return
-			case <-t.C:
-			}
-			ats[i] = time.Now().UnixMicro()
-			hit, err := f.Inject(ctx, ft)
-			rep.Faults[i] = fault{Fault: ft, Hit: hit, AtS: seconds(time.Since(began))}
-			ferrs[i] = err
-		})
-	}
-	r.Run(lctx)
+	schedule := startFaults(ctx, loadCtx, f, s.faults)
+	runner.Run(loadCtx)
 	took := time.Since(began)
-	// Processes that were started anew in between count from there on.
-	rep.CPU = map[string]float64{}
-	after := f.Counters(ctx)
-	if q := after.Queries - counts.Queries; q > 0 {
-		for k, d := range f.CPU() {
-			rep.CPU[k] = float64((d - cpu[k]).Microseconds()) / q
-		}
-		rep.Polls, rep.Envelopes = (after.Polls-counts.Polls)/q, (after.Sent-counts.Sent)/q
-	}
-	wg.Wait()
-	if err := errors.Join(ferrs...); err != nil {
+	countsAfter := f.Counters(ctx)
+	r.fillCost(cpu, f.CPU(), counts, countsAfter)
+	faults, err := schedule.wait()
+	if err != nil {
 		return err
 	}
+	r.fillFaults(faults, began, s.shape, runner)
 	logs, err := f.Logs(ctx)
 	if err != nil {
 		return err
 	}
-	rep.Check = r.Checker.Check(logs)
-	for i := range rep.Faults {
-		if rt := sh.Route(rep.Faults[i].Hit); rt != "" {
-			if a := r.FirstAcknowledgementAfter(rt, ats[i]); a > 0 {
-				rep.Faults[i].FirstAckS = float64((a-ats[i])/1000) / 1000
-			}
-		}
-	}
-	fill(&rep, r.Samples(), began, took)
-	rep.Died = f.Crashed()
-	b, err := json.MarshalIndent(rep, "", "  ")
+	r.Check = runner.Checker.Check(logs)
+	r.fillSamples(runner.Samples(), began, took)
+	r.Died = f.Crashed()
+	return nil
+}
+
+// printReport prints the report and returns an error if it has violations.
+func printReport(r report) error {
+	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
 		return err
 	}
-	fmt.Println(string(b))
-	if n := len(rep.Check.Violations) + len(rep.Died); n > 0 {
+	fmt.Println(string(text))
+	if n := len(r.Check.Violations) + len(r.Died); n > 0 {
 		return fmt.Errorf("%d things happened that must never happen", n)
 	}
 	return nil
 }
-
-func seconds(d time.Duration) float64 { return float64(d.Milliseconds()) / 1000 }
-
-func fill(rep *report, ss []callers.Sample, began time.Time, took time.Duration) {
-	rep.Seconds = seconds(took)
-	rep.Rate = float64(int(float64(len(ss))/took.Seconds()*10)) / 10
-	rep.All = addCounters(ss)
-	for k, l := range lo.GroupBy(ss, func(s callers.Sample) string { return s.Kind }) {
-		rep.Kinds[k] = addCounters(l)
-	}
-	reads := lo.Filter(ss, func(s callers.Sample, _ int) bool {
-		return (s.Kind == checker.Lookup || s.Kind == checker.ReadYourWrites || s.Kind == checker.Current) && s.Outcome == result.Done
-	})
-	by := lo.CountValuesBy(reads, func(s callers.Sample) string { return s.Database })
-	rep.All.Databases = by
-	n := int(took.Seconds()) + 1
-	sent, served := make([]int, n), make([]int, n)
-	for _, s := range ss {
-		i := int((s.AtUs - began.UnixMicro()) / 1_000_000)
-		if i >= 0 && i < n {
-			sent[i]++
-			served[i] += lo.Ternary(s.Outcome == result.Done, 1, 0)
-		}
-	}
-	for i := range n {
-		rep.PerSecond = append(rep.PerSecond, fmt.Sprintf("%d/%d", served[i], sent[i]))
-	}
-	rs := 0
-	for _, s := range reads {
-		rs += lo.Ternary(s.OnReplica, 1, 0)
-	}
-	if len(reads) > 0 {
-		rep.OnReplica = fraction(rs, len(reads))
-	}
-}
-
-func fraction(a, b int) float64 { return float64(int(float64(a)/float64(b)*10000+0.5)) / 10000 }
-
-func addCounters(ss []callers.Sample) figures {
-	f := figures{Queries: len(ss), Codes: map[string]int{}}
-	var took []int64
-	ok, first := 0, 0
-	for _, s := range ss {
-		f.Codes[fmt.Sprintf("%d %s", s.Code, lo.Ternary(s.Code < 0, "no return", s.Code.String()))]++
-		if s.Outcome == result.Done {
-			ok++
-			took = append(took, s.DurationUs)
-			if s.Attempts == 1 {
-				first++
-			}
-		}
-	}
-	slices.Sort(took)
-	if len(ss) > 0 {
-		f.Served, f.FirstTry = fraction(ok, len(ss)), fraction(first, len(ss))
-	}
-	f.P50Us, f.P99Us = checker.Quantile(took, 0.5), checker.Quantile(took, 0.99)
-	return f
-}
--- /dev/null
+++ b/emulator/run-fleet/report.go
@@ -0,0 +1,146 @@
+package main
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/samber/lo"
+
+	"stoneford/emulator/callers"
+	"stoneford/emulator/checker"
+	"stoneford/emulator/fleet"
+	"stoneford/result"
+)
+
+// figures are what callers saw. Times are microseconds.
+type figures struct {
+	Queries   int            `json:"queries"`
+	Served    float64        `json:"served_share"`
+	FirstTry  float64        `json:"served_at_first_try_share"`
+	P50Us     int64          `json:"p50_us"`
+	P99Us     int64          `json:"p99_us"`
+	Codes     map[string]int `json:"codes"`
+	Databases map[string]int `json:"copies,omitempty"`
+}
+
+// fault is a fault that was injected.
+type fault struct {
+	Fault     fleet.Fault `json:"fault"`
+	Hit       string      `json:"hit"`
+	AtS       float64     `json:"at_s"`
+	FirstAckS float64     `json:"first_acknowledged_write_after_s,omitempty"`
+}
+
+// report is the result of a run, which is printed as JSON.
+type report struct {
+	Shape     string             `json:"shape"`
+	Seed      uint64             `json:"seed"`
+	Seconds   float64            `json:"seconds"`
+	StartS    float64            `json:"start_to_all_ready_s"`
+	Rate      float64            `json:"queries_per_s"`
+	All       figures            `json:"all"`
+	Kinds     map[string]figures `json:"kinds"`
+	OnReplica float64            `json:"reads_on_replicas_share"`
+	PerSecond []string           `json:"served_of_sent_per_second"`
+	Faults    []fault            `json:"faults,omitempty"`
+	Check     checker.Verdict    `json:"check"`
+	CPU       map[string]float64 `json:"cpu_us_per_query"` // by kind of process
+	Polls     float64            `json:"status_polls_per_query"`
+	Envelopes float64            `json:"envelopes_of_nodes_per_query"`
+	Died      []string           `json:"ended_by_themselves,omitempty"`
+}
+
+// seconds is a duration in seconds, to the millisecond.
+func seconds(d time.Duration) float64 { return float64(d.Milliseconds()) / 1000 }
+
+// fillCost fills in what a query cost, from processor times and counters before and after
+// the load. Processes that were restarted meanwhile count from their restart on.
+func (r *report) fillCost(cpu, cpuAfter map[string]time.Duration, counts, countsAfter fleet.Counters) {
+	r.CPU = map[string]float64{}
+	queries := countsAfter.Queries - counts.Queries
+	if queries <= 0 {
+		return
+	}
+	for kind, d := range cpuAfter {
+		r.CPU[kind] = float64((d - cpu[kind]).Microseconds()) / queries
+	}
+	r.Polls, r.Envelopes = (countsAfter.Polls-counts.Polls)/queries, (countsAfter.Sent-counts.Sent)/queries
+}
+
+// fillFaults fills in the faults, and when the first write was acknowledged after each.
+func (r *report) fillFaults(faults []injectedFault, began time.Time, shape fleet.Shape, runner *callers.Runner) {
+	r.Faults = make([]fault, len(faults))
+	for i, ft := range faults {
+		r.Faults[i] = fault{Fault: ft.fault, Hit: ft.hit, AtS: seconds(ft.done.Sub(began))}
+		route := shape.Route(ft.hit)
+		if route == "" {
+			continue
+		}
+		atUs := ft.at.UnixMicro()
+		if a := runner.FirstAcknowledgementAfter(route, atUs); a > 0 {
+			r.Faults[i].FirstAckS = float64((a-atUs)/1000) / 1000
+		}
+	}
+}
+
+// fillSamples fills in what callers saw in a run that began at a time and took a duration.
+func (r *report) fillSamples(samples []callers.Sample, began time.Time, took time.Duration) {
+	r.Seconds = seconds(took)
+	r.Rate = float64(int(float64(len(samples))/took.Seconds()*10)) / 10
+	r.All = summarize(samples)
+	for kind, ofKind := range lo.GroupBy(samples, func(s callers.Sample) string { return s.Kind }) {
+		r.Kinds[kind] = summarize(ofKind)
+	}
+	r.PerSecond = servedPerSecond(samples, began, took)
+	reads := lo.Filter(samples, func(s callers.Sample, _ int) bool {
+		return (s.Kind == checker.Lookup || s.Kind == checker.ReadYourWrites || s.Kind == checker.Current) && s.Outcome == result.Done
+	})
+	r.All.Databases = lo.CountValuesBy(reads, func(s callers.Sample) string { return s.Database })
+	if len(reads) > 0 {
+		r.OnReplica = fraction(lo.CountBy(reads, func(s callers.Sample) bool { return s.OnReplica }), len(reads))
+	}
+}
+
+// servedPerSecond is the number of queries served, of those sent in each second.
+func servedPerSecond(samples []callers.Sample, began time.Time, took time.Duration) (text []string) {
+	n := int(took.Seconds()) + 1
+	sent, served := make([]int, n), make([]int, n)
+	for _, s := range samples {
+		i := int((s.AtUs - began.UnixMicro()) / 1_000_000)
+		if i >= 0 && i < n {
+			sent[i]++
+			served[i] += lo.Ternary(s.Outcome == result.Done, 1, 0)
+		}
+	}
+	for i := range n {
+		text = append(text, fmt.Sprintf("%d/%d", served[i], sent[i]))
+	}
+	return text
+}
+
+// fraction is a/b to four digits.
+func fraction(a, b int) float64 { return float64(int(float64(a)/float64(b)*10000+0.5)) / 10000 }
+
+// summarize is the figures of queries.
+func summarize(samples []callers.Sample) figures {
+	f := figures{Queries: len(samples), Codes: map[string]int{}}
+	var durations []int64
+	served, first := 0, 0
+	for _, s := range samples {
+		f.Codes[fmt.Sprintf("%d %s", s.Code, lo.Ternary(s.Code < 0, "no return", s.Code.String()))]++
+		if s.Outcome == result.Done {
+			served++
+			durations = append(durations, s.DurationUs)
+			if s.Attempts == 1 {
+				first++
+			}
+		}
+	}
+	slices.Sort(durations)
+	if len(samples) > 0 {
+		f.Served, f.FirstTry = fraction(served, len(samples)), fraction(first, len(samples))
+	}
+	f.P50Us, f.P99Us = checker.Quantile(durations, 0.5), checker.Quantile(durations, 0.99)
+	return f
+}
