--- a/emulator/fleet/names_test.go
+++ b/emulator/fleet/names_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestPoolCountsNames: a pool node's counts are read by the names that it tells
-// them by.
+// TestPoolCountsNames: a pool node's counts are read by the names under which it reports
+// them.
 func TestPoolCountsNames(t *testing.T) {
 	var v poolCounts
 	text := `{"groups":{"g":{"Counts":{"Queries":3,"Polls":4}}},"links":{"sent":5}}`
--- a/emulator/fleet/shape.go
+++ b/emulator/fleet/shape.go
@@ -12,7 +12,7 @@
 	Groups      []string
 	Zones       []string // its names for the three zones
 	Connections int
-	Classes     [3]string // its names of the classes current, stale and pinned
+	Classes     [3]string // its names of the classes for current, stale and read-your-writes reads
 }
 
 // Shape is a deployment's sizes.
--- a/emulator/run-fleet/main.go
+++ b/emulator/run-fleet/main.go
@@ -66,12 +66,12 @@
 	faults    []fleet.Fault
 	folder    string // empty for a new one that is removed at the end
 	older     string // folder with programs of an earlier revision, empty for none
-	hold      bool
+	keepUp    bool
 }
 
 func readSettings(c *cli.Command) (settings, error) {
 	s := settings{shapeName: c.String("shape"), seconds: c.Int("seconds"), rate: c.Float("rate"), sessions: c.Int("sessions"), seed: c.Uint64("seed"),
-		folder: c.String("folder"), older: c.String("older"), hold: c.Bool("hold")}
+		folder: c.String("folder"), older: c.String("older"), keepUp: c.Bool("hold")}
 	var ok bool
 	if s.shape, ok = fleet.Shapes[s.shapeName]; !ok {
 		return s, fmt.Errorf("no shape %q", s.shapeName)
@@ -105,7 +105,7 @@
 		return err
 	}
 	r := report{Shape: s.shapeName, Seed: s.seed, StartS: seconds(time.Since(began)), Kinds: map[string]figures{}}
-	if s.hold {
+	if s.keepUp {
 		f.WriteDeployment(os.Stdout)
 		<-ctx.Done()
 		return nil
--- /dev/null
+++ b/emulator/site-move/callers.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"stoneford/internal/ports"
+	"stoneford/internal/sessionpool"
+)
+
+// caller is one caller's session at a node.
+type caller struct{ replies chan ports.Reply }
+
+func (c *caller) Reply(r ports.Reply) { c.replies <- r }
+
+func (c *caller) Close() {}
+
+func (c *caller) Flush() {}
+
+const (
+	// replyTimeout is how long a caller waits for a reply.
+	replyTimeout = 10 * time.Second
+	// retryInterval is the time until a caller tries again.
+	retryInterval = 20 * time.Millisecond
+)
+
+// call confirms one pickup after the other, each with an id of its own. One that is
+// reported as not executed is confirmed again under its id; one in doubt is left, as a
+// person would check first.
+func (w *siteMove) call(ctx context.Context, n int) {
+	s := &callerSession{siteMove: w, random: rand.New(rand.NewPCG(uint64(n), 1))}
+	defer s.close()
+	for k := 0; ctx.Err() == nil; k++ {
+		s.confirm(ctx, fmt.Sprintf("pickup-%d-%d", n, k))
+		wait(ctx, w.options.Every/2+time.Duration(s.random.Int64N(int64(w.options.Every))))
+	}
+}
+
+// callerSession is the session of a caller that runs, and its choice of nodes.
+type callerSession struct {
+	siteMove *siteMove
+	random   *rand.Rand
+	caller   *caller // nil while no session is open
+	handler  sessionpool.SessionHandler
+	id       uint64
+}
+
+// confirm confirms one pickup, until it is acknowledged or in doubt.
+func (s *callerSession) confirm(ctx context.Context, pickup string) {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		if s.caller == nil && !s.open() {
+			wait(ctx, retryInterval)
+			continue
+		}
+		s.handler.StatementReceived(s.id, ports.Statement{ID: fmt.Sprintf("%s.%d", pickup, attempt), Kind: ports.Write, Text: pickup, Raw: []byte(pickup)})
+		r, ok := s.reply()
+		if ok && r.Code == ports.Done {
+			s.siteMove.acknowledge(pickup)
+			return
+		}
+		s.close()
+		if !ok || !r.Code.NoEffect() {
+			s.siteMove.countInDoubt()
+			return
+		}
+		wait(ctx, retryInterval)
+	}
+}
+
+// open opens a session on some node.
+func (s *callerSession) open() bool {
+	s.caller, s.handler = &caller{make(chan ports.Reply, 4)}, s.siteMove.serving[s.random.IntN(len(s.siteMove.serving))]
+	s.id = s.handler.SessionOpened(s.caller, "pickups")
+	if r, ok := s.reply(); !ok || r.Code != ports.Done {
+		s.close()
+		return false
+	}
+	return true
+}
+
+// reply waits for the next reply.
+func (s *callerSession) reply() (ports.Reply, bool) {
+	select {
+	case r := <-s.caller.replies:
+		return r, true
+	case <-time.After(replyTimeout):
+		return ports.Reply{}, false
+	}
+}
+
+// close closes the session, if one is open.
+func (s *callerSession) close() {
+	if s.caller != nil {
+		s.handler.SessionClosed(s.id)
+		s.caller = nil
+	}
+}
+
+// acknowledge notes an acknowledged confirmation.
+func (w *siteMove) acknowledge(pickup string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.acknowledged[pickup] = true
+	w.acknowledgedAt = append(w.acknowledgedAt, time.Now())
+}
+
+func (w *siteMove) countInDoubt() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.inDoubt++
+}
+
+// wait waits, or until the context ends.
+func wait(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
--- a/emulator/site-move/databases.go
+++ b/emulator/site-move/databases.go
@@ -28,7 +28,7 @@
 	table uint64
 }
 
-// database is one copy of the group, in memory.
+// database is one database of the group, in memory.
 type database struct {
 	store             *store
 	id                string
@@ -38,7 +38,7 @@
 	frozenBy          uint64
 	log               []entry
 	calls             uint64
-	receivedByReplica map[string]int // what each follower confirmed, of a primary's term
+	receivedByReplica map[string]int // of a primary: length of the log received in its term, by replica
 	syncWaits         []syncWait
 }
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// offer has a follower receive the log as it stands, a little later.
+// offer has a replica receive the log as it stands, a little later.
 func (d *database) offer(o *database) {
 	log, term := d.log[:len(d.log):len(d.log)], d.term
 	time.AfterFunc(replicationDelay, func() {
@@ -221,7 +221,7 @@
 	return http.StatusOK, nil
 }
 
-// connection is a node's to a database.
+// connection is a connection of a node to a database.
 type connection struct {
 	database   *database
 	table      func() uint64
--- a/emulator/site-move/main.go
+++ b/emulator/site-move/main.go
@@ -1,7 +1,7 @@
-// Command site-move moves a live group round three sites while callers confirm
-// pickups with ids: three control processes and six pool nodes over loopback
-// links, databases in memory. It prints what was measured as JSON and exits with
-// 1 if something that must never happen did.
+// Command site-move moves a group round three sites under load, while callers confirm
+// pickups with ids: three control processes and six pool nodes over loopback links, with
+// databases in memory. It prints what was measured as JSON and exits with 1 if a rule of
+// docs/never-happens.md was broken.
 package main
 
 import (
@@ -33,18 +33,18 @@
 	Callers int
 	Every   time.Duration // between a caller's confirmations
 	Rest    time.Duration // after each move
-	Frozen  time.Duration // how long a node's links are cut
-	Longest time.Duration // that anything may take
+	Frozen  time.Duration // how long a node's links are partitioned
+	Longest time.Duration // bound of any wait
 }
 
-// moveResult is one move as it was seen.
+// moveResult is one move as it was observed.
 type moveResult struct {
 	To         string   `json:"to"`
 	With       string   `json:"with,omitempty"`
-	Failed     []string `json:"failed,omitempty"` // causes of moves that failed and were asked for again
+	Failed     []string `json:"failed,omitempty"` // causes of moves that failed and were requested again
 	Table      uint64   `json:"table"`
 	Term       uint64   `json:"term"`
-	StagedMs   int64    `json:"stagedMs"` // from the asking on, as the next two
+	StagedMs   int64    `json:"stagedMs"` // since the request, as the next two
 	AgreedMs   int64    `json:"agreedMs"`
 	SwitchedMs int64    `json:"switchedMs"`
 	OutageMs   int64    `json:"outageMs"` // longest gap between acknowledged confirmations
@@ -84,6 +84,7 @@
 	}
 }
 
+// control is one control process.
 type control struct {
 	store   *store
 	process atomic.Pointer[coordinator.Process]
@@ -92,19 +93,23 @@
 	done    chan error
 }
 
-// siteMove is all that runs.
+// siteMove is everything that runs. The fields after mu are guarded by it.
 type siteMove struct {
 	options        options
 	store          *store
 	controls       []*control
 	nodes          []*sessionpool.Process
 	serving        []sessionpool.SessionHandler // of each node
+	running        int                          // goroutines that send to ended
+	ended          chan error                   // the ends of those
 	mu             sync.Mutex
 	acknowledged   map[string]bool
 	acknowledgedAt []time.Time
 	inDoubt        int
 }
 
+// freePorts finds four consecutive ports that are free on all addresses, and returns the
+// first.
 func freePorts(ips []string) (int, error) {
 	for range 100 {
 		first := 20_000 + rand.IntN(20_000)
@@ -126,6 +131,7 @@
 	return 0, errors.New("no ports are free")
 }
 
+// start starts the process on its data.
 func (c *control) start() error {
 	cp, err := coordinator.NewProcess(c.boot, c.store, c.store)
 	if err != nil {
--- /dev/null
+++ b/emulator/site-move/move.go
@@ -0,0 +1,207 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+
+	"stoneford/internal/coordinator"
+	"stoneford/result"
+)
+
+// requestMove calls the control processes in turn over their own interface, until one
+// responds.
+func (w *siteMove) requestMove(ctx context.Context, method string, in any) (coordinator.MoveReply, error) {
+	var all error
+	for _, c := range w.controls {
+		at, _ := c.boot.StateAddress(c.boot.PortFirst)
+		b, err := json.Marshal(in)
+		if err != nil {
+			return coordinator.MoveReply{}, err
+		}
+		c2, stop := context.WithTimeout(ctx, 2*time.Second)
+		rq, err := http.NewRequestWithContext(c2, method, "http://"+at+coordinator.MovesPath, bytes.NewReader(b))
+		if err != nil {
+			stop()
+			return coordinator.MoveReply{}, err
+		}
+		rs, err := http.DefaultClient.Do(rq)
+		var m coordinator.MoveReply
+		if err == nil {
+			err = json.NewDecoder(rs.Body).Decode(&m)
+			rs.Body.Close()
+		}
+		stop()
+		if err == nil {
+			return m, nil
+		}
+		all = errors.Join(all, err)
+	}
+	return coordinator.MoveReply{}, all
+}
+
+// move moves the group; the second time with a node's links partitioned, the third with a
+// control process killed.
+func (w *siteMove) move(ctx context.Context, i int, to string) (moveResult, error) {
+	m := moveResult{To: to}
+	repaired := make(chan struct{})
+	switch i {
+	case 1:
+		m.With = "the links of pool-6 cut"
+		w.nodes[5].PartitionLinks(true)
+		time.AfterFunc(w.options.Frozen, func() { w.nodes[5].PartitionLinks(false); close(repaired) })
+	default:
+		close(repaired)
+	}
+	began := time.Now()
+	if err := w.until(ctx, "the move to "+to+" was taken", func() bool { return w.submit(ctx, &m) }); err != nil {
+		return m, err
+	}
+	m.StagedMs = time.Since(began).Milliseconds()
+	if i == 2 {
+		m.With = "control-2 killed"
+		w.controls[1].kill()
+	}
+	if err := w.awaitSwitched(ctx, &m, began); err != nil {
+		return m, err
+	}
+	at := ""
+	if at, m.Term = w.store.primarySite(); at != to {
+		return m, fmt.Errorf("switched to %s, and the primary is at %q", to, at)
+	}
+	if i == 2 {
+		if err := w.controls[1].restart(); err != nil {
+			return m, err
+		}
+	}
+	rest := time.After(w.options.Rest)
+	<-repaired
+	<-rest
+	w.mu.Lock()
+	m.OutageMs = longestGap(w.acknowledgedAt, began).Milliseconds()
+	w.mu.Unlock()
+	return m, nil
+}
+
+// submit requests the move, and says whether it is accepted.
+func (w *siteMove) submit(ctx context.Context, m *moveResult) bool {
+	r, err := w.requestMove(ctx, http.MethodPost, coordinator.MoveRequest{Group: group, Site: m.To})
+	m.Table = r.Table
+	return err == nil && r.Code == result.OK
+}
+
+// awaitSwitched waits until the move is switched. One that failed left the group serving
+// where it was, and is requested again, as an operator would.
+func (w *siteMove) awaitSwitched(ctx context.Context, m *moveResult, began time.Time) error {
+	var seen coordinator.MoveReply
+	err := w.until(ctx, "the move to "+m.To+" was switched", func() bool {
+		r, err := w.requestMove(ctx, http.MethodGet, nil)
+		seen = r
+		if err != nil || len(r.Moves) != 1 || r.Moves[0].Table != m.Table {
+			return false
+		}
+		ms := time.Since(began).Milliseconds()
+		switch r.Moves[0].Phase {
+		case "agreed":
+			if m.AgreedMs == 0 {
+				m.AgreedMs = ms
+			}
+		case "switched":
+			m.SwitchedMs = ms
+		case "failed":
+			m.Failed = append(m.Failed, r.Moves[0].Cause)
+			m.AgreedMs = 0
+			if a, err := w.requestMove(ctx, http.MethodPost, coordinator.MoveRequest{Group: group, Site: m.To}); err == nil && a.Code == result.OK {
+				m.Table = a.Table
+			}
+		}
+		return m.SwitchedMs > 0
+	})
+	if err != nil {
+		return fmt.Errorf("%w; asked for by table %d, seen %+v", err, m.Table, seen)
+	}
+	if m.AgreedMs == 0 {
+		m.AgreedMs = m.SwitchedMs
+	}
+	return nil
+}
+
+// kill ends a control process without a word to the others.
+func (c *control) kill() {
+	c.process.Load().SetLinksBroken(true)
+	c.stop()
+}
+
+// restart starts a control process that was killed.
+func (c *control) restart() error {
+	if err := <-c.done; err != nil {
+		return err
+	}
+	return c.start()
+}
+
+// primarySite is the site of the primary of the newest term, and that term.
+func (s *store) primarySite() (site string, term uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, d := range s.databases {
+		if d.primary && d.term == s.terms {
+			site = d.zone
+		}
+	}
+	return site, s.terms
+}
+
+// longestGap is the longest time without an acknowledgement since a time.
+func longestGap(at []time.Time, since time.Time) time.Duration {
+	var limit time.Duration
+	last := since
+	for _, t := range at {
+		if t.After(since) {
+			limit = max(limit, t.Sub(last))
+			last = t
+		}
+	}
+	return max(limit, time.Since(last))
+}
+
+// check compares what was acknowledged with the newest primary's log.
+func (w *siteMove) check(r *report) {
+	w.store.mu.Lock()
+	defer w.store.mu.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	r.Acknowledged, r.InDoubt = len(w.acknowledged), w.inDoubt
+	var p *database
+	for _, d := range w.store.databases {
+		if d.primary && d.term == w.store.terms {
+			p = d
+		}
+	}
+	if p == nil {
+		r.Problems = append(r.Problems, "no primary at the end")
+		return
+	}
+	times := map[string]int{}
+	for _, e := range p.log {
+		times[e.text]++
+		if w.acknowledged[e.text] && slices.ContainsFunc(r.Moves, func(m moveResult) bool { return m.Term > 0 && e.term >= m.Term && e.table < m.Table }) {
+			r.Older++
+		}
+	}
+	for id := range w.acknowledged {
+		if times[id] == 0 {
+			r.Lost++
+		}
+	}
+	for _, n := range times {
+		if n > 1 {
+			r.Doubled++
+		}
+	}
+}
