--- a/tools/generate-docs/main.go
+++ b/tools/generate-docs/main.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// codes is the page of result codes.
 func codes() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\nGenerated from `result/result.go` by `go generate ./...`.\n\n")
@@ -38,6 +39,7 @@
 	return b.String()
 }
 
+// tables is the page of settings.
 func tables() string {
 	var b strings.Builder
 	b.WriteString("# Tables of settings\n\nGenerated from `schema/settings.proto` by `go generate ./...`. Times are whole microseconds.\n")
@@ -48,8 +50,9 @@
 	return b.String()
 }
 
-func table(b *strings.Builder, d protoreflect.MessageDescriptor, pre string, boot bool) {
-	if pre == "" {
+// table writes the rows of a message's fields, and of the messages in its maps under a prefix.
+func table(b *strings.Builder, d protoreflect.MessageDescriptor, prefix string, boot bool) {
+	if prefix == "" {
 		b.WriteString("| field | type | default | check |")
 		if boot {
 			b.WriteString(" takes effect |")
@@ -74,17 +77,18 @@
 		} else if f.IsList() {
 			ty = "list of " + ty
 		}
-		fmt.Fprintf(b, "| `%s%s` | %s | %s | %s |", pre, f.Name(), ty, code(def), strings.ReplaceAll(check(s), "|", "\\|"))
+		fmt.Fprintf(b, "| `%s%s` | %s | %s | %s |", prefix, f.Name(), ty, code(def), strings.ReplaceAll(check(s), "|", "\\|"))
 		if boot {
 			fmt.Fprintf(b, " %s |", s.GetBootEffect())
 		}
 		fmt.Fprintf(b, " %s |\n", s.GetDoc())
 		if f.IsMap() && f.MapValue().Kind() == protoreflect.MessageKind {
-			table(b, f.MapValue().Message(), pre+string(f.Name())+".*.", boot)
+			table(b, f.MapValue().Message(), prefix+string(f.Name())+".*.", boot)
 		}
 	}
 }
 
+// code formats a default value.
 func code(s string) string {
 	if s == "" || s == "required" {
 		return s
@@ -92,6 +96,7 @@
 	return "`" + s + "`"
 }
 
+// check describes the checks of a setting.
 func check(s *schema.Setting) string {
 	var cs []string
 	if s.GetPattern() != "" {
--- a/tools/generate-schema/main.go
+++ b/tools/generate-schema/main.go
@@ -12,8 +12,10 @@
 	"path/filepath"
 
 	"github.com/bufbuild/protocompile"
+	"github.com/bufbuild/protocompile/linker"
 	"github.com/bufbuild/protocompile/protoutil"
 	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/types/descriptorpb"
 	"google.golang.org/protobuf/types/pluginpb"
 )
@@ -25,49 +27,32 @@
 	}
 }
 
+// generate compiles the files and runs the generators over the result.
 func generate() error {
-	fs, err := filepath.Glob("schema/*.proto")
+	files, err := filepath.Glob("schema/*.proto")
 	if err != nil {
 		return err
 	}
-	ns := make([]string, len(fs))
-	for i, f := range fs {
-		ns[i] = filepath.ToSlash(f)
+	for i, f := range files {
+		files[i] = filepath.ToSlash(f)
 	}
-	co := protocompile.Compiler{
+	compiler := protocompile.Compiler{
 		Resolver:       protocompile.WithStandardImports(&protocompile.SourceResolver{}),
 		SourceInfoMode: protocompile.SourceInfoStandard,
 	}
-	res, err := co.Compile(context.Background(), ns...)
+	compiled, err := compiler.Compile(context.Background(), files...)
 	if err != nil {
 		return err
 	}
-	req := &pluginpb.CodeGeneratorRequest{FileToGenerate: ns, Parameter: proto.String("paths=source_relative")}
-	dp := &descriptorpb.FileDescriptorProto{}
-	seen := map[string]bool{}
-	for _, f := range res {
-		is := f.Imports()
-		for i := range is.Len() {
-			d := is.Get(i).FileDescriptor
-			if !seen[d.Path()] {
-				seen[d.Path()] = true
-				req.ProtoFile = append(req.ProtoFile, protoutil.ProtoFromFileDescriptor(d))
-			}
-		}
-	}
-	for _, f := range res {
-		// Through bytes, so that the extension's own options are plain again.
-		b, err := proto.Marshal(protoutil.ProtoFromFileDescriptor(f))
+	request := &pluginpb.CodeGeneratorRequest{FileToGenerate: files, Parameter: proto.String("paths=source_relative"), ProtoFile: imports(compiled)}
+	for _, f := range compiled {
+		d, err := plainDescriptor(f)
 		if err != nil {
 			return err
 		}
-		dp = &descriptorpb.FileDescriptorProto{}
-		if err := proto.Unmarshal(b, dp); err != nil {
-			return err
-		}
-		req.ProtoFile = append(req.ProtoFile, dp)
+		request.ProtoFile = append(request.ProtoFile, d)
 	}
-	in, err := proto.Marshal(req)
+	in, err := proto.Marshal(request)
 	if err != nil {
 		return err
 	}
@@ -79,6 +64,34 @@
 	return nil
 }
 
+// imports are the files that compiled files import, each once.
+func imports(compiled linker.Files) (out []*descriptorpb.FileDescriptorProto) {
+	seen := map[string]bool{}
+	for _, f := range compiled {
+		imported := f.Imports()
+		for i := range imported.Len() {
+			d := imported.Get(i).FileDescriptor
+			if !seen[d.Path()] {
+				seen[d.Path()] = true
+				out = append(out, protoutil.ProtoFromFileDescriptor(d))
+			}
+		}
+	}
+	return out
+}
+
+// plainDescriptor is a file's descriptor, encoded and decoded again, so that the options
+// that the file itself defines are unknown fields, as a generator expects them.
+func plainDescriptor(f protoreflect.FileDescriptor) (*descriptorpb.FileDescriptorProto, error) {
+	b, err := proto.Marshal(protoutil.ProtoFromFileDescriptor(f))
+	if err != nil {
+		return nil, err
+	}
+	d := &descriptorpb.FileDescriptorProto{}
+	return d, proto.Unmarshal(b, d)
+}
+
+// run runs one generator on a request and writes the files of its response.
 func run(tool string, in []byte) error {
 	var out bytes.Buffer
 	c := exec.Command("go", "tool", tool)
@@ -86,14 +99,14 @@
 	if err := c.Run(); err != nil {
 		return err
 	}
-	var rp pluginpb.CodeGeneratorResponse
-	if err := proto.Unmarshal(out.Bytes(), &rp); err != nil {
+	var response pluginpb.CodeGeneratorResponse
+	if err := proto.Unmarshal(out.Bytes(), &response); err != nil {
 		return err
 	}
-	if rp.Error != nil {
-		return fmt.Errorf("%s", *rp.Error)
+	if response.Error != nil {
+		return fmt.Errorf("%s", *response.Error)
 	}
-	for _, f := range rp.File {
+	for _, f := range response.File {
 		if err := os.WriteFile(f.GetName(), []byte(f.GetContent()), 0o644); err != nil {
 			return err
 		}
--- a/tools/run-tests/main.go
+++ b/tools/run-tests/main.go
@@ -1,6 +1,6 @@
-// Command run-tests runs go test with the arguments it is given and prints what
-// go test would, then how many tests passed and failed. Tests listed in
-// KNOWN-RED.txt may fail; one that passes again has to leave the list.
+// Command run-tests runs go test with the arguments it is given and prints what go test
+// would, then how many tests passed and failed. Tests that are listed in KNOWN-RED.txt may
+// fail; one that passes again must be removed from the list.
 package main
 
 import (
@@ -17,6 +17,7 @@
 	"strings"
 )
 
+// knownFile lists the tests that may fail.
 const knownFile = "KNOWN-RED.txt"
 
 func main() {
@@ -41,8 +42,8 @@
 		return err
 	}
 	r := newRun(known, out)
-	r.all = slices.Contains(args, "-v")
-	r.list = slices.ContainsFunc(args, func(a string) bool {
+	r.verbose = slices.Contains(args, "-v")
+	r.partial = slices.ContainsFunc(args, func(a string) bool {
 		return a == "-run" || a == "-skip" || strings.HasPrefix(a, "-run=") || strings.HasPrefix(a, "-skip=")
 	})
 	read := r.read(events)
@@ -51,13 +52,13 @@
 	switch {
 	case read != nil:
 		return errors.Join(read, sum)
-	case sum == nil && ended != nil && r.failing == 0:
+	case sum == nil && ended != nil && r.knownFailures == 0:
 		return fmt.Errorf("go test ended with %w, and no test said why", ended)
 	}
 	return sum
 }
 
-// test is one test by its package's import path.
+// test is one test and the import path of its package.
 type test struct{ pkg, name string }
 
 func (t test) String() string { return t.pkg + " " + t.name }
@@ -90,35 +91,37 @@
 	Action, Package, ImportPath, Test, Output, FailedBuild string
 }
 
-// packageRun is a package under test.
+// packageRun is what is known of a package under test.
 type packageRun struct {
 	text         strings.Builder
-	tests        map[string]*strings.Builder // that have not ended
-	fails        []string
+	tests        map[string]*strings.Builder // output of tests that have not ended
+	failed       []string
 	ended        map[string]bool
-	complete     bool // all its tests ended
-	unattributed bool // something beside them failed
+	endedInOrder bool // go test reported the end of all its tests
+	unattributed bool // something failed that belongs to no test
 }
 
-type tests struct {
-	known    map[test]string
-	output   io.Writer
-	all      bool // print what passed too
-	list     bool // not all tests of the packages are run
-	packages map[string]*packageRun
-	builds   map[string]*strings.Builder
-	passed   int
-	failed   int
-	failing  int // of known ones
-	complete []string
-	green    []test // listed ones that passed
+// testRun is a run of go test.
+type testRun struct {
+	known          map[test]string
+	output         io.Writer
+	verbose        bool // print the output of tests that pass, too
+	partial        bool // only some tests of the packages run
+	packages       map[string]*packageRun
+	builds         map[string]*strings.Builder
+	passed         int
+	failed         int
+	knownFailures  int // failures of listed tests
+	brokenPackages []string
+	passedKnown    []test // listed tests that passed
 }
 
-func newRun(known map[test]string, out io.Writer) *tests {
-	return &tests{known: known, output: out, packages: map[string]*packageRun{}, builds: map[string]*strings.Builder{}}
+func newRun(known map[test]string, out io.Writer) *testRun {
+	return &testRun{known: known, output: out, packages: map[string]*packageRun{}, builds: map[string]*strings.Builder{}}
 }
 
-func (r *tests) packageOf(n string) *packageRun {
+// packageOf is the package with an import path.
+func (r *testRun) packageOf(n string) *packageRun {
 	p := r.packages[n]
 	if p == nil {
 		p = &packageRun{tests: map[string]*strings.Builder{}, ended: map[string]bool{}}
@@ -127,7 +130,8 @@
 	return p
 }
 
-func (r *tests) read(events io.Reader) error {
+// read takes all events of go test.
+func (r *testRun) read(events io.Reader) error {
 	b := bufio.NewReader(events)
 	for {
 		l, err := b.ReadBytes('\n')
@@ -136,7 +140,7 @@
 		case len(l) == 0 && err == io.EOF:
 			return nil
 		case json.Unmarshal(l, &e) != nil:
-			fmt.Fprintf(r.output, "%s", l) // go's own words
+			fmt.Fprintf(r.output, "%s", l) // not an event: output of the go command itself
 		default:
 			r.event(e)
 		}
@@ -146,7 +150,8 @@
 	}
 }
 
-func (r *tests) event(e event) {
+// event takes one event.
+func (r *testRun) event(e event) {
 	if e.Action == "build-output" {
 		w := r.builds[e.ImportPath]
 		if w == nil {
@@ -161,7 +166,7 @@
 	}
 	p := r.packageOf(e.Package)
 	if e.Test == "" {
-		r.ofPackage(e, p)
+		r.packageEvent(e, p)
 		return
 	}
 	top, _, sub := strings.Cut(e.Test, "/")
@@ -170,7 +175,7 @@
 	}
 	switch e.Action {
 	case "output":
-		if r.all {
+		if r.verbose {
 			fmt.Fprint(r.output, e.Output)
 		} else if !strings.HasPrefix(e.Output, "=== ") {
 			p.tests[top].WriteString(e.Output)
@@ -182,7 +187,8 @@
 	}
 }
 
-func (r *tests) end(pkg string, p *packageRun, name, action string) {
+// end takes the end of a top-level test.
+func (r *testRun) end(pkg string, p *packageRun, name, action string) {
 	text := p.tests[name].String()
 	delete(p.tests, name)
 	p.ended[name] = true
@@ -192,10 +198,10 @@
 	case "pass":
 		r.passed++
 		if listed {
-			r.green = append(r.green, t)
+			r.passedKnown = append(r.passedKnown, t)
 		}
 	case "fail":
-		p.fails = append(p.fails, name)
+		p.failed = append(p.failed, name)
 		fmt.Fprint(r.output, text)
 		if !listed {
 			r.failed++
@@ -203,10 +209,11 @@
 	}
 }
 
-func (r *tests) ofPackage(e event, p *packageRun) {
+// packageEvent takes an event that belongs to no test.
+func (r *testRun) packageEvent(e event, p *packageRun) {
 	switch e.Action {
 	case "output":
-		p.complete = p.complete || e.Output == "FAIL\n" // which a panic leaves out
+		p.endedInOrder = p.endedInOrder || e.Output == "FAIL\n" // a panic leaves it out
 		p.unattributed = p.unattributed || strings.Contains(e.Output, "race detected outside of test execution")
 		if !strings.HasPrefix(e.Output, "=== ") && e.Output != "PASS\n" {
 			p.text.WriteString(e.Output)
@@ -217,57 +224,57 @@
 		if w := r.builds[e.FailedBuild]; w != nil {
 			fmt.Fprint(r.output, w)
 		}
-		for _, n := range slices.Sorted(maps.Keys(p.tests)) { // those it ended in the middle of
+		for _, n := range slices.Sorted(maps.Keys(p.tests)) { // those that were running at the end
 			r.end(e.Package, p, n, "fail")
-			p.complete = false
+			p.endedInOrder = false
 		}
 		fmt.Fprint(r.output, p.text.String())
 		r.packageFailed(e, p)
 	}
 }
 
-// packageFailed counts known failures; where the package did not end in order,
-// tests behind them never ran, so nothing in it is excused.
-func (r *tests) packageFailed(e event, p *packageRun) {
+// packageFailed counts known failures. Where the package did not end in order, tests after
+// them never ran, so nothing in it is excused.
+func (r *testRun) packageFailed(e event, p *packageRun) {
 	listed := 0
-	for _, n := range p.fails {
+	for _, n := range p.failed {
 		if _, ok := r.known[test{e.Package, n}]; ok {
 			listed++
 		}
 	}
-	if len(p.fails) == 0 || !p.complete || p.unattributed {
-		r.complete = append(r.complete, e.Package)
-		if listed == len(p.fails) {
+	if len(p.failed) == 0 || !p.endedInOrder || p.unattributed {
+		r.brokenPackages = append(r.brokenPackages, e.Package)
+		if listed == len(p.failed) {
 			r.failed++
 		}
 		return
 	}
-	r.failing += listed
+	r.knownFailures += listed
 }
 
-// summary prints the counts and says whether all is well.
-func (r *tests) summary() error {
+// summary prints the counts, and returns an error unless only listed tests failed.
+func (r *testRun) summary() error {
 	bad := r.failed > 0
 	for _, t := range slices.SortedFunc(maps.Keys(r.known), func(a, b test) int { return strings.Compare(a.String(), b.String()) }) {
 		p := r.packages[t.pkg]
 		switch {
 		case p == nil:
-		case slices.Contains(p.fails, t.name):
+		case slices.Contains(p.failed, t.name):
 			fmt.Fprintf(r.output, "known red: %s: %s\n", t, r.known[t])
-		case slices.Contains(r.green, t):
+		case slices.Contains(r.passedKnown, t):
 			fmt.Fprintf(r.output, "%s passes: remove it from the list in %s\n", t, knownFile)
 			bad = true
-		case !p.ended[t.name] && !r.list && !slices.Contains(r.complete, t.pkg):
+		case !p.ended[t.name] && !r.partial && !slices.Contains(r.brokenPackages, t.pkg):
 			fmt.Fprintf(r.output, "%s names no test that ran: remove it from the list in %s\n", t, knownFile)
 			bad = true
 		}
 	}
-	for _, p := range r.complete {
+	for _, p := range r.brokenPackages {
 		fmt.Fprintf(r.output, "%s did not end in order\n", p)
 	}
 	fmt.Fprintf(r.output, "%d passed, %d failed", r.passed, r.failed)
-	if r.failing > 0 {
-		fmt.Fprintf(r.output, ", %d known red", r.failing)
+	if r.knownFailures > 0 {
+		fmt.Fprintf(r.output, ", %d known red", r.knownFailures)
 	}
 	fmt.Fprintln(r.output)
 	if bad {
--- a/tools/run-tests/main_test.go
+++ b/tools/run-tests/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// sources are a module whose tests end in every way.
+// sources are a module whose tests end in every way there is.
 var sources = map[string]string{
 	"go.mod":           "module trial\n\ngo 1.26\n",
 	"well/a_test.go":   "package well\nimport \"testing\"\nfunc TestA(t *testing.T) { t.Log(\"quiet\"); t.Run(\"sub\", func(*testing.T) {}) }\nfunc TestB(t *testing.T) { t.Skip(\"not here\") }\n",
@@ -20,7 +20,7 @@
 	"none/a.go":        "package none\n",
 }
 
-// stream is what go test -json says of the module.
+// stream is the output of go test -json for the module.
 func stream(t *testing.T) []byte {
 	t.Helper()
 	dir := t.TempDir()
@@ -43,8 +43,8 @@
 	return b
 }
 
-// percentage is the part of a stream that says something of some packages.
-func percentage(all []byte, packages string) (part []byte) {
+// eventsOf is the part of a stream that belongs to some packages.
+func eventsOf(all []byte, packages string) (part []byte) {
 	for _, l := range bytes.SplitAfter(all, []byte("\n")) {
 		for _, p := range strings.Fields(packages) {
 			if bytes.Contains(l, []byte(`Package":"trial/`+p+`"`)) || bytes.Contains(l, []byte(`ImportPath":"trial/`+p+` `)) {
@@ -55,15 +55,16 @@
 	return part
 }
 
+// TestOutcomes: each way in which tests end is counted and printed.
 func TestOutcomes(t *testing.T) {
-	complete := stream(t)
+	all := stream(t)
 	for _, c := range []struct {
 		packages string
 		known    map[test]string
 		ok       bool
 		last     string
-		says     []string
-		quiet    []string
+		contains []string
+		lacks    []string
 	}{
 		{"well none", nil, true, "1 passed, 0 failed", []string{"ok  \ttrial/well", "?   \ttrial/none"}, []string{"quiet", "=== RUN", "--- PASS"}},
 		{"well red", nil, false, "2 passed, 1 failed", []string{"--- FAIL: TestBad/sub", "the reason", "FAIL\ttrial/red", "ok  \ttrial/well"}, []string{"known red"}},
@@ -71,7 +72,7 @@
 		{"red", map[test]string{{"trial/red", "TestA"}: "x", {"trial/red", "TestBad"}: "y"}, false, "1 passed, 0 failed, 1 known red", []string{"trial/red TestA passes: remove it from the list"}, nil},
 		{"red", map[test]string{{"trial/red", "TestOther"}: "x", {"trial/red", "TestBad"}: "y"}, false, "1 passed, 0 failed, 1 known red", []string{"trial/red TestOther names no test that ran"}, nil},
 		{"well", map[test]string{{"trial/red", "TestBad"}: "y", {"trial/well", "TestB"}: "skipped"}, true, "1 passed, 0 failed", nil, []string{"known red", "remove"}},
-		// Behind a panic tests never ran, so the list excuses nothing.
+		// After a panic tests never ran, so the list excuses nothing.
 		{"panics", map[test]string{{"trial/panics", "TestA"}: "y"}, false, "0 passed, 1 failed", []string{"panic: so", "trial/panics did not end in order"}, nil},
 		{"panics well", nil, false, "1 passed, 1 failed", []string{"panic: so"}, nil},
 		{"exits", nil, false, "1 passed, 1 failed", []string{"trial/exits did not end in order"}, nil},
@@ -79,7 +80,7 @@
 	} {
 		var out bytes.Buffer
 		r := newRun(c.known, &out)
-		if err := r.read(bytes.NewReader(percentage(complete, c.packages))); err != nil {
+		if err := r.read(bytes.NewReader(eventsOf(all, c.packages))); err != nil {
 			t.Fatal(err)
 		}
 		err := r.summary()
@@ -87,28 +88,30 @@
 		if (err == nil) != c.ok || lines[len(lines)-1] != c.last {
 			t.Errorf("%s %v: %v\n%s", c.packages, c.known, err, &out)
 		}
-		for _, s := range c.says {
+		for _, s := range c.contains {
 			if !strings.Contains(out.String(), s) {
-				t.Errorf("%s %v: %q is not said\n%s", c.packages, c.known, s, &out)
+				t.Errorf("%s %v: %q is missing\n%s", c.packages, c.known, s, &out)
 			}
 		}
-		for _, s := range c.quiet {
+		for _, s := range c.lacks {
 			if strings.Contains(out.String(), s) {
-				t.Errorf("%s %v: %q is said\n%s", c.packages, c.known, s, &out)
+				t.Errorf("%s %v: %q is there\n%s", c.packages, c.known, s, &out)
 			}
 		}
 	}
 }
 
+// TestAllIsPrintedOnRequest: with -v the output of tests that pass is printed.
 func TestAllIsPrintedOnRequest(t *testing.T) {
 	var out bytes.Buffer
 	r := newRun(nil, &out)
-	r.all = true
-	if err := r.read(bytes.NewReader(percentage(stream(t), "well"))); err != nil || r.summary() != nil || !strings.Contains(out.String(), "quiet") {
+	r.verbose = true
+	if err := r.read(bytes.NewReader(eventsOf(stream(t), "well"))); err != nil || r.summary() != nil || !strings.Contains(out.String(), "quiet") {
 		t.Errorf("%v\n%s", err, &out)
 	}
 }
 
+// TestKnownListIsRead: a list is read, and lines in another form are errors.
 func TestKnownListIsRead(t *testing.T) {
 	p := filepath.Join(t.TempDir(), knownFile)
 	if k, err := readKnown(p); err != nil || len(k) != 0 {
