--- a/emulator/simulation/finish.go
+++ b/emulator/simulation/finish.go
@@ -106,7 +106,7 @@
 	accepted := f.Oracle.accepted[partner]
 	var attempt func()
 	attempt = func() {
-		f.Operate(running[(i+len(read))%len(running)], func(id uint64) any { return control.GetConfiguration{ID: id, Partner: partner} }, func(r control.ConfigurationResult) {
+		f.Operate(running[(i+len(read))%len(running)], func(id uint64) control.Event { return control.GetConfiguration{ID: id, Partner: partner} }, func(r control.ConfigurationResult) {
 			if r.Code != result.OK {
 				f.After(300_000, attempt)
 				return
@@ -131,7 +131,7 @@
 	p := f.Partners()[f.Random.IntN(len(f.texts))]
 	struck, kind, done := f.Random.IntN(controlCount), f.Random.IntN(5), false
 	base := f.Oracle.accepted[p].Revision
-	f.Operate(f.Controls[f.Random.IntN(controlCount)], func(id uint64) any {
+	f.Operate(f.Controls[f.Random.IntN(controlCount)], func(id uint64) control.Event {
 		return control.PutConfiguration{ID: id, Partner: p, Base: base, Patch: true, Text: fmt.Appendf(nil, `{"time_zone":"Etc/GMT+%d"}`, f.Random.IntN(12))}
 	}, func(r control.ConfigurationResult) {
 		done = true
--- a/emulator/simulation/random_faults.go
+++ b/emulator/simulation/random_faults.go
@@ -237,7 +237,7 @@
 
 func (c *operatorChange) send(base uint64) {
 	f := c.race.fleet
-	f.Operate(c.control, func(id uint64) any {
+	f.Operate(c.control, func(id uint64) control.Event {
 		e := control.PutConfiguration{ID: id, Partner: c.race.partner, Base: base, Patch: true, Text: []byte(c.text)}
 		if f.Plan.Mutation == UncheckedChange && !c.valid {
 			e.Text = []byte(`{"time_zone":"UTC"}`)
--- a/internal/fleetstate/tables.go
+++ b/internal/fleetstate/tables.go
@@ -6,79 +6,11 @@
 	"maps"
 	"slices"
 	"strings"
-	"text/tabwriter"
-	"time"
 
 	"github.com/samber/lo"
-
-	"stoneford/internal/ports"
 )
 
-// tableWriter writes tables of text.
-type tableWriter struct{ *tabwriter.Writer }
-
-func newTableWriter(w io.Writer) tableWriter {
-	return tableWriter{tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)}
-}
-
-func (t tableWriter) row(cells ...any) {
-	for i, c := range cells {
-		if i > 0 {
-			fmt.Fprint(t, "\t")
-		}
-		if s := fmt.Sprint(c); s != "" {
-			fmt.Fprint(t, s)
-		} else {
-			fmt.Fprint(t, "-")
-		}
-	}
-	fmt.Fprintln(t)
-}
-
-// formatDuration is a time as people read it.
-func formatDuration(us int64) string {
-	if us < 0 {
-		return "never"
-	}
-	d := time.Duration(us) * time.Microsecond
-	switch {
-	case d < time.Second:
-		return d.Round(time.Millisecond).String()
-	case d < time.Minute:
-		return d.Round(100 * time.Millisecond).String()
-	}
-	return d.Round(time.Second).String()
-}
-
-func formatRemaining(us int64) string {
-	if us <= 0 {
-		return "run out"
-	}
-	return formatDuration(us)
-}
-
-func formatPosition(p ports.Position) string {
-	if !p.Known() {
-		return ""
-	}
-	return fmt.Sprintf("%d.%d", p.Term, p.Number)
-}
-
-func ifSet(b bool, text string) string { return lo.Ternary(b, text, "") }
-
-// shortName is the beginning of a change's name.
-func shortName(names []string) string {
-	if len(names) == 0 {
-		return ""
-	}
-	n := names[0]
-	if !strings.Contains(n, "#") && len(n) > 12 {
-		n = n[:12]
-	}
-	return n
-}
-
-// WriteStatus writes what each process asked is.
+// WriteStatus writes an overview of the processes, their voters and registers.
 func WriteStatus(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
 	t.row("PROCESS", "KIND", "ZONE", "NODE", "UP", "STANDING", "TABLE", "OPERATORS' REVISION", "LEASE LEFT")
@@ -95,8 +27,7 @@
 		if r.Err != nil {
 			continue
 		}
-		t.row()
-		fmt.Fprintf(t, "%s\n", r.State.Name)
+		t.heading(r.State)
 		r.State.writeVoters(t)
 		if p := r.State.Pool; p != nil {
 			p.writeTotals(t)
@@ -114,7 +45,7 @@
 	}
 }
 
-// WriteVoters writes who votes, as each process asked knows it, and who asks to.
+// WriteVoters writes the voters and the candidates as each process knows them.
 func WriteVoters(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
 	for _, r := range results {
@@ -157,61 +88,80 @@
 	t.row("  (resets)", p.Resets)
 }
 
-// WriteDatabases writes the databases known to a control process, then how each
-// pool node asked uses them.
+// WriteDatabases writes the databases that a control process knows, then how each
+// pool node uses them.
 func WriteDatabases(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
-	if s, err := FirstControl(results); err == nil {
+	if control, err := FirstControl(results); err == nil {
 		t.row("GROUP", "DATABASE", "ROLE", "ADDRESS", "ZONE", "SLOTS", "STANDING", "HEARD")
-		for _, d := range s.Control.Databases {
+		for _, d := range control.Control.Databases {
+			role := lo.Ternary(d.Primary, "primary", "follower")
 			standing := lo.Ternary(d.Gone, "gone", lo.Ternary(d.Draining, "leaving", "serves"))
-			t.row(d.Group, d.ID, lo.Ternary(d.Primary, "primary", "follower"), d.Address, d.Zone, d.Capacity, standing, formatDuration(d.HeardUs))
+			t.row(d.Group, d.ID, role, d.Address, d.Zone, d.Capacity, standing, formatDuration(d.HeardUs))
 		}
 	}
-	for _, r := range results {
-		if r.Err != nil || r.State.Pool == nil {
-			continue
-		}
-		t.row()
-		fmt.Fprintf(t, "%s\n", r.State.Name)
+	for _, node := range poolNodes(results) {
+		t.heading(node)
 		t.row("  GROUP", "DATABASE", "CONNECTIONS", "IDLE", "RUNNING", "SLOTS", "WAITING", "TRANSACTIONS", "LEVEL", "NAMED", "FAILING")
-		for _, g := range r.State.Pool.Groups {
+		for _, g := range node.Pool.Groups {
 			for _, d := range g.Databases {
-				t.row("  "+g.Group, d.ID, fmt.Sprintf("%d of %d", d.Connections, d.MaxConnections), d.Idle, d.Running, fmt.Sprintf("%.1f", d.Slots), d.Waiting, d.OpenTransactions,
-					lo.Ternary(d.AppliedPosition == Unknown, "", fmt.Sprintf("%d of %d", d.AppliedPosition, g.PrimaryPosition)), formatPosition(d.HighestNamed), lo.Ternary(d.FailingUs == Unknown, "", formatDuration(d.FailingUs)))
+				g.writeDatabase(t, d)
 			}
 		}
 	}
 	return t.Flush()
 }
 
-// WriteLeaders writes the groups' leaderships as a control process knows them,
-// then as each pool node asked works by them.
+func (g PoolGroup) writeDatabase(t tableWriter, d PoolDatabase) {
+	connections := fmt.Sprintf("%d of %d", d.Connections, d.MaxConnections)
+	level := ifSet(d.AppliedPosition != Unknown, fmt.Sprintf("%d of %d", d.AppliedPosition, g.PrimaryPosition))
+	failing := ifSet(d.FailingUs != Unknown, formatDuration(d.FailingUs))
+	t.row("  "+g.Group, d.ID, connections, d.Idle, d.Running, fmt.Sprintf("%.1f", d.Slots), d.Waiting, d.OpenTransactions,
+		level, formatPosition(d.HighestNamed), failing)
+}
+
+// WriteLeaders writes the groups' leaderships as a control process knows them, then
+// as each pool node works by them.
 func WriteLeaders(w io.Writer, results []FetchResult) error {
 	t := newTableWriter(w)
-	if s, err := FirstControl(results); err == nil {
+	if control, err := FirstControl(results); err == nil {
 		t.row("GROUP", "TERM", "PHASE", "PRIMARY", "ADDRESS", "REVISION", "HOLDER", "FENCE", "LAST CHANGE TOOK", "MEMBERS", "CAUSE")
-		for _, l := range s.Control.Leaders {
-			t.row(l.Group, l.Term, l.Phase+ifSet(l.Unconfirmed, " (in doubt)"), l.Primary, l.Address, l.Revision, l.RoleOwner, l.FencingToken,
-				lo.Ternary(l.LastFailoverUs == 0, "", formatDuration(l.LastFailoverUs)), strings.Join(l.Members, " "), l.Cause)
+		for _, l := range control.Control.Leaders {
+			phase := l.Phase + ifSet(l.Unconfirmed, " (in doubt)")
+			lastChange := ifSet(l.LastFailoverUs != 0, formatDuration(l.LastFailoverUs))
+			t.row(l.Group, l.Term, phase, l.Primary, l.Address, l.Revision, l.RoleOwner, l.FencingToken, lastChange, strings.Join(l.Members, " "), l.Cause)
 		}
 	}
-	for _, r := range results {
-		if r.Err != nil || r.State.Pool == nil {
-			continue
-		}
-		t.row()
-		fmt.Fprintf(t, "%s\n", r.State.Name)
+	for _, node := range poolNodes(results) {
+		t.heading(node)
 		t.row("  GROUP", "TERM", "PHASE", "PRIMARY", "REVISION", "SURE FOR", "WAITING", "ACKED")
-		for _, g := range r.State.Pool.Groups {
-			t.row("  "+g.Group, g.Term, g.Phase+ifSet(g.Unconfirmed, " (in doubt)"), g.Primary, g.Revision, formatRemaining(g.ConfirmedForUs), g.Waiting, formatPosition(g.Acknowledged))
+		for _, g := range node.Pool.Groups {
+			phase := g.Phase + ifSet(g.Unconfirmed, " (in doubt)")
+			t.row("  "+g.Group, g.Term, phase, g.Primary, g.Revision, formatRemaining(g.ConfirmedForUs), g.Waiting, formatPosition(g.Acknowledged))
 		}
 	}
 	return t.Flush()
 }
 
-// WriteNodes writes which processes looked lately, with what each of them that
-// replied tells itself, by its node address.
+// poolNodes are the pool nodes among the results.
+func poolNodes(results []FetchResult) []ProcessState {
+	var nodes []ProcessState
+	for _, r := range results {
+		if r.Err == nil && r.State.Pool != nil {
+			nodes = append(nodes, r.State)
+		}
+	}
+	return nodes
+}
+
+// heading writes the name of a process above its tables.
+func (t tableWriter) heading(s ProcessState) {
+	t.row()
+	fmt.Fprintf(t, "%s\n", s.Name)
+}
+
+// WriteNodes writes the processes that polled a control process lately. own has what
+// those of them reported that were asked, by their node addresses.
 func WriteNodes(w io.Writer, s ProcessState, own map[string]ProcessState) error {
 	t := newTableWriter(w)
 	t.row("PROCESS", "KIND", "NODE", "HEARD", "STANDING", "TABLE", "OPERATORS' REVISION", "LEASE LEFT", "CANNOT USE")
--- a/internal/pool/callers_test.go
+++ b/internal/pool/sessions_test.go
@@ -16,21 +16,21 @@
 	"stoneford/result"
 )
 
-// sessionEvents notes what the table of sessions is told, in order.
+// sessionEvents records the sessions that a table is asked to open and close, in order.
 type sessionEvents struct {
 	mu    sync.Mutex
 	names []string
 }
 
-func (e *sessionEvents) step(_ int64, events []any) {
+func (e *sessionEvents) step(_ int64, events []querytable.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, ev := range events {
-		switch ev := ev.(type) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case querytable.OpenSession:
-			e.names = append(e.names, "open "+ev.Session)
+			e.names = append(e.names, "open "+event.Session)
 		case querytable.CloseSession:
-			e.names = append(e.names, "shut "+ev.Session)
+			e.names = append(e.names, "shut "+event.Session)
 		}
 	}
 }
@@ -48,19 +48,25 @@
 	}
 }
 
-// TestReusedSessionNameIsNotEnded: what is late of an ended session does not end the
-// one that another caller has opened under its name.
+// TestReusedSessionNameIsNotEnded: a late reply to a session that has ended does not end
+// the one that another caller has opened under its name.
 func TestReusedSessionNameIsNotEnded(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	p := &Process{clock: clock}
-	r := &runner{process: p, group: "g", loop: eventloop.New[any](clock, clock.Now(), 64)}
+	r := &runner{process: p, group: "g", loop: eventloop.New[querytable.Event](clock, clock.Now(), 64)}
 	p.routes.Store(&map[string]Route{"r": {Group: "g"}})
 	p.sharedRunners.Store(&map[string]*runner{"g": r})
 	seen := &sessionEvents{}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { r.loop.Run(ctx, time.Millisecond, seen.step); close(ended) }()
-	defer func() { stop(); <-ended }()
+	go func() {
+		r.loop.Run(ctx, time.Millisecond, seen.step)
+		close(ended)
+	}()
+	defer func() {
+		stop()
+		<-ended
+	}()
 	call := func(method, path, body string) int {
 		w := httptest.NewRecorder()
 		p.handler().ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
