--- /dev/null
+++ b/emulator/fleetsimulation/control_calls.go
@@ -0,0 +1,107 @@
+package fleetsimulation
+
+import (
+	"stoneford/failover/fenced"
+	"stoneford/internal/coordinator"
+	"stoneford/internal/ports"
+)
+
+// connectTimeUs is how long a database takes to accept a connection.
+const connectTimeUs = 12_000
+
+// controlDatabaseCall is a call of a control process to a database.
+type controlDatabaseCall struct {
+	fleet      *Fleet
+	control    *Control
+	generation int
+	call       coordinator.DatabaseCall
+	instance   ports.Instance // that is meant
+	ip         string
+	op         ports.Op
+	ended      bool
+}
+
+// callDatabase calls a database over a kept connection, or a new one. A command is sent
+// only while its lease lasts.
+func (c *Control) callDatabase(d coordinator.DatabaseCall) {
+	f := c.fleet
+	k := &controlDatabaseCall{fleet: f, control: c, generation: c.generation, call: d, instance: d.Call.Instance, ip: hostOf(d.Call.Instance.Address),
+		op: ports.Op{Internal: true, Statement: ports.Statement{Kind: d.Call.Kind}, Term: d.Call.Term}}
+	timeout := d.Call.TimeoutUs
+	if d.Call.Kind != ports.Status {
+		if timeout = min(timeout, d.Call.Until-c.now()); timeout <= 0 {
+			c.post("asks", coordinator.DatabaseReply{Group: d.Group, Reply: fenced.DatabaseReply{ID: d.Call.ID, NotSent: true}})
+			return
+		}
+		f.primaryRoles.commanded(c, d)
+	}
+	f.After(int64(float64(timeout)/c.clockRate), func() { k.end(fenced.DatabaseReply{Err: "no answer in time"}) })
+	f.network.carry(c.ip, k.ip, k.arrive)
+}
+
+// end ends the call with a reply. A connection that failed is not kept.
+func (k *controlDatabaseCall) end(reply fenced.DatabaseReply) {
+	c := k.control
+	if k.ended || !c.up || c.generation != k.generation {
+		return
+	}
+	k.ended = true
+	reply.ID = k.call.Call.ID
+	if reply.Err != "" {
+		delete(c.keptConnections, k.instance.ID)
+	}
+	c.post("asks", coordinator.DatabaseReply{Group: k.call.Group, Reply: reply})
+}
+
+// reply sends a reply to the control process.
+func (k *controlDatabaseCall) reply(reply fenced.DatabaseReply) {
+	k.fleet.network.carry(k.ip, k.control.ip, func() { k.end(reply) })
+}
+
+// arrive takes the call at the database's address.
+func (k *controlDatabaseCall) arrive() {
+	f, kept := k.fleet, k.control.keptConnections
+	db := f.databaseAt[k.instance.Address]
+	switch {
+	case db != nil && db.unresponsive && !db.up:
+	case db == nil || !db.up:
+		k.reply(fenced.DatabaseReply{Err: "refused", Absent: true})
+	case db.id != k.instance.ID || db.group.name != k.instance.Group:
+		k.reply(fenced.DatabaseReply{Err: "another database is there", Absent: true})
+	case kept[k.instance.ID] == db.generation:
+		k.run(db)
+	case len(db.connections) >= db.group.limit:
+		k.reply(fenced.DatabaseReply{Err: "too many connections", Absent: f.Plan.BusyAsConnectionRefused})
+	default:
+		kept[k.instance.ID] = db.generation
+		db.work(connectTimeUs, true, func() { k.connected(db) })
+	}
+}
+
+// connected sends the call over the new connection, once the control process hears that
+// it is open.
+func (k *controlDatabaseCall) connected(db *Database) {
+	f := k.fleet
+	f.network.carry(k.ip, k.control.ip, func() {
+		if k.ended {
+			return
+		}
+		f.network.carry(k.control.ip, k.ip, func() {
+			if db.up && f.databaseAt[k.instance.Address] == db {
+				k.run(db)
+			}
+		})
+	})
+}
+
+// run runs the command at the database. A rejection is reported as the process's edge
+// does it (internal/platform, coordinator.Process).
+func (k *controlDatabaseCall) run(db *Database) {
+	db.command(k.op, func(status ports.DatabaseStatus, code ports.Code) {
+		if code != ports.Done {
+			k.reply(fenced.DatabaseReply{Err: "the database bounced it", Absent: k.fleet.Plan.BusyAsConnectionRefused})
+			return
+		}
+		k.reply(fenced.DatabaseReply{Status: status})
+	})
+}
--- a/emulator/fleetsimulation/controls.go
+++ b/emulator/fleetsimulation/controls.go
@@ -2,42 +2,43 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"google.golang.org/protobuf/proto"
 
-	"stoneford/failover/fenced"
 	"stoneford/internal/coordinator"
 	"stoneford/internal/ports"
 	"stoneford/schema"
 )
 
-// Control is one control process with its disk.
+// Control is one control process and its disk. The fields about a run are set anew by
+// startControl.
 type Control struct {
 	process
 	zone            string
 	boot            ports.ProcessConfig
 	core            *coordinator.Core
 	disk            [][]byte // synced entries of the voter's log
-	writing         [][]byte // being synced
-	syncUs          int64    // added to what a sync takes
+	writing         [][]byte // entries that are being synced
+	syncUs          int64    // added to the time of a sync
 	events          []coordinator.Event
 	stepping        bool
 	pendingCalls    map[uint64]func(any)
 	lastCall        uint64
-	keptConnections map[string]int // run of the database that a kept connection is to
+	keptConnections map[string]int // run of the database that each kept connection is to
 	startUs         int64
-	lastState       coreState // when the fleet was watched last
+	lastState       coreState // when the oracle observed it last
 }
 
-type (
-	announced bool
-	fetched   struct {
-		table ports.RoutingTable
-		ok    bool
-	}
-)
+// announced is the reply to an announcement: whether it is acknowledged.
+type announced bool
 
+// fetched is the reply to a request for the routing table.
+type fetched struct {
+	table ports.RoutingTable
+	ok    bool
+}
+
+// startControl starts a control process on its disk.
 func (f *Fleet) startControl(c *Control) {
 	c.begin()
 	c.clockRate = f.rate()
@@ -58,97 +59,130 @@
 	c.post("start")
 }
 
-// post queues an event for the process's loop; with none it is just woken.
-func (c *Control) post(src string, events ...coordinator.Event) {
-	gen := c.generation
-	c.enter(src, func() {
-		if c.generation != gen {
+// post queues events for the process's loop; without events it only wakes it.
+func (c *Control) post(source string, events ...coordinator.Event) {
+	generation := c.generation
+	c.enter(source, func() {
+		if c.generation != generation {
 			return
 		}
 		c.events = append(c.events, events...)
 		if !c.stepping {
 			c.stepping = true
-			c.fleet.After(0, func() { c.runStep(gen) })
+			c.fleet.After(0, func() { c.runStep(generation) })
 		}
 	})
 }
 
-// runStep is one turn of the loop: a step, a sync, and what leaves after it.
-func (c *Control) runStep(gen int) {
+const (
+	// maxEventsPerStep bounds the events that one step takes.
+	maxEventsPerStep = 128
+	// unsyncedDelayUs is how much longer a sync takes with the mutation UnsyncedDisk.
+	unsyncedDelayUs = 2_000_000
+	// snapshotProbability is that of a snapshot after a sync.
+	snapshotProbability = 0.02
+)
+
+// controlStep is one step of a run of a control process, and its effects.
+type controlStep struct {
+	control    *Control
+	generation int
+	effects    coordinator.Effects
+}
+
+// runStep runs one turn of the loop: a step, the sync of its log, and what is sent after
+// that.
+func (c *Control) runStep(generation int) {
 	f := c.fleet
-	if !c.up || c.generation != gen {
+	if !c.up || c.generation != generation {
 		return
 	}
 	if c.frozen {
-		c.pending = append(c.pending, pendingEvent{"loop", func() { c.runStep(gen) }})
+		c.pending = append(c.pending, pendingEvent{"loop", func() { c.runStep(generation) }})
 		return
 	}
-	n := min(len(c.events), 128)
+	n := min(len(c.events), maxEventsPerStep)
 	events := c.events[:n:n]
 	c.events = c.events[n:]
-	effects := c.core.Step(c.now(), events...)
+	s := &controlStep{control: c, generation: generation, effects: c.core.Step(c.now(), events...)}
 	f.moves.observe(c)
-	after := func() {
-		for _, s := range effects.Send {
-			f.sendEnvelope(c.ip, s)
-		}
-		for _, d := range effects.Do {
-			c.perform(d)
-		}
-		if len(effects.Log) > 0 {
-			c.events = append([]coordinator.Event{coordinator.Synced{Watermark: effects.Watermark}}, c.events...)
-		}
-		if len(c.events) > 0 {
-			f.After(0, func() { c.runStep(gen) })
-			return
-		}
-		c.stepping = false
-		c.alarm(c.core.Due(), func() { c.post("alarm") })
-	}
-	if len(effects.Log) == 0 {
-		after()
+	if len(s.effects.Log) == 0 {
+		s.perform()
 		return
 	}
-	for _, l := range effects.Log {
+	c.write(s.effects.Log)
+	if f.Plan.Mutation == UnsyncedDisk {
+		s.perform()
+	}
+	us := f.Between(1_500, 3_000) + c.syncUs
+	if f.Plan.Mutation == UnsyncedDisk {
+		us += unsyncedDelayUs
+	}
+	f.After(us, s.synced)
+}
+
+// write begins to write entries of the voter's log.
+func (c *Control) write(entries []*schema.WALEntry) {
+	for _, l := range entries {
 		b, err := proto.Marshal(l)
 		if err != nil {
 			panic(err)
 		}
 		c.writing = append(c.writing, b)
 	}
-	if f.Plan.Mutation == UnsyncedDisk {
-		after()
+}
+
+// synced ends the sync of the step's log; only then its effects are performed.
+func (s *controlStep) synced() {
+	c, f := s.control, s.control.fleet
+	if !c.up || c.generation != s.generation {
+		return
 	}
-	us := f.Between(1_500, 3_000) + c.syncUs
-	if f.Plan.Mutation == UnsyncedDisk {
-		us += 2_000_000
+	c.disk = append(c.disk, c.writing...)
+	c.writing = nil
+	if f.Chance(snapshotProbability) && f.Plan.Mutation != UnsyncedDisk {
+		c.snapshot()
 	}
-	f.After(us, func() {
-		if !c.up || c.generation != gen {
-			return
-		}
-		c.disk = append(c.disk, c.writing...)
-		c.writing = nil
-		if f.Chance(0.02) && f.Plan.Mutation != UnsyncedDisk {
-			b, err := proto.Marshal(c.core.Snapshot())
-			if err != nil {
-				panic(err)
-			}
-			c.disk = [][]byte{b}
-		}
-		if f.Plan.Mutation == UnsyncedDisk {
-			return
-		}
-		if c.frozen {
-			c.pending = append(c.pending, pendingEvent{"loop", after})
-			return
-		}
-		after()
-	})
+	switch {
+	case f.Plan.Mutation == UnsyncedDisk: // they are performed already
+	case c.frozen:
+		c.pending = append(c.pending, pendingEvent{"loop", s.perform})
+	default:
+		s.perform()
+	}
+}
+
+// snapshot replaces the log on disk by a snapshot.
+func (c *Control) snapshot() {
+	b, err := proto.Marshal(c.core.Snapshot())
+	if err != nil {
+		panic(err)
+	}
+	c.disk = [][]byte{b}
 }
 
-// killControl ends a control process; what was being synced may have reached the
-// disk, in part.
+// perform performs the step's effects, and runs the next step or sets the timer for it.
+func (s *controlStep) perform() {
+	c, f := s.control, s.control.fleet
+	for _, envelope := range s.effects.Send {
+		f.sendEnvelope(c.ip, envelope)
+	}
+	for _, d := range s.effects.Do {
+		c.perform(d)
+	}
+	if len(s.effects.Log) > 0 {
+		c.events = append([]coordinator.Event{coordinator.Synced{Watermark: s.effects.Watermark}}, c.events...)
+	}
+	if len(c.events) > 0 {
+		f.After(0, func() { c.runStep(s.generation) })
+		return
+	}
+	c.stepping = false
+	c.alarm(c.core.Due(), func() { c.post("alarm") })
+}
+
+// killControl ends a control process. What was being synced may have reached the disk in
+// part. If its machine is unresponsive, its callers do not hear of its end.
 func (f *Fleet) killControl(c *Control, unresponsive bool) {
 	if !c.up {
 		return
@@ -157,37 +191,42 @@
 		c.disk = append(c.disk, c.writing[:f.Random.IntN(n+1)]...)
 	}
 	c.up, c.writing = false, nil
-	ws := c.pendingCalls
+	calls := c.pendingCalls
 	c.pendingCalls = map[uint64]func(any){}
 	if !unresponsive {
-		for _, id := range sortedKeys(ws) {
-			f.After(toCallerDelayUs, func() { ws[id](nil) })
+		for _, id := range sortedKeys(calls) {
+			f.After(toCallerDelayUs, func() { calls[id](nil) })
 		}
 	}
 }
 
-// stopControl stops one as its daemon does on the order to stop.
+// controlStopUs is how long a control process runs on after the order to stop.
+const controlStopUs = 400_000
+
+// stopControl stops a control process as its daemon does on the order to stop.
 func (f *Fleet) stopControl(c *Control) {
 	if !c.up || c.draining {
 		return
 	}
 	c.draining = true
-	gen := c.generation
+	generation := c.generation
 	c.post("signal", coordinator.Stop{})
-	f.After(400_000, func() {
-		if c.generation == gen {
+	f.After(controlStopUs, func() {
+		if c.generation == generation {
 			f.killControl(c, false)
 		}
 	})
 }
 
-func (c *Control) end(id uint64, v any) {
-	if w := c.pendingCalls[id]; w != nil {
+// end ends a call to the control process with its reply.
+func (c *Control) end(id uint64, reply any) {
+	if end := c.pendingCalls[id]; end != nil {
 		delete(c.pendingCalls, id)
-		w(v)
+		end(reply)
 	}
 }
 
+// perform performs one effect.
 func (c *Control) perform(d coordinator.Effect) {
 	f := c.fleet
 	f.observeControl(c, d)
@@ -211,21 +250,17 @@
 	}
 }
 
+// announce hands a database's announcement to the control process.
 func (c *Control) announce(id uint64, i ports.Instance) {
 	c.post("databases", coordinator.Announce{ID: id, Instance: i})
 }
 
-// callControl has someone call a control process. end is told nil where nobody
-// answers or the connection breaks; it may be called never.
+// callControl calls a control process from a host. end receives the reply, or nil where
+// the connection is refused or breaks; it may never be called.
 func (f *Fleet) callControl(from string, c *Control, call func(c *Control, id uint64), end func(any)) {
-	if c.unresponsive() {
-		return
-	}
 	f.network.carry(from, c.ip, func() {
 		if !c.up {
-			if !c.unresponsive() {
-				f.network.carry(c.ip, from, func() { end(nil) })
-			}
+			f.network.carry(c.ip, from, func() { end(nil) })
 			return
 		}
 		c.lastCall++
@@ -234,145 +269,3 @@
 		call(c, id)
 	})
 }
-
-func (c *Control) unresponsive() bool { return false }
-
-// callDatabase puts a question to a database over a kept connection, or a new one.
-func (c *Control) callDatabase(d coordinator.DatabaseCall) {
-	f := c.fleet
-	i := d.Call.Instance
-	ip := hostOf(i.Address)
-	gen := c.generation
-	ended := false
-	wait := d.Call.TimeoutUs
-	if d.Call.Kind != ports.Status {
-		if wait = min(wait, d.Call.Until-c.now()); wait <= 0 {
-			c.post("asks", coordinator.DatabaseReply{Group: d.Group, Reply: fenced.DatabaseReply{ID: d.Call.ID, NotSent: true}})
-			return
-		}
-		f.primaryRoles.commanded(c, d)
-	}
-	end := func(s fenced.DatabaseReply) {
-		if ended || !c.up || c.generation != gen {
-			return
-		}
-		ended = true
-		s.ID = d.Call.ID
-		if s.Err != "" {
-			delete(c.keptConnections, i.ID)
-		}
-		c.post("asks", coordinator.DatabaseReply{Group: d.Group, Reply: s})
-	}
-	f.After(int64(float64(wait)/c.clockRate), func() { end(fenced.DatabaseReply{Err: "no answer in time"}) })
-	back := func(s fenced.DatabaseReply) { f.network.carry(ip, c.ip, func() { end(s) }) }
-	op := ports.Op{Internal: true, Statement: ports.Statement{Kind: d.Call.Kind}, Term: d.Call.Term}
-	run := func(db *Database) {
-		db.command(op, func(statement ports.DatabaseStatus, code ports.Code) {
-			if code != ports.Done {
-				// The edge tells it so: see platform.DatabaseClient and coordinator.Process.
-				back(fenced.DatabaseReply{Err: "the database bounced it", Absent: f.Plan.BusyAsConnectionRefused})
-				return
-			}
-			back(fenced.DatabaseReply{Status: statement})
-		})
-	}
-	f.network.carry(c.ip, ip, func() {
-		db := f.databaseAt[i.Address]
-		switch {
-		case db != nil && db.unresponsive && !db.up:
-		case db == nil || !db.up:
-			back(fenced.DatabaseReply{Err: "refused", Absent: true})
-		case db.id != i.ID || db.group.name != i.Group:
-			back(fenced.DatabaseReply{Err: "another database is there", Absent: true})
-		case c.keptConnections[i.ID] == db.generation:
-			run(db)
-		case len(db.connections) >= db.group.limit:
-			back(fenced.DatabaseReply{Err: "too many connections", Absent: f.Plan.BusyAsConnectionRefused})
-		default:
-			c.keptConnections[i.ID] = db.generation
-			db.work(12_000, true, func() {
-				f.network.carry(ip, c.ip, func() {
-					if ended {
-						return
-					}
-					f.network.carry(c.ip, ip, func() {
-						if db.up && f.databaseAt[i.Address] == db {
-							run(db)
-						}
-					})
-				})
-			})
-		}
-	})
-}
-
-// provider is the platform's own calls.
-type provider struct {
-	ip                   string
-	responseUs           int64
-	rejectProbability    float64
-	lostReplyProbability float64
-	takeoverUs           int64 // how long a change of primary takes
-	calls                int
-}
-
-const providerHost = "10.200.0.160"
-
-func (c *Control) promote(d coordinator.Promote) {
-	f, p := c.fleet, &c.fleet.provider
-	gen := c.generation
-	ended := false
-	end := func(ok, gone bool) {
-		if ended || !c.up || c.generation != gen {
-			return
-		}
-		ended = true
-		c.post("platform", coordinator.PromoteDone{Group: d.Group, OK: ok, Gone: gone})
-	}
-	wait := min(1_500_000, d.Promote.Until-c.now())
-	if wait <= 0 {
-		end(false, false)
-		return
-	}
-	f.After(int64(float64(wait)/c.clockRate), func() {
-		if !c.frozen {
-			end(false, false)
-		}
-	})
-	until := f.Now + int64(float64(wait)/c.clockRate)
-	f.network.carry(c.ip, p.ip, func() {
-		if f.Now > until && !(c.generation == gen && c.up && c.frozen) {
-			return // its connection was reset: see platform.Provider
-		}
-		p.calls++
-		f.primaryRoles.called(c, d, gen, until)
-		if f.Chance(p.rejectProbability) {
-			f.network.carry(p.ip, c.ip, func() { end(false, false) })
-			return
-		}
-		f.After(p.responseUs, func() {
-			back := func(ok, gone bool) {
-				if !f.Chance(p.lostReplyProbability) {
-					f.network.carry(p.ip, c.ip, func() { end(ok, gone) })
-				}
-			}
-			g := f.group(d.Group)
-			i := slices.IndexFunc(g.databases, func(o *Database) bool { return o.id == d.Promote.ID })
-			f.logf("the platform is asked by %s to have %s lead %s", c.name, d.Promote.ID, d.Group)
-			if i < 0 || !g.databases[i].up {
-				back(false, true)
-				return
-			}
-			db := g.databases[i]
-			back(true, false)
-			if db == g.primary && db.primary || f.Plan.Mutation == PromotionsForgotten {
-				return
-			}
-			f.After(p.takeoverUs+f.Between(0, p.takeoverUs/4), func() {
-				if db.up && !db.ended {
-					db.promote()
-				}
-			})
-		})
-	})
-}
--- /dev/null
+++ b/emulator/fleetsimulation/provider.go
@@ -0,0 +1,108 @@
+package fleetsimulation
+
+import (
+	"slices"
+
+	"stoneford/internal/coordinator"
+)
+
+// provider is the platform, which promotes databases.
+type provider struct {
+	ip                   string
+	responseUs           int64
+	rejectProbability    float64
+	lostReplyProbability float64
+	takeoverUs           int64 // least time that a promotion takes
+	calls                int
+}
+
+const providerHost = "10.200.0.160"
+
+// promotionTimeoutUs bounds a call to the platform.
+const promotionTimeoutUs = 1_500_000
+
+// promotion is a call of a control process to the platform, to promote a database.
+type promotion struct {
+	fleet      *Fleet
+	control    *Control
+	generation int
+	call       coordinator.Promote
+	until      int64 // true time of the end of the lease
+	ended      bool
+}
+
+// promote calls the platform, while the lease lasts.
+func (c *Control) promote(d coordinator.Promote) {
+	f := c.fleet
+	p := &promotion{fleet: f, control: c, generation: c.generation, call: d}
+	timeout := min(promotionTimeoutUs, d.Promote.Until-c.now())
+	if timeout <= 0 {
+		p.end(false, false)
+		return
+	}
+	trueTimeout := int64(float64(timeout) / c.clockRate)
+	p.until = f.Now + trueTimeout
+	f.After(trueTimeout, func() {
+		if !c.frozen {
+			p.end(false, false)
+		}
+	})
+	f.network.carry(c.ip, f.provider.ip, p.arrive)
+}
+
+// end ends the call: whether the platform takes the promotion, or the database is gone.
+func (p *promotion) end(ok, gone bool) {
+	if p.ended || !p.control.up || p.control.generation != p.generation {
+		return
+	}
+	p.ended = true
+	p.control.post("platform", coordinator.PromoteDone{Group: p.call.Group, OK: ok, Gone: gone})
+}
+
+// reply sends the platform's reply.
+func (p *promotion) reply(ok, gone bool) {
+	p.fleet.network.carry(p.fleet.provider.ip, p.control.ip, func() { p.end(ok, gone) })
+}
+
+// arrive takes the call at the platform. One that is late arrives only from a process that
+// is frozen; the connection of any other was reset at its time-out.
+func (p *promotion) arrive() {
+	f, c := p.fleet, p.control
+	if f.Now > p.until && !(c.generation == p.generation && c.up && c.frozen) {
+		return
+	}
+	f.provider.calls++
+	f.primaryRoles.called(c, p.call, p.generation, p.until)
+	if f.Chance(f.provider.rejectProbability) {
+		p.reply(false, false)
+		return
+	}
+	f.After(f.provider.responseUs, p.respond)
+}
+
+// respond replies, unless the reply is lost, and starts the promotion.
+func (p *promotion) respond() {
+	f := p.fleet
+	reply := func(ok, gone bool) {
+		if !f.Chance(f.provider.lostReplyProbability) {
+			p.reply(ok, gone)
+		}
+	}
+	g := f.group(p.call.Group)
+	i := slices.IndexFunc(g.databases, func(d *Database) bool { return d.id == p.call.Promote.ID })
+	f.logf("%s has the platform promote %s of %s", p.control.name, p.call.Promote.ID, p.call.Group)
+	if i < 0 || !g.databases[i].up {
+		reply(false, true)
+		return
+	}
+	db := g.databases[i]
+	reply(true, false)
+	if db == g.primary && db.primary || f.Plan.Mutation == PromotionsForgotten {
+		return
+	}
+	f.After(f.provider.takeoverUs+f.Between(0, f.provider.takeoverUs/4), func() {
+		if db.up && !db.ended {
+			db.promote()
+		}
+	})
+}
