--- a/emulator/fleetsimulation/fleet_test.go
+++ b/emulator/fleetsimulation/fleet_test.go
@@ -12,8 +12,8 @@
 	return Plan{Seed: seed, Nodes: 4 + int(seed%8), Groups: 2 + int(seed%2), Callers: 36, CallerIntervalUs: 150_000, ConflictProbability: 0.002, ClockRateSpread: 0.04}
 }
 
-// checkRun fails the test with the violations of a run, and prints the run if the flag
-// -tell is set.
+// checkRun fails the test with the violations of a run, and prints the run if that is
+// asked for by its flag.
 func checkRun(t *testing.T, f *Fleet) {
 	t.Helper()
 	if len(f.Violations()) > 0 {
--- /dev/null
+++ b/emulator/fleetsimulation/streams.go
@@ -0,0 +1,242 @@
+package fleetsimulation
+
+import (
+	"fmt"
+	"slices"
+
+	"stoneford/internal/ports"
+	"stoneford/internal/sessiontable"
+)
+
+// stream is one connection of a node to a database.
+type stream struct {
+	fleet              *Fleet
+	node               *Node
+	generation         int // of the node's run
+	id                 uint64
+	ip                 string // of the database
+	database           *Database
+	databaseGeneration int
+	connection         *databaseConnection // at the database, once it is accepted there
+	up                 bool                // open at the node
+	atNode             bool                // the node has not closed it
+	brokenSinceUs      int64               // since when the sides do not reach each other, 0 if they do
+}
+
+// source names a stream's events at its node.
+func (n *Node) source(connection uint64) string { return fmt.Sprint("conn", connection) }
+
+// connect opens a connection to a database.
+func (n *Node) connect(d sessiontable.Connect) {
+	f := n.fleet
+	s := &stream{fleet: f, node: n, generation: n.generation, id: d.Conn, ip: hostOf(d.Address), atNode: true}
+	n.streams[d.Conn] = s
+	f.streams = append(f.streams, s)
+	f.After(int64(float64(d.WaitUs)/n.clockRate), func() { s.connectEnded(sessiontable.ConnectEnded{Conn: d.Conn, Err: "no answer in time"}) })
+	f.network.carry(n.ip, s.ip, func() { s.arrive(d) })
+}
+
+// connectEnded ends the opening of the connection at the node.
+func (s *stream) connectEnded(e sessiontable.ConnectEnded) {
+	n := s.node
+	if !s.atNode || s.up {
+		return
+	}
+	n.enter(n.source(s.id), func() {
+		if n.streams[s.id] != s || n.generation != s.generation || s.up {
+			return
+		}
+		if e.Err != "" {
+			s.atNode = false
+			delete(n.streams, s.id)
+			if s.connection != nil {
+				s.fleet.network.carry(n.ip, s.ip, s.closeAtDatabase)
+			}
+		} else {
+			s.up = true
+		}
+		n.step(e)
+	})
+}
+
+// replyConnect sends the end of the opening to the node.
+func (s *stream) replyConnect(e sessiontable.ConnectEnded) {
+	s.fleet.network.carry(s.ip, s.node.ip, func() { s.connectEnded(e) })
+}
+
+// arrive opens the connection at the database.
+func (s *stream) arrive(d sessiontable.Connect) {
+	db := s.fleet.databaseAt[d.Address]
+	switch {
+	case db != nil && db.unresponsive && !db.up:
+		return
+	case db == nil || !db.up:
+		s.replyConnect(sessiontable.ConnectEnded{Conn: d.Conn, Err: "refused", ConnectionRefused: true})
+		return
+	}
+	s.database, s.databaseGeneration = db, db.generation
+	code, c := db.accept(d.Group, d.ID, s)
+	if code != ports.Done {
+		s.replyConnect(sessiontable.ConnectEnded{Conn: d.Conn, Err: "bounced", Code: code})
+		return
+	}
+	s.connection = c
+	db.work(connectTimeUs, true, func() {
+		if c.open {
+			s.replyConnect(sessiontable.ConnectEnded{Conn: d.Conn, Position: db.position()})
+		}
+	})
+}
+
+// transmission is operations on their way to a database.
+type transmission struct {
+	stream   *stream
+	ops      []ports.Op
+	sentUs   int64
+	received bool
+}
+
+// send sends operations to the database. Where its machine does not acknowledge them in
+// time, the connection is lost.
+func (s *stream) send(ops []ports.Op) {
+	f, n := s.fleet, s.node
+	t := &transmission{stream: s, sentUs: f.Now}
+	for _, o := range ops {
+		if statement := f.oracle.statement(o.Statement.ID); statement != nil {
+			statement.forwarded = true
+			statement.forwardedUs, statement.forwardedTable = f.Now, n.core.TableRevision()
+		}
+		o.Statement.Raw = slices.Clone(o.Statement.Raw)
+		if f.Plan.Mutation == TextChanged && !o.Internal && f.Chance(0.01) {
+			o.Statement.Raw = append(o.Statement.Raw, '!')
+		}
+		t.ops = append(t.ops, o)
+	}
+	f.network.carry(n.ip, s.ip, t.deliver)
+	f.After(unackedBytesTimeoutUs, func() {
+		if !t.received && s.atNode {
+			s.lost(false, "timed out")
+		}
+	})
+}
+
+// deliver hands the operations to the database, if the connection is open there. To a
+// machine that does not respond they are retransmitted.
+func (t *transmission) deliver() {
+	s, f := t.stream, t.stream.fleet
+	if s.database == nil || s.connection == nil {
+		return
+	}
+	switch {
+	case s.databaseServes():
+		t.received = true
+		if s.connection.open {
+			s.connection.push(t.ops, s.node)
+		} else {
+			s.reset()
+		}
+	case s.database.unresponsive && !s.database.up:
+		if f.Now-t.sentUs < unackedBytesTimeoutUs {
+			f.After(retransmissionIntervalUs, t.deliver)
+		}
+	default:
+		t.received = true
+		s.reset()
+	}
+}
+
+// databaseServes says whether the run of the database that accepted the connection goes on.
+func (s *stream) databaseServes() bool {
+	return s.database.up && s.database.generation == s.databaseGeneration
+}
+
+// reset has the database's machine reset the connection.
+func (s *stream) reset() {
+	s.fleet.network.carry(s.ip, s.node.ip, func() { s.lost(true, "reset") })
+}
+
+// lost lets the node know that the connection broke. disconnected says that the other side is
+// known to have ended it.
+func (s *stream) lost(disconnected bool, err string) {
+	n := s.node
+	if !s.atNode {
+		return
+	}
+	n.enter(n.source(s.id), func() {
+		if !s.atNode || n.generation != s.generation || n.streams[s.id] != s {
+			return
+		}
+		s.atNode = false
+		delete(n.streams, s.id)
+		if !s.up {
+			n.step(sessiontable.ConnectEnded{Conn: s.id, Err: err, ConnectionRefused: false})
+			return
+		}
+		n.step(sessiontable.ConnectionLost{Conn: s.id, Err: err, Disconnected: disconnected})
+	})
+}
+
+// giveUp closes the connection at the node; the database hears of it after what was sent
+// before.
+func (s *stream) giveUp() {
+	s.atNode = false
+	s.fleet.network.carry(s.node.ip, s.ip, s.closeAtDatabase)
+}
+
+// closeAtDatabase closes the connection at the database, once it has run what arrived.
+func (s *stream) closeAtDatabase() {
+	if s.connection != nil && s.database.generation == s.databaseGeneration {
+		s.connection.hangUp()
+	}
+}
+
+// answer brings a database's response to the node.
+func (s *stream) answer(a ports.Response) {
+	n := s.node
+	s.fleet.network.carry(s.ip, n.ip, func() {
+		if !s.atNode {
+			return
+		}
+		n.enter(n.source(s.id), func() {
+			if s.atNode && n.generation == s.generation && n.streams[s.id] == s {
+				a.Body = slices.Clone(a.Body)
+				n.step(sessiontable.AnswerReceived{Conn: s.id, Answer: a})
+			}
+		})
+	})
+}
+
+// sweepStreams drops connections whose other side has been unreachable for long, as TCP's
+// keep-alive does on both sides.
+func (f *Fleet) sweepStreams() {
+	f.streams = slices.DeleteFunc(f.streams, func(s *stream) bool {
+		return !s.atNode && (s.connection == nil || !s.connection.open)
+	})
+	for _, s := range f.streams {
+		s.checkAlive()
+	}
+	f.After(streamSweepIntervalUs, f.sweepStreams)
+}
+
+// checkAlive drops the connection on the sides that have not reached the other for long.
+func (s *stream) checkAlive() {
+	now := s.fleet.Now
+	if s.intact() {
+		s.brokenSinceUs = 0
+		return
+	}
+	if s.brokenSinceUs == 0 {
+		s.brokenSinceUs = now
+	}
+	if now-s.brokenSinceUs >= unreachablePeerTimeoutUs && s.connection != nil && s.connection.open && s.databaseServes() {
+		s.connection.drop()
+	}
+	if now-s.brokenSinceUs >= keepAliveIntervalUs && s.up {
+		s.lost(false, "timed out")
+	}
+}
+
+// intact says whether both sides reach each other.
+func (s *stream) intact() bool {
+	return s.fleet.network.connected(s.node.ip, s.ip) && (s.database == nil || s.database.up || !s.database.unresponsive) && s.node.up && s.node.generation == s.generation
+}
