--- a/emulator/simulation/control_process.go
+++ b/emulator/simulation/control_process.go
@@ -1,27 +1,27 @@
 package simulation
 
 import (
-	"slices"
-	"strings"
-
 	"stoneford/emulator/databasereplica"
 	"stoneford/failover/sealed"
 	"stoneford/internal/control"
-	"stoneford/internal/pool"
-	"stoneford/maintenance"
 	"stoneford/schema"
 )
 
+// controlProcess is one control process and its disk.
 type controlProcess struct {
 	boot     *schema.Boot
 	core     *control.Core
 	disk     []*schema.WALEntry
 	unsynced []*schema.WALEntry
-	syncUs   int64 // a sync of the disk takes so long
+	syncUs   int64 // mean time of a sync of the disk
 	draining bool
 	processState
 }
 
+// controlTickUs is the interval at which control processes step without an event.
+const controlTickUs = 20_000
+
+// startControl starts a control process on its disk.
 func (f *Fleet) startControl(c *controlProcess) {
 	c.begin()
 	c.unsynced, c.syncUs, c.draining = nil, 0, false
@@ -29,23 +29,24 @@
 	for _, l := range c.disk {
 		c.core.Restore(l)
 	}
-	f.ticks(&c.processState, 20_000, func() { f.stepControl(c, control.WallClock{UnixMicro: f.Now}) })
+	f.ticks(&c.processState, controlTickUs, func() { f.stepControl(c, control.WallClock{UnixMicro: f.Now}) })
 }
 
+// stepControl runs one step. Nothing is sent before the sync of its log has ended, and no
+// other step begins.
 func (f *Fleet) stepControl(c *controlProcess, events ...control.Event) {
 	effects := c.core.Step(f.Now, events...)
 	if c.syncUs == 0 || len(effects.Log) == 0 {
 		f.afterSync(c, effects)
 		return
 	}
-	// Nothing leaves before the sync has ended, and no other step begins.
 	took := f.Between(c.syncUs/2, c.syncUs*3/2)
 	c.freeAtUs, c.unsynced = f.Now+took, effects.Log
-	gen := c.generation
+	generation := c.generation
 	var end func()
 	end = func() {
 		switch {
-		case !c.up || c.generation != gen:
+		case !c.up || c.generation != generation:
 		case c.frozen:
 			c.pending = append(c.pending, end)
 		default:
@@ -56,10 +57,14 @@
 	f.After(took, end)
 }
 
-// afterSync keeps what a step logged and does what it asked for.
+// maxDiskEntries bounds the log on a control process's disk; a snapshot replaces a longer
+// one.
+const maxDiskEntries = 300
+
+// afterSync keeps what a step logged and performs its effects.
 func (f *Fleet) afterSync(c *controlProcess, effects control.Effects) {
 	c.disk = append(c.disk, effects.Log...)
-	if len(c.disk) > 300 {
+	if len(c.disk) > maxDiskEntries {
 		c.disk = []*schema.WALEntry{c.core.Snapshot()}
 	}
 	for _, s := range effects.Send {
@@ -67,65 +72,44 @@
 	}
 	for _, d := range effects.Do {
 		f.observeControl(c, d)
-		switch d := d.(type) {
-		case control.ConfigurationResult:
-			if r := f.pendingReturns[d.ID]; r != nil {
-				delete(f.pendingReturns, d.ID)
-				r(d)
-			}
-		case control.DatabaseCall:
-			f.callDatabase(c, d)
-		case control.FailoverRequest:
-			f.platform(d)
-		case control.CommandResult:
-			if r := f.pendingNotifications[d.ID]; r != nil {
-				delete(f.pendingNotifications, d.ID)
-				r(d)
-			}
-		case control.ReplaceDatabase:
-			f.After(f.Between(500, f.MaxPlatformUs), func() {
-				if f.Chance(f.PlatformFailureProbability) {
-					return
-				}
-				if o := f.Databases[d.Database]; o.state.Identity == d.Identity {
-					f.LoseDatabase(d.Database)
-				}
-			})
-		case control.StopMachine:
-			for i, n := range f.Nodes {
-				if n.boot.Name == d.Machine {
-					f.After(f.Between(500, f.MaxPlatformUs), func() {
-						if !f.Chance(f.PlatformFailureProbability) {
-							f.StopNode(i)
-						}
-					})
-				}
-			}
-		case control.LogEntry:
-			f.logf("%s %d %s", c.boot.Name, d.Code, d.Text)
-		}
+		f.performControl(c, d)
 	}
 }
 
-// replaceUnrequested has the platform replace what a booking drains, if that is planted.
-func (f *Fleet) replaceUnrequested() {
-	for _, b := range f.Calendar().Windows {
-		n := strings.TrimPrefix(b.Target, b.Owner+"/")
-		if b.State == maintenance.Draining && f.Databases[n] != nil && f.Databases[n].state.Identity == b.Identity {
-			f.LoseDatabase(n)
-		}
+// performControl performs one effect of a control process.
+func (f *Fleet) performControl(c *controlProcess, effect control.Effect) {
+	switch d := effect.(type) {
+	case control.ConfigurationResult:
+		if done := f.pendingReturns[d.ID]; done != nil {
+			delete(f.pendingReturns, d.ID)
+			done(d)
+		}
+	case control.CommandResult:
+		if done := f.pendingNotifications[d.ID]; done != nil {
+			delete(f.pendingNotifications, d.ID)
+			done(d)
+		}
+	case control.DatabaseCall:
+		f.callDatabase(c, d)
+	case control.FailoverRequest:
+		f.platform(d)
+	case control.ReplaceDatabase:
+		f.replaceDatabase(d)
+	case control.StopMachine:
+		f.stopMachine(d)
+	case control.LogEntry:
+		f.logf("%s %d %s", c.boot.Name, d.Code, d.Text)
 	}
-	f.After(100_000, f.replaceUnrequested)
 }
 
-// toControl hands an event to a control process, later where it is frozen or
+// toControl hands an event to a run of a control process, later where it is frozen or
 // slow.
-func (f *Fleet) toControl(c *controlProcess, gen int, e control.Event) {
-	f.enter(&c.processState, gen, func() { f.stepControl(c, e) })
+func (f *Fleet) toControl(c *controlProcess, generation int, e control.Event) {
+	f.enter(&c.processState, generation, func() { f.stepControl(c, e) })
 }
 
-// Operate puts an operator's event to a control process; done is called unless
-// the process dies first.
+// Operate hands an operator's request to a control process. done receives the result, unless
+// the process ends before.
 func (f *Fleet) Operate(c *controlProcess, e func(id uint64) control.Event, done func(control.ConfigurationResult)) {
 	f.lastID++
 	id := f.lastID
@@ -133,21 +117,21 @@
 	f.toControl(c, c.generation, e(id))
 }
 
-// RunOperatorCommand has a partner type a sentence at a control process.
-func (f *Fleet) RunOperatorCommand(c *controlProcess, who, text string, done func(control.CommandResult)) {
+// RunOperatorCommand runs a command of the operators' language at a control process.
+func (f *Fleet) RunOperatorCommand(c *controlProcess, partner, text string, done func(control.CommandResult)) {
 	f.lastID++
 	id := f.lastID
 	f.pendingNotifications[id] = done
-	f.toControl(c, c.generation, control.Command{ID: id, Partner: who, Text: text})
+	f.toControl(c, c.generation, control.Command{ID: id, Partner: partner, Text: text})
 }
 
+// databaseCallTimeoutUs bounds a control process's call to a database.
+const databaseCallTimeoutUs = 500_000
+
+// callDatabase polls a database for its status, or seals it.
 func (f *Fleet) callDatabase(c *controlProcess, d control.DatabaseCall) {
-	gen := c.generation
-	back := func(err bool, s databasereplica.Status) {
-		f.toControl(c, gen, control.DatabaseReply{Group: d.Group, ID: d.ID, Failed: err, Status: sealed.Status{Identity: s.Identity, Role: s.Role,
-			Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Draining}})
-	}
-	f.call(c.boot.Listen, d.Address, 500_000, func(db *Database, reply func(any)) {
+	generation := c.generation
+	f.call(c.boot.Listen, d.Address, databaseCallTimeoutUs, func(db *Database, reply func(any)) {
 		if d.SealEpoch > 0 && f.Plan.Mutation == UnsealedTakeover {
 			s := db.state.Status()
 			s.Epoch, s.Role = d.SealEpoch, "sealed"
@@ -159,94 +143,11 @@
 			db.changed()
 		}
 		reply(db.state.Status())
-	}, func(v any, _ bool) {
-		if s, ok := v.(databasereplica.Status); ok {
-			back(false, s)
-		} else {
-			back(true, databasereplica.Status{})
-		}
-	})
-}
-
-// platform carries a takeover out as the stand-in does.
-func (f *Fleet) platform(d control.FailoverRequest) {
-	f.After(f.Between(500, f.MaxPlatformUs), func() {
-		if f.Chance(f.PlatformFailureProbability) || d.Epoch < f.platformEpochs[d.Group] || d.Epoch == f.platformEpochs[d.Group] && f.platformTargets[d.Group] != d.Target {
-			return
-		}
-		f.platformEpochs[d.Group], f.platformTargets[d.Group] = d.Epoch, d.Target
-		t := f.Databases[d.Target]
-		if t == nil || !t.responds() {
-			return
-		}
-		if f.Plan.Mutation == UnmeantPromotion {
-			d.Identity = ""
-		}
-		if !t.state.Promote(d.Epoch, d.Identity, f.Now) {
-			return
-		}
-		t.changed()
-		for _, m := range d.Members {
-			if o := f.Databases[m.Name]; o != nil && m.Name != d.Target && o.responds() {
-				o.state.Follow(d.Epoch, t.address)
-				o.changed()
-			}
-		}
-	})
-}
-
-func (f *Fleet) receive(to string, e *schema.Envelope) {
-	switch f.Plan.Mutation {
-	case LateUpdates:
-		if e.GetRegisterUpdate() != nil && f.Now > 3_400_000 {
-			f.After(4_000_000, func() { f.arrive(to, e) })
-			return
-		}
-	case SlippingBack:
-		f.mutateOldRevision(to, e)
-	}
-	f.arrive(to, e)
-}
-
-// mutateOldRevision has a node that started lately be told the first revision there was of
-// each configuration, by news and by voters.
-func (f *Fleet) mutateOldRevision(to string, e *schema.Envelope) {
-	young := slices.ContainsFunc(f.Nodes, func(n *nodeProcess) bool {
-		return n.boot.Listen == to && n.generation > 1 && f.Now-int64(n.run) < 2_000_000
+	}, func(response any, _ bool) {
+		s, ok := response.(databasereplica.Status)
+		f.toControl(c, generation, control.DatabaseReply{Group: d.Group, ID: d.ID, Failed: !ok, Status: sealed.Status{Identity: s.Identity, Role: s.Role,
+			Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Following: s.Following, Draining: s.Draining}})
 	})
-	old := func(key string, v *schema.Value) *schema.Value {
-		if !strings.HasPrefix(key, control.ConfigurationKeyPrefix) || v == nil {
-			return v
-		}
-		if f.firstConfigurations[key] == nil {
-			f.firstConfigurations[key] = v
-		}
-		if young {
-			return f.firstConfigurations[key]
-		}
-		return v
-	}
-	for _, r := range e.GetRegisterUpdate().GetRegisters() {
-		r.Value = old(r.Key, r.Value)
-	}
-	if p := e.GetPromise(); p != nil {
-		p.Value = old(p.Key, p.Value)
-	}
-}
-
-func (f *Fleet) arrive(to string, e *schema.Envelope) {
-	for _, c := range f.Controls {
-		if c.boot.Listen == to {
-			f.toControl(c, c.generation, control.Received{Envelope: e})
-			return
-		}
-	}
-	for _, n := range f.Nodes {
-		if n.boot.Listen == to {
-			f.toNode(n, n.generation, func() { f.stepNode(n, pool.Received{Envelope: e}) })
-			return
-		}
-	}
 }
 
 // PutConfiguration sends all partners' configurations until they are accepted.
@@ -256,18 +157,21 @@
 	}
 }
 
+// configurationRetryUs is the time until operators send a first configuration again.
+const configurationRetryUs = 200_000
+
 func (f *Fleet) putConfiguration(partner string, done func()) {
-	b := f.texts[partner]
-	var try func()
-	try = func() {
-		c := f.Controls[f.Random.IntN(3)]
+	text := f.texts[partner]
+	var attempt func()
+	attempt = func() {
+		c := f.Controls[f.Random.IntN(controlCount)]
 		if !c.up {
-			f.After(200_000, try)
+			f.After(configurationRetryUs, attempt)
 			return
 		}
-		f.Operate(c, func(id uint64) control.Event { return control.PutConfiguration{ID: id, Partner: partner, Text: b} }, func(r control.ConfigurationResult) {
+		f.Operate(c, func(id uint64) control.Event { return control.PutConfiguration{ID: id, Partner: partner, Text: text} }, func(r control.ConfigurationResult) {
 			if r.Revision == 0 {
-				f.After(200_000, try)
+				f.After(configurationRetryUs, attempt)
 				return
 			}
 			f.Oracle.configured(partner, r)
@@ -276,5 +180,5 @@
 			}
 		})
 	}
-	try()
+	attempt()
 }
--- /dev/null
+++ b/emulator/simulation/node_calls.go
@@ -0,0 +1,154 @@
+package simulation
+
+import (
+	"slices"
+	"strings"
+
+	"stoneford/emulator/databasereplica"
+	"stoneford/internal/querytable"
+)
+
+// openConnection opens a connection to a database.
+func (f *Fleet) openConnection(n *nodeProcess, group string, e querytable.OpenConnection) {
+	gen, run := n.generation, n.run
+	f.call(n.boot.Listen, e.Address, connectionTimeoutUs, func(db *Database, reply func(any)) {
+		id, ok := db.state.Open(n.boot.Name, run, f.Now)
+		if !ok {
+			f.Oracle.RefusedConnections++
+			reply("limit")
+			return
+		}
+		reply(id)
+	}, func(v any, _ bool) {
+		o := querytable.ConnectionOpened{Connection: e.Connection, Address: e.Address, Err: "no connection"}
+		if id, ok := v.(int64); ok {
+			o.ID, o.Err = id, ""
+		}
+		f.toTable(n, gen, group, o)
+	})
+}
+
+// run executes a run on a database.
+func (f *Fleet) run(n *nodeProcess, group string, e querytable.Run) {
+	generation, timeout := n.generation, e.UntilUs-f.Now
+	if f.Plan.Mutation == NotExecutedClaimed {
+		timeout = lostResponseUs
+	}
+	ops := make([]databasereplica.Operation, len(e.Ops))
+	for i, o := range e.Ops {
+		ops[i] = databasereplica.Operation(o)
+	}
+	f.call(n.boot.Listen, e.Address, timeout, func(db *Database, reply func(any)) {
+		if at, ok := n.drainingSinceUs[db.address]; ok && f.Now-at > drainPeriodUs && db.state.Draining {
+			f.Violation("%s sent a query to %s %d us after it learned that it leaves", n.boot.Name, db.name, f.Now-at)
+		}
+		db.work(func() { f.executeRun(db, e, ops, reply) })
+	}, func(response any, sent bool) {
+		f.toTable(n, generation, group, f.runEnded(e, response, sent))
+	})
+}
+
+// executeRun executes a run's operations at a database, and replies unless a fault loses the
+// response.
+func (f *Fleet) executeRun(db *Database, e querytable.Run, ops []databasereplica.Operation, reply func(any)) {
+	had := db.state.Received()
+	results, refused := db.state.Run(e.ID, e.Epoch, f.mutateOperations(db, ops), e.ReadOnly, f.Now)
+	if f.Plan.Mutation == WriteTwice && !e.ReadOnly && f.Chance(0.05) {
+		db.state.Run(e.ID, e.Epoch, ops, e.ReadOnly, f.Now)
+	}
+	if db.state.Received() > had {
+		db.changed()
+	}
+	if db.lostResponses > 0 {
+		db.lostResponses--
+		return
+	}
+	reply(databasereplica.RunResponse{Refused: refused, Results: results, Epoch: db.state.Epoch, Applied: db.state.Applied(), AtUs: f.Now})
+}
+
+// runEnded is the event that ends a run at its table; response is nil where none came.
+func (f *Fleet) runEnded(e querytable.Run, response any, sent bool) querytable.RunEnded {
+	r := querytable.RunEnded{Run: e.Run, MaybeSent: sent && f.Plan.Mutation != NotExecutedClaimed}
+	v, ok := response.(databasereplica.RunResponse)
+	if !ok {
+		r.Err = "no return"
+		return r
+	}
+	r.Rejected, r.Epoch, r.Applied = v.Refused, v.Epoch, v.Applied
+	if f.Plan.Mutation == ClaimedApplied {
+		r.Applied = 1 << 40
+	}
+	for _, s := range v.Results {
+		r.Results = append(r.Results, querytable.Result(s))
+	}
+	return r
+}
+
+// poll polls a database for its status.
+func (f *Fleet) poll(n *nodeProcess, group string, e querytable.Poll) {
+	generation := n.generation
+	f.call(n.boot.Listen, e.Address, e.WaitUs+pollReserveUs, func(db *Database, reply func(any)) {
+		db.wait(e.Received, e.Applied, e.WaitUs, func() { reply(db.state.Status()) })
+	}, func(response any, _ bool) {
+		p := querytable.PollEnded{Poll: e.Poll}
+		if s, ok := response.(databasereplica.Status); ok {
+			p.Status = f.polledStatus(n, group, e.Address, s)
+			n.recordDraining(e.Address, s.Draining, f.Now)
+		} else {
+			p.Err = "no return"
+		}
+		f.toTable(n, generation, group, p)
+	})
+}
+
+// recordDraining notes since when a node knows that a database drains.
+func (n *nodeProcess) recordDraining(address string, draining bool, nowUs int64) {
+	if !draining {
+		delete(n.drainingSinceUs, address)
+	} else if n.drainingSinceUs[address] == 0 {
+		n.drainingSinceUs[address] = nowUs
+	}
+}
+
+// polledStatus is what a table is given of a database's status; mutations change it.
+func (f *Fleet) polledStatus(n *nodeProcess, group, address string, s databasereplica.Status) querytable.Status {
+	out := querytable.Status{Identity: s.Identity, Role: s.Role, Epoch: s.Epoch, LogEpoch: s.LogEpoch, Received: s.Received, Applied: s.Applied, Draining: s.Draining}
+	switch {
+	case f.Plan.Mutation == AckBeforeMajority && s.Role == "replica":
+		out.Received += 1000
+	case f.Plan.Mutation == SkippedEntry && s.Role == "primary":
+		out.Received = max(0, s.Received-3)
+	case f.Plan.Mutation == ClaimedApplied && s.Role == "replica":
+		out.Applied = s.Received
+	case f.Plan.Mutation == UnmeantPromotion:
+		for _, m := range n.wanted[group].Members {
+			if m.Address == address {
+				out.Identity = m.Identity
+			}
+		}
+	case f.Plan.Mutation == UnheardDraining:
+		out.Draining = false
+	}
+	return out
+}
+
+// mutateOperations is what a database executes instead of some operations.
+func (f *Fleet) mutateOperations(db *Database, ops []databasereplica.Operation) []databasereplica.Operation {
+	ops = slices.Clone(ops)
+	for i := range ops {
+		o := &ops[i]
+		switch {
+		case f.Plan.Mutation == ChangedText && strings.HasPrefix(o.Text, "add ledger") && f.Chance(0.05):
+			o.Text = strings.Replace(o.Text, "add ledger ", "add ledger x", 1)
+		case f.Plan.Mutation == ForeignPrepared && o.Op == "prepare":
+			if db.prepared == "" {
+				db.prepared = o.Text
+			}
+			o.Text = db.prepared
+		}
+	}
+	if f.Plan.Mutation == TornSession {
+		ops = slices.DeleteFunc(ops, func(o databasereplica.Operation) bool { return o.Op == "reset" })
+	}
+	return ops
+}
--- /dev/null
+++ b/emulator/simulation/receive.go
@@ -0,0 +1,69 @@
+package simulation
+
+import (
+	"slices"
+	"strings"
+
+	"stoneford/internal/control"
+	"stoneford/internal/pool"
+	"stoneford/schema"
+)
+
+// lateUpdateUs is the delay of configurations with the mutation LateUpdates.
+const lateUpdateUs = 4_000_000
+
+// receive takes an envelope from the network; a mutation may delay or change it.
+func (f *Fleet) receive(to string, e *schema.Envelope) {
+	switch f.Plan.Mutation {
+	case LateUpdates:
+		if e.GetRegisterUpdate() != nil && f.Now > 3_400_000 {
+			f.After(lateUpdateUs, func() { f.arrive(to, e) })
+			return
+		}
+	case SlippingBack:
+		f.mutateOldRevision(to, e)
+	}
+	f.arrive(to, e)
+}
+
+// mutateOldRevision has a node that started lately receive the first revision of each
+// configuration as the newest, in updates and from voters.
+func (f *Fleet) mutateOldRevision(to string, e *schema.Envelope) {
+	young := slices.ContainsFunc(f.Nodes, func(n *nodeProcess) bool {
+		return n.boot.Listen == to && n.generation > 1 && f.Now-int64(n.run) < 2_000_000
+	})
+	old := func(key string, v *schema.Value) *schema.Value {
+		if !strings.HasPrefix(key, control.ConfigurationKeyPrefix) || v == nil {
+			return v
+		}
+		if f.firstConfigurations[key] == nil {
+			f.firstConfigurations[key] = v
+		}
+		if young {
+			return f.firstConfigurations[key]
+		}
+		return v
+	}
+	for _, r := range e.GetRegisterUpdate().GetRegisters() {
+		r.Value = old(r.Key, r.Value)
+	}
+	if p := e.GetPromise(); p != nil {
+		p.Value = old(p.Key, p.Value)
+	}
+}
+
+// arrive hands an envelope to the process at an address.
+func (f *Fleet) arrive(to string, e *schema.Envelope) {
+	for _, c := range f.Controls {
+		if c.boot.Listen == to {
+			f.toControl(c, c.generation, control.Received{Envelope: e})
+			return
+		}
+	}
+	for _, n := range f.Nodes {
+		if n.boot.Listen == to {
+			f.toNode(n, n.generation, func() { f.stepNode(n, pool.Received{Envelope: e}) })
+			return
+		}
+	}
+}
