--- a/emulator/simulation/random_faults.go
+++ b/emulator/simulation/random_faults.go
@@ -169,11 +169,11 @@
 	c := f.Controls[f.Random.IntN(3)]
 	f.logf("%s schedules %s", who, what)
 	f.RunOperatorCommand(c, who, "book "+what+" at "+time.UnixMicro(f.Now).UTC().Format("2006-01-02 15:04"), func(a control.CommandResult) {
-		if a.Code != result.OK || len(a.Bookings) != 1 {
+		if a.Code != result.OK || len(a.Windows) != 1 {
 			f.logf("the reply is %d %s", a.Code, a.Text)
 			return
 		}
-		id, other := a.Bookings[0].Id, f.otherPartner(owner)
+		id, other := a.Windows[0].Id, f.otherPartner(owner)
 		f.confirmWindow(c, other, owner, id, func() { f.confirmWindow(c, owner, owner, id, func() {}) })
 	})
 }
