--- a/cmd/stoneford-simulate/table.go
+++ b/cmd/stoneford-simulate/table.go
@@ -43,7 +43,7 @@
 		t.row(kind+", served", func(f whatif.Figures) float64 { return f.Kinds[kind].Served })
 		t.row(kind+", p99 ms", func(f whatif.Figures) float64 { return float64(f.Kinds[kind].P99Us) / 1000 })
 	}
-	for _, class := range []string{checker.Lookup, checker.Pinned} {
+	for _, class := range []string{checker.Lookup, checker.ReadYourWrites} {
 		t.row(class+", greatest age ms", func(f whatif.Figures) float64 { return float64(f.Ages[class].MaxUs) / 1000 })
 	}
 	t.row("status polls a query", func(f whatif.Figures) float64 { return f.Polls })
