--- a/emulator/fleet/fleet.go
+++ b/emulator/fleet/fleet.go
@@ -16,7 +16,6 @@
 
 	"stoneford/emulator/callers"
 	"stoneford/emulator/platform"
-	"stoneford/internal/cleanup"
 	"stoneford/internal/databaseclient"
 	"stoneford/result"
 )
@@ -41,7 +40,7 @@
 	load                *callers.Runner   // the callers, once they run
 	crashed             []string
 	mu                  sync.Mutex
-	cleanup             cleanup.Stack
+	closers             []func() error // run by Close, the newest first
 }
 
 // Token is the token by which a partner's operators authenticate.
@@ -253,13 +252,16 @@
 // Start starts every process, configures the fleet, and waits until all nodes are ready.
 func (f *Fleet) Start(ctx context.Context) error {
 	pctx, end := context.WithCancel(context.Background())
-	f.cleanup.Push(func() error { end(); return nil })
+	f.atClose(func() error {
+		end()
+		return nil
+	})
 	pl, err := net.Listen("tcp", f.platformAddress)
 	if err != nil {
 		return err
 	}
 	go f.platform.Serve(pctx, pl)
-	f.cleanup.Push(func() error {
+	f.atClose(func() error {
 		for _, n := range f.order {
 			f.processes[n].signal(syscall.SIGKILL, true)
 		}
@@ -296,8 +298,20 @@
 	})
 }
 
-// Close ends every process.
-func (f *Fleet) Close() error { return f.cleanup.Run() }
+// atClose has Close call a function.
+func (f *Fleet) atClose(closer func() error) { f.closers = append(f.closers, closer) }
+
+// Close ends every process. It returns all errors.
+func (f *Fleet) Close() error {
+	var failures []error
+	for len(f.closers) > 0 {
+		newest := len(f.closers) - 1
+		closer := f.closers[newest]
+		f.closers = f.closers[:newest]
+		failures = append(failures, closer())
+	}
+	return errors.Join(failures...)
+}
 
 // Configure sends a partner's change of the configuration, and returns how long after its
 // acceptance every process reports to work by it.
--- a/emulator/fleet/process.go
+++ b/emulator/fleet/process.go
@@ -100,7 +100,7 @@
 func (f *Fleet) link(p *process, addr, target string) {
 	k := link.New(addr, target)
 	p.links = append(p.links, k)
-	f.cleanup.Push(k.Close)
+	f.atClose(k.Close)
 }
 
 // add adds a process to the fleet.
