--- a/internal/sessionpool/process_test.go
+++ b/internal/sessionpool/process_test.go
@@ -180,7 +180,7 @@
 		db.answers <- ports.Response{Text: "done"}
 		synctest.Wait()
 		c.expect(t, "reply done", "flush")
-		// Two that came together are one step.
+		// Two that arrive together are one step.
 		db.answers <- ports.Response{Text: "a"}
 		db.answers <- ports.Response{Text: "b"}
 		synctest.Wait()
@@ -415,7 +415,7 @@
 		if !slices.Equal(ticks, []int64{1_500_000}) {
 			t.Error(ticks)
 		}
-		// Set for 3 s, then nothing is due before 4: it rings once in between, for nobody.
+		// Set for 3 s, then nothing is due before 4: the timer fires in between, without a tick.
 		due(3_000_000)
 		due(4_000_000)
 		before := steps()
@@ -484,7 +484,7 @@
 	if err := p.Run(t.Context()); !errors.Is(err, failed) {
 		t.Error(err)
 	}
-	// Where its own port is taken.
+	// Its own port is in use.
 	listener, err := net.Listen("tcp", boot.PoolNodeAddress())
 	if err != nil {
 		t.Fatal(err)
