--- a/emulator/simulation/replacement_test.go
+++ b/emulator/simulation/replacement_test.go
@@ -13,13 +13,13 @@
 // replaced books the replacement of a group's copy for now and confirms it.
 func replaced(t *testing.T, f *simulation.Fleet, db, owner string) uint64 {
 	a := booked(f, owner, fmt.Sprintf("book %s for replacement at %s", db, clock(f, 0)))
-	if a.Code != result.OK || len(a.Bookings) != 1 {
+	if a.Code != result.OK || len(a.Windows) != 1 {
 		t.Fatalf("%s: %d %s", db, a.Code, a.Text)
 	}
-	if a := booked(f, owner, fmt.Sprintf("confirm booking %d", a.Bookings[0].Id)); a.Code != result.OK {
+	if a := booked(f, owner, fmt.Sprintf("confirm booking %d", a.Windows[0].Id)); a.Code != result.OK {
 		t.Fatalf("confirming: %d %s", a.Code, a.Text)
 	}
-	return a.Bookings[0].Id
+	return a.Windows[0].Id
 }
 
 // TestReplacementToleratesALoss: at each moment of a replica's booked replacement
@@ -79,10 +79,10 @@
 	}
 }
 
-// TestServesWhileRoleOwnerChanges: the holder of the groups' duties dies, or is
-// stopped, just as a crowd of five times the sessions comes and a machine joins.
-// Nodes that are up go on with their shares; the one that joins has its own within
-// the time stated in docs/operating.md, and soon after a stop.
+// TestServesWhileRoleOwnerChanges: the leader of the groups dies, or is stopped, just as a
+// crowd of five times the sessions comes and a machine joins. Nodes that are up go on with
+// their connections; the one that joins has its own within the time stated in
+// docs/operating.md, and soon after a stop.
 func TestServesWhileRoleOwnerChanges(t *testing.T) {
 	var mu sync.Mutex
 	took, least := map[bool][]int64{}, 1.0
--- a/internal/coordinator/databases.go
+++ b/internal/coordinator/databases.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"stoneford/crdt"
 	"stoneford/internal/learner"
 	"stoneford/result"
 	"stoneford/schema"
@@ -41,13 +42,13 @@
 	c.maintenance.turn++
 	voters := c.learner.Voters()
 	if address := voters[c.maintenance.turn%len(voters)]; address != c.self {
-		c.send(c.databases.CompareRange(address, "", ""))
+		c.send(c.databases.CompareRange(address, crdt.KeyRange{}))
 	}
 	c.forgetPollers(now)
 }
 
-// mergeRecords takes records of databases and reports whether one of them says
-// something new.
+// mergeRecords takes records of databases and reports whether one of them brings
+// a change.
 func (c *Core) mergeRecords(now int64, records []*schema.Record) bool {
 	changed := false
 	for _, record := range records {
