--- a/emulator/callers/callers.go
+++ b/emulator/callers/callers.go
@@ -302,7 +302,7 @@
 // callerPatience is how long a caller goes on retrying.
 const callerPatience = 5 * time.Second
 
-// waitForRetry waits as long as a reply asks its caller to, and says whether the caller
+// waitForRetry waits as long as a reply asks its caller to, and reports whether the caller
 // retries then. It does so for as long as a person would.
 func waitForRetry(ctx context.Context, v reply, startUs int64) bool {
 	if nowUs()-startUs >= callerPatience.Microseconds() {
@@ -311,7 +311,7 @@
 	return sleep(ctx, time.Duration(v.RetryAfterUs)*time.Microsecond)
 }
 
-// rejected says whether a reply means that nothing took effect and that a retry is due.
+// rejected reports whether a reply means that nothing took effect and that a retry is due.
 func (v reply) rejected() bool { return v.Code.Retryable() || v.Code == result.UnknownSession }
 
 // call sends a query, retrying it as its replies ask to.
--- a/emulator/checker/check.go
+++ b/emulator/checker/check.go
@@ -115,7 +115,7 @@
 	return age
 }
 
-// mustShow says whether a read has to show every acknowledged change of a row: a current
+// mustShow reports whether a read has to show every acknowledged change of a row: a current
 // read of any row, one that reads its session's writes of the session's own row.
 func (r Read) mustShow(row string) bool {
 	return r.Kind == Current || r.Kind == ReadYourWrites && strings.HasPrefix(row, ownPrefix)
--- a/emulator/fleetsimulation/fleet_test.go
+++ b/emulator/fleetsimulation/fleet_test.go
@@ -33,7 +33,7 @@
 	t.Logf("%d operations, %d well; %d calm, %d well; acked %d, reads %d, codes %v, connects %d", f.operationCount, f.successfulOperations, f.calmOperations, f.calmSuccesses, f.oracle.Acked, f.oracle.Reads, f.oracle.Codes, f.oracle.connections)
 }
 
-// faulty runs one seed under faults of the kinds named, or of any.
+// faulty runs one seed under random faults of the kinds that are named, or of all.
 func faulty(p Plan, mean int64, names ...string) *Fleet {
 	f := NewFleet(p)
 	f.Run(4_000_000)
@@ -48,8 +48,8 @@
 // runSeeds runs seeds in parallel; every seed is a simulated fleet of its own.
 func runSeeds(n, first uint64, run func(seed uint64)) { seedtest.Run(6, n, first, run) }
 
-// TestFleetUnderFaults: nothing that must never happen happens, whatever faults
-// the seeds bring about within what has to be borne.
+// TestFleetUnderFaults: no rule of docs/never-happens.md is broken, whatever faults the
+// seeds inject within what the fleet has to tolerate.
 func TestFleetUnderFaults(t *testing.T) {
 	n := seedtest.Count(60)
 	var mu sync.Mutex
@@ -64,7 +64,7 @@
 	t.Logf("%d seeds: %d operations, %.4f served, %d writes acknowledged, %d promotions", n, ops, float64(ok)/float64(max(ops, 1)), acknowledged, promotions)
 }
 
-// TestFaultFamilies brings each kind of fault about alone, again and again.
+// TestFaultFamilies injects each kind of fault alone, over and over.
 func TestFaultFamilies(t *testing.T) {
 	for i, k := range faults {
 		t.Run(strings.ReplaceAll(k.name, " ", "-"), func(t *testing.T) {
--- a/emulator/fleetsimulation/moves_test.go
+++ b/emulator/fleetsimulation/moves_test.go
@@ -10,8 +10,8 @@
 	"stoneford/internal/ports"
 )
 
-// moving runs one seed with moves between sites, under faults of the kinds named,
-// or of any.
+// moving runs one seed with moves between sites, under random faults of the kinds that are
+// named, or of all.
 func moving(p Plan, mean int64, names ...string) *Fleet {
 	f := NewFleet(p)
 	f.Run(4_000_000)
@@ -27,7 +27,7 @@
 	return f
 }
 
-// broken are the violations of the rules of moves, and of what is acknowledged.
+// broken are the violations of some rules.
 func broken(f *Fleet, rules string) []string {
 	return slices.DeleteFunc(slices.Clone(f.Violations()), func(v string) bool {
 		for r := range strings.FieldsSeq(rules) {
@@ -39,8 +39,7 @@
 	})
 }
 
-// TestQuietMoves: without faults a group goes round the sites, and everything is
-// served.
+// TestQuietMoves: without faults a group is moved to each site, and everything is served.
 func TestQuietMoves(t *testing.T) {
 	f := NewFleet(plan(3))
 	f.Run(4_000_000)
@@ -61,8 +60,8 @@
 	}
 }
 
-// TestMoveStaysStaged: a node that does not take the table holds the move, is
-// named, and the move can be taken back.
+// TestMoveStaysStaged: a node that does not apply the table blocks the move and is named,
+// and the move can be cancelled.
 func TestMoveStaysStaged(t *testing.T) {
 	p := plan(4)
 	p.Mutation = TablesForgotten
@@ -85,7 +84,7 @@
 	}
 }
 
-// TestMovesUnderFaults: nothing that must never happen happens.
+// TestMovesUnderFaults: no rule of docs/never-happens.md is broken.
 func TestMovesUnderFaults(t *testing.T) {
 	n := seedtest.Count(40)
 	var mu sync.Mutex
@@ -107,8 +106,8 @@
 	}
 }
 
-// TestTableFloorSufficesAlone: with the gate skipped, the floor still keeps what works by
-// an older table out.
+// TestTableFloorSufficesAlone: with the gate skipped, the floor alone still keeps out what
+// works by an older table.
 func TestTableFloorSufficesAlone(t *testing.T) {
 	for seed := range uint64(4) {
 		p := plan(seed)
@@ -129,7 +128,7 @@
 			return
 		}
 	}
-	t.Errorf("%s was not seen to break", rule)
+	t.Errorf("%s was not seen broken", rule)
 }
 
 func TestMutationGateSkipped(t *testing.T)  { checkMoveMutation(t, GateSkipped, "GATE") }
--- a/emulator/fleetsimulation/mutations_test.go
+++ b/emulator/fleetsimulation/mutations_test.go
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	t.Errorf("none of %s was seen to break", rules)
+	t.Errorf("none of %s was seen broken", rules)
 }
 
 func TestMutationFreezeIgnored(t *testing.T) {
--- a/emulator/fleetsimulation/network.go
+++ b/emulator/fleetsimulation/network.go
@@ -33,10 +33,10 @@
 	return &network{scheduler: w, zones: map[string]string{}, lossy: map[string]float64{}, partitions: map[[2]string]int{}, lastArrivalUs: map[[2]string]int64{}, lastFaultUs: map[string]int64{}}
 }
 
-// reaches says whether one direction works.
+// reaches reports whether one direction works.
 func (n *network) reaches(from, to string) bool { return n.partitions[[2]string{from, to}] == 0 }
 
-// connected says whether both directions work.
+// connected reports whether both directions work.
 func (n *network) connected(a, b string) bool { return n.reaches(a, b) && n.reaches(b, a) }
 
 // partition breaks one direction once more; repair undoes one such partition.
@@ -66,7 +66,7 @@
 	})
 }
 
-// faulty says whether any direction from or to a host is partitioned or lossy.
+// faulty reports whether any direction from or to a host is partitioned or lossy.
 func (n *network) faulty(host string) bool {
 	for k := range n.partitions {
 		if k[0] == host || k[1] == host {
--- a/emulator/fleetsimulation/observe.go
+++ b/emulator/fleetsimulation/observe.go
@@ -37,7 +37,7 @@
 }
 
 // observeControl records an effect of a control process at its edge: questions to
-// databases, promotions asked of the platform, and answers to databases and
+// databases, promotions requested of the platform, and responses to databases and
 // operators.
 func (f *Fleet) observeControl(c *Control, effect any) {
 	o := f.Plan.Observe
--- a/emulator/fleetsimulation/operations.go
+++ b/emulator/fleetsimulation/operations.go
@@ -38,7 +38,7 @@
 	sent       bool   // its commit or its single write was sent
 }
 
-// wrote says whether a transaction of the attempt has a write that a database ran.
+// wrote reports whether a transaction of the attempt has a write that a database ran.
 func (t *attempt) wrote(x *transaction) bool {
 	return slices.ContainsFunc(t.statements, func(s *Statement) bool { return s.transaction == x && s.writes && len(s.results) > 0 })
 }
--- a/emulator/fleetsimulation/operators.go
+++ b/emulator/fleetsimulation/operators.go
@@ -200,8 +200,8 @@
 	o.put(ports.TableChange{BaseRevision: 0, Revision: o.revision(), Complete: true, Routes: t.Routes, Groups: t.Groups, Limits: &t.Limits}, true, false, func(ports.Outcome) {})
 }
 
-// amend makes an amendment: a route that nobody uses is added or taken out, or a
-// time changes.
+// amend makes a change of the newest table: a route that nobody uses is added or removed,
+// or a time changes.
 func (o *operators) amend() ports.TableChange {
 	f := o.fleet
 	c := ports.TableChange{BaseRevision: o.known, Revision: o.revision()}
--- a/emulator/fleetsimulation/oracle_processes.go
+++ b/emulator/fleetsimulation/oracle_processes.go
@@ -77,14 +77,14 @@
 	}
 }
 
-// coreIsStable says whether nothing happened to the control processes lately and
+// coreIsStable reports whether nothing happened to the control processes lately and
 // more than half of them run and reach each other. One that is down or partitioned
 // off for long does not make the others unstable.
 func (o *Oracle) coreIsStable() bool {
 	return o.fleet.Now-o.coreUnstableUs > contactTimeoutUs
 }
 
-// inContact says whether rules that are bounded by a time hold for a node.
+// inContact reports whether rules that are bounded by a time hold for a node.
 func (o *Oracle) inContact(n *Node) bool {
 	return n.up && !n.draining && o.fleet.Now-n.lastFaultUs > contactTimeoutUs && o.coreIsStable()
 }
@@ -150,7 +150,7 @@
 	v.checked = v.checked || applied && late > 2*(configApplyTimeoutUs+sessionStretchUs)
 }
 
-// mustApplyBesideUnstableCore says whether a node had no fault, and the core a
+// mustApplyBesideUnstableCore reports whether a node had no fault, and the core a
 // majority, for so long that the node must work by a table also while the core is
 // not stable.
 func (o *Oracle) mustApplyBesideUnstableCore(n *Node, late int64) bool {
--- a/emulator/fleetsimulation/replacement.go
+++ b/emulator/fleetsimulation/replacement.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// drained says whether the database has drained for as long as it has to.
+// drained reports whether the database has drained for as long as it has to.
 func (r *databaseRelease) drained() bool {
 	if acknowledged := r.database.drainAcknowledgedUs; acknowledged > 0 {
 		return r.fleet.Now-acknowledged > drainTimeoutUs+drainReserveUs
--- a/emulator/fleetsimulation/replication.go
+++ b/emulator/fleetsimulation/replication.go
@@ -196,7 +196,7 @@
 	d.syncWaits = append(d.syncWaits, syncWait{n, func() { f(d.primary && d.acknowledgedByReplica(n)) }})
 }
 
-// acknowledgedByReplica says whether enough replicas have received the log up to a
+// acknowledgedByReplica reports whether enough replicas have received the log up to a
 // length.
 func (d *Database) acknowledgedByReplica(n int) bool {
 	k := 0
--- a/emulator/fleetsimulation/statement.go
+++ b/emulator/fleetsimulation/statement.go
@@ -35,7 +35,7 @@
 	connection *databaseConnection // that its first statement ran on
 }
 
-// opensDatabaseWork says whether a statement is the first that its transaction, if
+// opensDatabaseWork reports whether a statement is the first that its transaction, if
 // it has one, sends to a database.
 func (s *Statement) opensDatabaseWork() bool {
 	if s.kind == ports.Begin || s.kind == ports.BeginRead {
@@ -44,7 +44,7 @@
 	return s.transaction == nil || s.transaction.first == nil || s.transaction.first == s
 }
 
-// isRead says whether a statement only reads rows.
+// isRead reports whether a statement only reads rows.
 func (s *Statement) isRead() bool {
 	return s.kind == ports.Read || s.kind == ports.Execute && !s.writes
 }
@@ -57,7 +57,7 @@
 	return s.required
 }
 
-// acknowledgesWrites says whether the end of a statement confirms to its caller that
+// acknowledgesWrites reports whether the end of a statement confirms to its caller that
 // something was written: a single write, or the commit of a transaction that wrote.
 func (s *Statement) acknowledgesWrites() bool {
 	if s.transaction == nil && s.writes {
@@ -66,7 +66,7 @@
 	return s.kind == ports.Commit && s.attempt.wrote(s.transaction)
 }
 
-// reachesDatabase says whether a statement is one that a database runs for its
+// reachesDatabase reports whether a statement is one that a database runs for its
 // caller: not one that only changes the session.
 func (s *Statement) reachesDatabase() bool {
 	switch s.kind {
--- a/emulator/fleetsimulation/statements.go
+++ b/emulator/fleetsimulation/statements.go
@@ -6,13 +6,13 @@
 	"stoneford/internal/ports"
 )
 
-// lostLead says whether a transaction that may write is open on a database that is
+// lostLead reports whether a transaction that may write is open on a database that is
 // not the primary of its term any more.
 func (c *databaseConnection) lostLead() bool {
 	return c.transaction != nil && c.transaction.mayWrite && (!c.database.primary || c.database.term != c.transaction.term)
 }
 
-// lacksPosition says whether the database does not show a position yet that a
+// lacksPosition reports whether the database does not show a position yet that a
 // statement has to come after.
 func (c *databaseConnection) lacksPosition(p ports.Position) bool {
 	return p.Known() && c.database.fleet.Plan.Mutation != AfterIgnored && c.database.position().Before(p)
@@ -171,7 +171,7 @@
 	case writes:
 		e := d.append(statement, []*Statement{statement})
 		if f.Plan.Mutation == BusyThatRan && f.Chance(0.05) {
-			done(errorResponse(ports.Busy, "planted"))
+			done(errorResponse(ports.Busy, "mutation"))
 			return
 		}
 		if f.Plan.Mutation == RunsTwice && f.Chance(0.01) {
--- a/emulator/fleetsimulation/streams.go
+++ b/emulator/fleetsimulation/streams.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// databaseServes says whether the run of the database that accepted the connection goes on.
+// databaseServes reports whether the run of the database that accepted the connection goes on.
 func (s *stream) databaseServes() bool {
 	return s.database.up && s.database.generation == s.databaseGeneration
 }
@@ -236,7 +236,7 @@
 	}
 }
 
-// intact says whether both sides reach each other.
+// intact reports whether both sides reach each other.
 func (s *stream) intact() bool {
 	return s.fleet.network.connected(s.node.ip, s.ip) && (s.database == nil || s.database.up || !s.database.unresponsive) && s.node.up && s.node.generation == s.generation
 }
--- a/emulator/link/link.go
+++ b/emulator/link/link.go
@@ -113,7 +113,7 @@
 	k.mu.Unlock()
 }
 
-// listening says whether the process behind the link is up.
+// listening reports whether the process behind the link is up.
 func (k *Link) listening() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/emulator/run-fleet/faults.go
+++ b/emulator/run-fleet/faults.go
@@ -63,7 +63,7 @@
 	nodes []string
 }
 
-// nodeWatchInterval is how often the platform is asked for the ready nodes.
+// nodeWatchInterval is how often the ready nodes are read from the platform.
 const nodeWatchInterval = 200 * time.Millisecond
 
 // watchNodes reads the ready nodes now, and at an interval until the context ends.
--- a/emulator/run-fleet/main.go
+++ b/emulator/run-fleet/main.go
@@ -55,7 +55,7 @@
 	return b.String()
 }
 
-// settings are what the flags say.
+// settings are the values of the flags.
 type settings struct {
 	shapeName string
 	shape     fleet.Shape
--- a/emulator/simulation/caller_actions.go
+++ b/emulator/simulation/caller_actions.go
@@ -19,7 +19,7 @@
 	Attempts     int
 }
 
-// isRetryable says whether a caller retries after a reply.
+// isRetryable reports whether a caller retries after a reply.
 func isRetryable(r querytable.Reply) bool {
 	return r.Code.Retryable() || r.Code == result.UnknownSession || r.Code == result.TransactionLost
 }
--- a/emulator/simulation/callers.go
+++ b/emulator/simulation/callers.go
@@ -78,5 +78,5 @@
 // Halt lets the sessions end what they do and start nothing new.
 func (f *Fleet) Halt() { f.halted = true }
 
-// stopping says whether a node takes no new sessions since it stops.
+// stopping reports whether a node takes no new sessions since it stops.
 func (n *nodeProcess) stopping() bool { return n.draining }
--- a/emulator/simulation/databases.go
+++ b/emulator/simulation/databases.go
@@ -79,7 +79,7 @@
 	d.state = c
 }
 
-// responds says whether the process responds to calls now.
+// responds reports whether the process responds to calls now.
 func (d *Database) responds() bool { return d.up && !d.unresponsive && !d.frozen }
 
 // changed wakes the waiters whose positions are reached.
--- a/emulator/simulation/fault_kinds.go
+++ b/emulator/simulation/fault_kinds.go
@@ -9,7 +9,7 @@
 	control  int
 }
 
-// faultCondition says whether a target may be struck: the fleet has to tolerate the loss
+// faultCondition reports whether a target may be struck: the fleet has to tolerate the loss
 // of one control process and, of each group, of one database at a time.
 type faultCondition func(f *Fleet, t faultTarget) bool
 
--- a/emulator/simulation/faults.go
+++ b/emulator/simulation/faults.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// serves says whether a pool node takes callers.
+// serves reports whether a pool node takes callers.
 func (n *nodeProcess) serves() bool { return n.up && !n.frozen && !n.draining }
 
 // StopNode stops a pool node with its grace, then ends it.
@@ -180,7 +180,7 @@
 	}
 }
 
-// HasRedundancy says whether a group tolerates the loss of a database.
+// HasRedundancy reports whether a group tolerates the loss of a database.
 func (f *Fleet) HasRedundancy(group string) bool { return f.groupHasRedundancy(group) }
 
 // ElectedPrimary is the database that a failover has elected and that is not promoted yet;
--- a/emulator/simulation/finish.go
+++ b/emulator/simulation/finish.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// isAtRest says whether every caller has its reply, every group a primary with two
+// isAtRest reports whether every caller has its reply, every group a primary with two
 // replicas that are up to date, and every node the newest configurations.
 func (f *Fleet) isAtRest() bool {
 	for _, g := range f.Plan.Groups {
--- a/emulator/simulation/fleet_test.go
+++ b/emulator/simulation/fleet_test.go
@@ -35,13 +35,13 @@
 // runSeeds runs seeds in parallel; every seed is a simulated fleet of its own.
 func runSeeds(n, first uint64, run func(seed uint64)) { seedtest.Run(8, n, first, run) }
 
-// TestFleetUnderFaults: nothing that must never happen happens, whatever
-// faults the seeds bring about within what has to be borne.
+// TestFleetUnderFaults: no rule of docs/never-happens.md is broken, whatever faults the
+// seeds inject within what the fleet has to tolerate.
 func TestFleetUnderFaults(t *testing.T) {
 	n := seedtest.Count(32)
 	var mu sync.Mutex
 	acked, served, all, unsure := 0, 0.0, 0, 0
-	pending, forced, moves, retry := map[result.Code][]int64{}, []int64{}, map[string]int{}, map[result.Code][]simulation.RetryAfterRejection{}
+	delays, forced, moves, retries := map[result.Code][]int64{}, []int64{}, map[string]int{}, map[result.Code][]simulation.RetryAfterRejection{}
 	runSeeds(n, seedtest.First(), func(seed uint64) {
 		f, v := faulty(plan(seed))
 		mu.Lock()
@@ -50,10 +50,10 @@
 		served += simulation.Served(f.Oracle.Samples) / float64(n)
 		forced = append(forced, f.Oracle.ConfigurationDelays...)
 		for c, hs := range f.Oracle.RejectionDelays {
-			pending[c] = append(pending[c], hs...)
+			delays[c] = append(delays[c], hs...)
 		}
 		for c, as := range f.Oracle.RetriesAfterRejection {
-			retry[c] = append(retry[c], as...)
+			retries[c] = append(retries[c], as...)
 		}
 		for _, b := range f.Calendar().Windows {
 			moves[b.State]++
@@ -64,15 +64,15 @@
 		seedtest.PrintLog(t, seed, f.Log)
 	})
 	t.Logf("%d seeds: %d queries, %.4f served on average, %d writes acknowledged, %d uncertain", n, all, served, acked, unsure)
-	for _, c := range slices.Sorted(maps.Keys(pending)) {
-		slices.Sort(pending[c])
-		q := func(x float64) int64 { return checker.Quantile(pending[c], x) }
-		t.Logf("code %d, not done: %d, held %d us at the median, %d at the 99th part, %d at most", c, len(pending[c]), q(0.5), q(0.99), q(1))
+	for _, c := range slices.Sorted(maps.Keys(delays)) {
+		slices.Sort(delays[c])
+		q := func(x float64) int64 { return checker.Quantile(delays[c], x) }
+		t.Logf("code %d, not executed: %d, rejected after %d us at the median, %d at the 99th part, %d at most", c, len(delays[c]), q(0.5), q(0.99), q(1))
 	}
-	for _, c := range slices.Sorted(maps.Keys(retry)) {
+	for _, c := range slices.Sorted(maps.Keys(retries)) {
 		var notified, took []int64
 		first := 0
-		for _, a := range retry[c] {
+		for _, a := range retries[c] {
 			notified = append(notified, a.RetryAfterUs)
 			if a.TookUs >= 0 {
 				took = append(took, a.TookUs)
@@ -83,7 +83,7 @@
 		}
 		slices.Sort(notified)
 		slices.Sort(took)
-		t.Logf("code %d, told to come back: %d, %d done when they did, %d in the end; told %d us at the median, done after %d at the median, %d at the 99th part",
+		t.Logf("code %d, with a time to retry: %d, %d done at the first retry, %d in the end; a time of %d us at the median, done after %d at the median, %d at the 99th part",
 			c, len(notified), first, len(took), checker.Quantile(notified, 0.5), checker.Quantile(took, 0.5), checker.Quantile(took, 0.99))
 	}
 	slices.Sort(forced)
@@ -115,7 +115,7 @@
 	for _, c := range []struct {
 		name    string
 		all     bool
-		planted bool
+		mutated bool
 	}{{"a zone", false, false}, {"all nodes", true, false}, {"all nodes, no connection leases", true, true}} {
 		var mu sync.Mutex
 		runSeeds(6, 0, func(seed uint64) {
@@ -135,7 +135,7 @@
 				f.CrashZone("cluj")
 			}
 			f.Run(f.Now + 10_000_000)
-			if c.planted {
+			if c.mutated {
 				f.DropConnectionLeases()
 			}
 			f.Heal()
@@ -153,14 +153,14 @@
 			mu.Lock()
 			defer mu.Unlock()
 			fraction := simulation.Served(ss)
-			if !c.planted {
+			if !c.mutated {
 				least = min(least, fraction)
 			}
-			if ok := fraction >= 0.25 && len(ss) > 50; ok == c.planted {
+			if ok := fraction >= 0.25 && len(ss) > 50; ok == c.mutated {
 				t.Errorf("%s, seed %d: %.3f of %d queries are served from 12 s after the return on", c.name, seed, fraction, len(ss))
 			}
 			for _, b := range v.Violations {
-				if !c.planted {
+				if !c.mutated {
 					t.Errorf("%s, seed %d: %s", c.name, seed, b)
 				}
 			}
--- a/emulator/simulation/network.go
+++ b/emulator/simulation/network.go
@@ -49,7 +49,7 @@
 	n.partitioned[[2]string{from, to}] = broken
 }
 
-// Faulty says whether any direction from or to an address is broken.
+// Faulty reports whether any direction from or to an address is broken.
 func (n *Network) Faulty(address string) bool {
 	for k, broken := range n.partitioned {
 		if broken && (k[0] == address || k[1] == address) {
@@ -62,7 +62,7 @@
 // Repair ends every partition.
 func (n *Network) Repair() { n.partitioned = map[[2]string]bool{} }
 
-// Reaches says whether one direction works.
+// Reaches reports whether one direction works.
 func (n *Network) Reaches(from, to string) bool { return !n.partitioned[[2]string{from, to}] }
 
 // Delay draws how long one direction takes.
--- a/emulator/simulation/node_process.go
+++ b/emulator/simulation/node_process.go
@@ -172,7 +172,7 @@
 	drainPeriodUs       = 7_000_000
 )
 
-// HasLease says whether a node has leases on connections to every group's primary now.
+// HasLease reports whether a node has leases on connections to every group's primary now.
 func (f *Fleet) HasLease(i int) bool {
 	n := f.Nodes[i]
 	for _, g := range f.Plan.Groups {
--- a/emulator/simulation/node_request.go
+++ b/emulator/simulation/node_request.go
@@ -43,7 +43,7 @@
 // lost ends the wait without a reply.
 func (r *nodeRequest) lost() { r.end(querytable.Reply{Code: -1, Outcome: result.Uncertain}) }
 
-// nodeEnded says whether the run of the node that the request was sent to is over.
+// nodeEnded reports whether the run of the node that the request was sent to is over.
 func (r *nodeRequest) nodeEnded() bool { return !r.node.up || r.node.generation != r.generation }
 
 // arrive hands the event to the node, if that still runs.
--- a/emulator/simulation/observe.go
+++ b/emulator/simulation/observe.go
@@ -54,7 +54,7 @@
 }
 
 // observeControl records an effect of a control process at its edge: questions to
-// databases, what is asked of the platform, and answers to operators.
+// databases, requests to the platform, and responses to operators.
 func (f *Fleet) observeControl(c *controlProcess, effect any) {
 	o, name := f.Plan.Observe, c.boot.Name
 	if o == nil {
--- a/emulator/simulation/random_faults.go
+++ b/emulator/simulation/random_faults.go
@@ -29,7 +29,7 @@
 // the loss of another database.
 const maxReplicaLag = 50
 
-// groupHasRedundancy says whether all three databases of a group are up and the members
+// groupHasRedundancy reports whether all three databases of a group are up and the members
 // that its register names, so that one may be lost.
 func (f *Fleet) groupHasRedundancy(g string) bool {
 	p := f.Primary(g)
@@ -57,7 +57,7 @@
 	return true
 }
 
-// controlsHealthy says whether all control processes run and vote.
+// controlsHealthy reports whether all control processes run and vote.
 func (f *Fleet) controlsHealthy() bool {
 	for _, c := range f.Controls {
 		if !c.up || c.frozen || c.draining || !c.core.Voting() {
--- a/emulator/simulation/replacement_test.go
+++ b/emulator/simulation/replacement_test.go
@@ -10,7 +10,7 @@
 	"stoneford/result"
 )
 
-// replaced books the replacement of a group's copy for now and confirms it.
+// replaced schedules the replacement of a database for now and confirms it.
 func replaced(t *testing.T, f *simulation.Fleet, db, owner string) uint64 {
 	a := booked(f, owner, fmt.Sprintf("book %s for replacement at %s", db, clock(f, 0)))
 	if a.Code != result.OK || len(a.Windows) != 1 {
@@ -22,18 +22,18 @@
 	return a.Windows[0].Id
 }
 
-// TestReplacementToleratesALoss: at each moment of a replica's booked replacement
-// the other replica stands still for a while and the primary, or that replica,
-// is lost for good, while the platform is slow. Nothing acknowledged goes and
-// the group serves again. The plant has the platform act before it is asked.
+// TestReplacementToleratesALoss: at each moment of a replica's scheduled replacement the
+// other replica receives nothing for a while and the primary, or that replica, is lost for
+// good, while the platform is slow. Nothing acknowledged is lost, and the group serves
+// afterwards. With the mutation the platform acts before it is requested to.
 func TestReplacementToleratesALoss(t *testing.T) {
 	var mu sync.Mutex
 	states, red := map[string]int{}, 0
 	runSeeds(48, 0, func(i uint64) {
-		plant := i >= 40
+		mutated := i >= 40
 		p := plan(i)
 		p.MorePartners, p.Sessions = nil, 24
-		if plant {
+		if mutated {
 			p.Mutation = simulation.UnrequestedReplacement
 		}
 		f := simulation.NewFleet(p)
@@ -61,19 +61,19 @@
 		v := f.Finish()
 		mu.Lock()
 		defer mu.Unlock()
-		if plant && len(v.Violations) > 0 {
+		if mutated && len(v.Violations) > 0 {
 			red++
 		}
 		for _, b := range v.Violations[:min(3, len(v.Violations))] {
-			if !plant {
+			if !mutated {
 				t.Errorf("%d00 ms, %s lost: %s", i%20, victim, b)
 			}
 		}
-		if b := maintenance.Find(f.Calendar(), id); !plant && b.GetState() != maintenance.Done {
+		if b := maintenance.Find(f.Calendar(), id); !mutated && b.GetState() != maintenance.Done {
 			t.Errorf("%d00 ms, %s lost: the booking ends as %v", i%20, victim, b)
 		}
 	})
-	t.Logf("states in which the loss came: %v; seen with the plant: %d of 8", states, red)
+	t.Logf("states in which the loss came: %v; seen with the mutation: %d of 8", states, red)
 	if red == 0 {
 		t.Error("a platform that acts unasked is not seen")
 	}
--- a/emulator/site-move/move.go
+++ b/emulator/site-move/move.go
@@ -88,7 +88,7 @@
 	return m, nil
 }
 
-// submit requests the move, and says whether it is accepted.
+// submit requests the move, and reports whether it is accepted.
 func (w *siteMove) submit(ctx context.Context, m *moveResult) bool {
 	r, err := w.requestMove(ctx, http.MethodPost, coordinator.MoveRequest{Group: group, Site: m.To})
 	m.Table = r.Table
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// kill ends a control process without a word to the others.
+// kill ends a control process; the others hear nothing of it.
 func (c *control) kill() {
 	c.process.Load().SetLinksBroken(true)
 	c.stop()
--- a/emulator/whatif/change.go
+++ b/emulator/whatif/change.go
@@ -15,7 +15,7 @@
 	"stoneford/language"
 )
 
-// Change is one thing that is asked about: it changes the scenario before its start, or
+// Change is one change of a deployment: it changes the scenario before its start, or
 // happens in the running fleet at the scenario's time.
 type Change struct {
 	Text   string                                   // as it was parsed
@@ -23,7 +23,7 @@
 	inject func(*simulation.Fleet, *Scenario) error // at its time
 }
 
-// Help lists what can be asked.
+// Help lists the changes.
 const Help = `NAME out               a database, by its name or in words: the Cluj replica of inventory-1
 zone ZONE gone         every process and database in a zone
 half the connections   or: connections N
