--- a/failover/fenced/lease.go
+++ b/failover/fenced/lease.go
@@ -88,7 +88,7 @@
 	lease.mayCommand = mayCommand
 }
 
-// checkAcknowledged says whether this run of this process is the committed owner.
+// ownsRole says whether this run of this process is the committed owner.
 func (input Input) ownsRole() bool {
 	return input.Revision > 0 && input.State.RoleOwner == input.Role.Self && input.State.RoleOwnerRun == input.Role.Run
 }
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -1,5 +1,6 @@
-// Package coordinator is the control plane where databases announce themselves
-// (design 14 to 18). Each control process is a voter of the Paxos registers, keeps the
+// Package coordinator is the control plane of the users' platform, where databases
+// announce themselves (design 14 to 18; the control plane of our own interface is
+// package control). Each control process is a voter of the Paxos registers, keeps the
 // mergeable records of the announced databases, decides operators' changes of the
 // routing table, and, for the groups whose singleton role it owns, carries out the
 // changes of primary that package failover/fenced decides.
@@ -23,6 +24,14 @@
 //   - A group's primary moves to another site only after every process that may have a
 //     lease works by the routing table that orders it (convergence.go, moves.go).
 //
+// # Files
+//
+// Start with event.go, effect.go and core.go (Step); then announcements.go and
+// databases.go (databases), changes.go (routing table), group.go and groupinput.go
+// (changes of primary), polls.go and updates.go (learners). Moves between sites stand in
+// moves.go (the core), moverequests.go (operators' requests), movehandlers.go (HTTP) and
+// movestate.go (what operators see).
+//
 // # Use
 //
 // One goroutine calls a Core: Start once, then Step with the events that arrived, and
--- a/internal/coordinator/freeze.go
+++ b/internal/coordinator/freeze.go
@@ -102,6 +102,7 @@
 	if p == nil {
 		return false
 	}
+	// In the status of a voter, idle says that the freeze is cleared there.
 	status := p.groupStatuses[name]
 	return status.GetIdle() && status.Revision >= revision
 }
--- a/internal/coordinator/outgoingcalls.go
+++ b/internal/coordinator/outgoingcalls.go
@@ -47,7 +47,7 @@
 		// One that rejects a connection, because it has too many, is present.
 		reply.Err, reply.Absent = err.Error(), code == ports.Done && !isTimeout(err)
 	case code != ports.Done:
-		reply.Err = "the database bounced it"
+		reply.Err = "the database rejected it"
 	}
 	p.post(DatabaseReply{Group: effect.Group, Reply: reply})
 }
--- a/internal/learner/unconfirmed.go
+++ b/internal/learner/unconfirmed.go
@@ -119,7 +119,7 @@
 	}
 	for key, since := range l.unconfirmed.since {
 		if now-max(since, l.lease.disconnectedAt) >= maxLearnDelay.Microseconds() && l.majorityHasNewer(key) {
-			l.invariants.Violated(invariant.LearnedTooLate, "in doubt for %d ms: %s", (now-since)/1000, l.DescribeRegister(now, key))
+			l.invariants.Violated(invariant.LearnedTooLate, "unconfirmed for %d ms: %s", (now-since)/1000, l.DescribeRegister(now, key))
 		}
 	}
 }
--- a/internal/querytable/doc.go
+++ b/internal/querytable/doc.go
@@ -1,4 +1,5 @@
-// Package querytable holds one group's sessions, queries and connections in a table
+// Package querytable is the data plane of a pool node of our own interface (that of the
+// users' platform is package sessiontable). It holds one group's sessions, queries and connections in a table
 // over which passes are run (design 7). It decides where each query runs, when it may
 // start and when its reply may be sent.
 //
--- a/internal/sessionpool/contact.go
+++ b/internal/sessionpool/contact.go
@@ -24,14 +24,14 @@
 // logContact logs that no majority has confirmed for long what the node works by, with
 // what is known of each voter, and when that is over.
 func (c *Core) logContact(now int64, effects *Effects) {
-	until := c.view.LeaseUntil()
+	until := c.learner.LeaseUntil()
 	switch {
 	case now < until && c.contact.lost:
 		c.contact.lost = false
 		c.logf(effects, result.QuorumContactRestored, "after %d ms", (now-c.contact.lostSinceUs)/1000)
 	case now >= until+contactLostAfter.Microseconds() && until > 0 && !c.contact.lost:
 		c.contact.lost, c.contact.lostSinceUs = true, until
-		c.logf(effects, result.QuorumContactLost, "the lease was over %d ms ago; %s", (now-until)/1000, c.view.DescribeRegister(now, learner.TableKey))
+		c.logf(effects, result.QuorumContactLost, "the lease was over %d ms ago; %s", (now-until)/1000, c.learner.DescribeRegister(now, learner.TableKey))
 	}
 }
 
@@ -48,14 +48,14 @@
 
 // recordNewerTable notes since when a voter is known to have a newer routing table.
 func (c *Core) recordNewerTable(now int64) {
-	if c.contact.newerTableSeenUs == 0 && c.view.Unconfirmed(learner.TableKey) {
+	if c.contact.newerTableSeenUs == 0 && c.learner.Unconfirmed(learner.TableKey) {
 		c.contact.newerTableSeenUs = now
 	}
 }
 
 // logViolations logs the invariants that were violated for the first time.
 func (c *Core) logViolations(effects *Effects) {
-	for _, checks := range []*invariant.Checks{&c.checks, c.view.Checks(), c.Table.Checks()} {
+	for _, checks := range []*invariant.Checks{&c.checks, c.learner.Checks(), c.Table.Checks()} {
 		for _, v := range checks.TakeNew() {
 			c.logf(effects, result.InvariantBroken, "%s: %s", v.Rule, v.Detail)
 		}
@@ -64,7 +64,7 @@
 
 // Violations counts the violations of invariants in this run, by rule.
 func (c *Core) Violations() map[string]int64 {
-	return invariant.Merge(c.checks.Counts(), c.view.Checks().Counts(), c.Table.Checks().Counts())
+	return invariant.Merge(c.checks.Counts(), c.learner.Checks().Counts(), c.Table.Checks().Counts())
 }
 
 // logf adds an entry for the process's log.
--- a/internal/sessionpool/core.go
+++ b/internal/sessionpool/core.go
@@ -17,7 +17,7 @@
 	// Table are the sessions and connections.
 	Table *sessiontable.Table
 
-	view          *learner.Learner
+	learner       *learner.Learner
 	table         ports.RoutingTable // in force
 	tableRevision uint64             // of table, in its register
 	leaseUntil    int64
@@ -75,14 +75,14 @@
 	options.RoutingGrace = cmp.Or(options.RoutingGrace, fromMicroseconds(routingGraceUs(config.Bounds.ApplyUs)))
 	return &Core{
 		Table: sessiontable.New(seed, config.Zone, options),
-		view: learner.New(learner.Config{
+		learner: learner.New(learner.Config{
 			Self: config.PoolNodeAddress(), Contacts: config.SeedVoterAddresses(), Zone: config.Zone, Name: config.Name, Kind: "pool", Run: run,
 		}),
 	}
 }
 
 // Due is when the next Tick is needed, in µs of the node's clock.
-func (c *Core) Due() int64 { return min(c.Table.Due(), c.view.Due()) }
+func (c *Core) Due() int64 { return min(c.Table.Due(), c.learner.Due()) }
 
 // Step hands events to the session table, and then does what is due.
 func (c *Core) Step(now int64, events ...sessiontable.Event) Effects {
@@ -90,7 +90,7 @@
 	for _, event := range events {
 		if _, ok := event.(sessiontable.Drain); ok {
 			c.draining = true
-			c.view.RequestPoll()
+			c.learner.RequestPoll()
 		}
 		c.stepTable(now, &effects, event)
 	}
@@ -103,7 +103,7 @@
 func (c *Core) Receive(now int64, envelope *schema.Envelope) Effects {
 	var effects Effects
 	if body, ok := envelope.Body.(*schema.Envelope_PollResponse); ok {
-		c.view.Step(now, envelope.From, body.PollResponse)
+		c.learner.Step(now, envelope.From, body.PollResponse)
 		c.applyLearned(now, &effects)
 	}
 	c.doDue(now, &effects)
@@ -116,10 +116,10 @@
 		c.stepTable(now, effects, sessiontable.Tick{})
 	}
 	if c.Table.Changed() {
-		c.view.RequestPoll()
+		c.learner.RequestPoll()
 	}
-	if now >= c.view.Due() {
-		effects.Send = c.view.Tick(now, func() learner.Report { return c.report(now) })
+	if now >= c.learner.Due() {
+		effects.Send = c.learner.Tick(now, func() learner.Report { return c.report(now) })
 		c.logContact(now, effects)
 		c.logViolations(effects)
 	}
@@ -129,7 +129,7 @@
 func (c *Core) stepTable(now int64, effects *Effects, event sessiontable.Event) {
 	for _, effect := range c.Table.Step(now, event) {
 		if _, ok := effect.(sessiontable.RenewLease); ok {
-			c.view.RequestPoll()
+			c.learner.RequestPoll()
 			continue
 		}
 		effects.Table = append(effects.Table, effect)
--- a/internal/sessionpool/doc.go
+++ b/internal/sessionpool/doc.go
@@ -1,4 +1,5 @@
-// Package sessionpool is a pool node in front of databases that announce themselves.
+// Package sessionpool is a pool node of the users' platform, in front of databases that
+// announce themselves (the pool node of our own interface is package pool).
 //
 // Core is the deterministic part: a session table (package sessiontable) that works by
 // what a learner (package learner) learned from the voters. It takes session events by
--- a/internal/sessionpool/learn.go
+++ b/internal/sessionpool/learn.go
@@ -16,28 +16,28 @@
 // The voters learn by a poll at once that this node works by a new routing table or a new
 // leadership, since a move or a change of primary may wait for that.
 func (c *Core) applyLearned(now int64, effects *Effects) {
-	keys, databasesChanged := c.view.TakeChanges()
+	keys, databasesChanged := c.learner.TakeChanges()
 	c.recordNewerTable(now)
 	var update sessiontable.Update
 	tableChanged := slices.Contains(keys, learner.TableKey) && c.adoptTable()
 	if tableChanged {
 		update.Table = &c.table
 		c.logTable(now, effects)
-		c.view.RequestPoll()
+		c.learner.RequestPoll()
 	}
 	leadershipChanged := slices.ContainsFunc(keys, func(key string) bool { return strings.HasPrefix(key, learner.LeaderPrefix) })
 	if tableChanged || leadershipChanged {
 		update.Groups = c.groupStates()
-		c.view.RequestPoll()
+		c.learner.RequestPoll()
 	}
 	if databasesChanged || leadershipChanged {
 		update.Instances = c.instances()
 	}
 	changed := tableChanged || leadershipChanged || databasesChanged
-	if nodes := c.view.PoolNodes(); nodes != c.nodes {
+	if nodes := c.learner.PoolNodes(); nodes != c.nodes {
 		c.nodes, changed = nodes, true
 	}
-	if leaseUntil := c.view.LeaseUntil(); leaseUntil != c.leaseUntil {
+	if leaseUntil := c.learner.LeaseUntil(); leaseUntil != c.leaseUntil {
 		c.leaseUntil, changed = leaseUntil, true
 	}
 	if changed {
@@ -49,7 +49,7 @@
 // adoptTable puts the newest committed routing table into force, if it is newer than the
 // one in force.
 func (c *Core) adoptTable() bool {
-	committed, ok := c.view.Committed(learner.TableKey)
+	committed, ok := c.learner.Committed(learner.TableKey)
 	if !ok || committed.Revision <= c.tableRevision {
 		return false
 	}
@@ -68,11 +68,11 @@
 func (c *Core) groupStates() map[string]sessiontable.GroupState {
 	states := map[string]sessiontable.GroupState{}
 	c.phases = map[string]ports.Phase{}
-	for name, leadership := range c.view.Leaderships() {
+	for name, leadership := range c.learner.Leaderships() {
 		c.phases[name] = leadership.Phase
 		states[name] = sessiontable.GroupState{
 			Leadership:  leadership,
-			Unconfirmed: c.view.Unconfirmed(learner.LeaderPrefix + name),
+			Unconfirmed: c.learner.Unconfirmed(learner.LeaderPrefix + name),
 			Withheld:    leadership.TableRevision > c.tableRevision,
 		}
 	}
@@ -83,11 +83,11 @@
 // announced yet: when all control processes have just started they know of the registers
 // alone. It is not nil, which would stand for no change.
 func (c *Core) instances() []ports.Instance {
-	instances := append([]ports.Instance{}, c.view.Instances()...)
-	for name, leadership := range c.view.Leaderships() {
+	instances := append([]ports.Instance{}, c.learner.Instances()...)
+	for name, leadership := range c.learner.Leaderships() {
 		id := leadership.Primary
 		isAnnounced := slices.ContainsFunc(instances, func(i ports.Instance) bool { return i.ID == id })
-		if id != "" && leadership.Address != "" && !c.view.Gone(id) && !isAnnounced {
+		if id != "" && leadership.Address != "" && !c.learner.Gone(id) && !isAnnounced {
 			instances = append(instances, ports.Instance{ID: id, Group: name, Address: leadership.Address, Primary: true})
 		}
 	}
--- a/internal/sessionpool/report.go
+++ b/internal/sessionpool/report.go
@@ -25,8 +25,8 @@
 // its revision: it knows that one is coming, and nothing depends on an older one.
 func (c *Core) groupStatus(status sessiontable.GroupStatus) *schema.GroupStatus {
 	revision, idle := status.Revision, status.Quiescent && c.phases[status.Group] != ports.PhaseServing
-	if key := learner.LeaderPrefix + status.Group; c.view.Unconfirmed(key) {
-		revision, idle = c.view.HighestSeen(key), false
+	if key := learner.LeaderPrefix + status.Group; c.learner.Unconfirmed(key) {
+		revision, idle = c.learner.HighestSeen(key), false
 	}
 	return &schema.GroupStatus{
 		Group:       status.Group,
--- a/internal/sessiontable/doc.go
+++ b/internal/sessiontable/doc.go
@@ -1,5 +1,6 @@
-// Package sessiontable is the data plane of a pool node in front of databases that
-// announce themselves (design 14.8 to 14.11).
+// Package sessiontable is the data plane of a pool node of the users' platform, in front
+// of databases that announce themselves (design 14.8 to 14.11; that of our own interface
+// is package querytable).
 //
 // A Table holds the callers' sessions and the connections to the databases, and
 // decides for each statement where and when it runs:
--- a/internal/sessiontable/options.go
+++ b/internal/sessiontable/options.go
@@ -2,7 +2,9 @@
 
 import "time"
 
-// Options bound what a Table does. A zero value takes the default.
+// Options bound what a Table does. A zero value takes the default. Package
+// sessionpool sets Lease, ReadyGrace and RoutingGrace from the learner's lease and the
+// platform's bounds.
 type Options struct {
 	// Lease is how long a node may rely on what it learned from the voters. Default 1 s.
 	Lease time.Duration
--- a/internal/sessiontable/table.go
+++ b/internal/sessiontable/table.go
@@ -40,7 +40,7 @@
 	timers             timerQueue
 	changedQueues      []*database         // to be dispatched at the end of the step
 	touchedConnections []*connection       // to be checked at the end of the step
-	candidates         []freshness.Replica // reused by assignReplica
+	candidates         []freshness.Replica // reused by readCandidates
 
 	running          int // statements at databases
 	waiting          int // statements in queues
