--- a/emulator/callers/callers.go
+++ b/emulator/callers/callers.go
@@ -192,11 +192,11 @@
 
 // statements are statements without parameters.
 func statements(ts ...string) []querytable.Statement {
-	var ss []querytable.Statement
+	var statements []querytable.Statement
 	for _, t := range ts {
-		ss = append(ss, querytable.Statement{Text: t})
+		statements = append(statements, querytable.Statement{Text: t})
 	}
-	return ss
+	return statements
 }
 
 // query is the body of a query to a pool node.
@@ -231,17 +231,17 @@
 	if err != nil {
 		return reply{}, err
 	}
-	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(b))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(b))
 	if err != nil {
 		return reply{}, err
 	}
-	rs, err := s.runner.client.Do(rq)
+	response, err := s.runner.client.Do(request)
 	if err != nil {
 		return reply{}, err
 	}
-	defer rs.Body.Close()
+	defer response.Body.Close()
 	var v reply
-	return v, json.NewDecoder(rs.Body).Decode(&v)
+	return v, json.NewDecoder(response.Body).Decode(&v)
 }
 
 // open opens a session on some ready node, with the token of the one before.
--- a/emulator/checker/checker.go
+++ b/emulator/checker/checker.go
@@ -112,11 +112,11 @@
 func (c *Checker) ReadExpectation(route string, rows ...string) []ObservedRow {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ss := make([]ObservedRow, len(rows))
+	observed := make([]ObservedRow, len(rows))
 	for i, r := range rows {
-		ss[i] = ObservedRow{Row: r, Acknowledged: c.acknowledged[route][r]}
+		observed[i] = ObservedRow{Row: r, Acknowledged: c.acknowledged[route][r]}
 	}
-	return ss
+	return observed
 }
 
 // RecordRead notes what a read showed of the rows it was sent for: the values of its
--- a/emulator/databasereplica/replica.go
+++ b/emulator/databasereplica/replica.go
@@ -96,147 +96,149 @@
 }
 
 // Restore takes the state and the log from disk and applies all of it.
-func (c *Replica) Restore(k PersistentState, log []LogEntry) {
-	c.PersistentState, c.log = k, slices.Clone(log)
-	c.rows, c.applied = map[string]map[string]int64{}, 0
-	c.Apply(int64(len(c.log)))
+func (db *Replica) Restore(k PersistentState, log []LogEntry) {
+	db.PersistentState, db.log = k, slices.Clone(log)
+	db.rows, db.applied = map[string]map[string]int64{}, 0
+	db.Apply(int64(len(db.log)))
 }
 
 // role is primary, replica or sealed.
-func (c *Replica) role() string {
+func (db *Replica) role() string {
 	switch {
-	case c.Primary:
+	case db.Primary:
 		return "primary"
-	case c.Following != "":
+	case db.Following != "":
 		return "replica"
 	}
 	return "sealed"
 }
 
 // Received is the position of the newest commit in the log.
-func (c *Replica) Received() int64 { return int64(len(c.log)) }
+func (db *Replica) Received() int64 { return int64(len(db.log)) }
 
 // Applied is the position up to which rows show the log.
-func (c *Replica) Applied() int64 { return c.applied }
+func (db *Replica) Applied() int64 { return db.applied }
 
 // LogEpoch is the epoch of the newest commit in the log.
-func (c *Replica) LogEpoch() uint64 { return c.epochAt(c.Received()) }
+func (db *Replica) LogEpoch() uint64 { return db.epochAt(db.Received()) }
 
-func (c *Replica) epochAt(p int64) uint64 {
-	if p < 1 || p > int64(len(c.log)) {
+func (db *Replica) epochAt(p int64) uint64 {
+	if p < 1 || p > int64(len(db.log)) {
 		return 0
 	}
-	return c.log[p-1].Epoch
+	return db.log[p-1].Epoch
 }
 
 // Log is the part of the log behind a position.
-func (c *Replica) Log(after int64) []LogEntry { return slices.Clone(c.log[min(after, c.Received()):]) }
+func (db *Replica) Log(after int64) []LogEntry {
+	return slices.Clone(db.log[min(after, db.Received()):])
+}
 
 // Status is the replica's status, as the interface returns it.
-func (c *Replica) Status() Status {
-	return Status{Database: c.Name, Identity: c.Identity, Role: c.role(), Epoch: c.Epoch, LogEpoch: c.LogEpoch(),
-		Received: c.Received(), Applied: c.applied, Following: c.Following, Draining: c.Draining, Health: "ok"}
+func (db *Replica) Status() Status {
+	return Status{Database: db.Name, Identity: db.Identity, Role: db.role(), Epoch: db.Epoch, LogEpoch: db.LogEpoch(),
+		Received: db.Received(), Applied: db.applied, Following: db.Following, Draining: db.Draining, Health: "ok"}
 }
 
 // Seal makes the replica reject the log and the statements of lower epochs. It returns
 // false if the replica has a role in that epoch or a higher one.
-func (c *Replica) Seal(e uint64) bool {
-	if e < c.Epoch || e == c.Epoch && (c.Primary || c.Following != "") {
+func (db *Replica) Seal(e uint64) bool {
+	if e < db.Epoch || e == db.Epoch && (db.Primary || db.Following != "") {
 		return false
 	}
-	if e > c.Epoch {
-		c.Epoch, c.Primary, c.Following = e, false, ""
-		c.dropConnections()
+	if e > db.Epoch {
+		db.Epoch, db.Primary, db.Following = e, false, ""
+		db.dropConnections()
 	}
 	return true
 }
 
 // Promote makes the replica the primary of an epoch, if it has the identity, which may be
 // empty for any. The first commit of an epoch is an empty one.
-func (c *Replica) Promote(e uint64, identity string, atUs int64) bool {
-	if identity != "" && identity != c.Identity {
+func (db *Replica) Promote(e uint64, identity string, atUs int64) bool {
+	if identity != "" && identity != db.Identity {
 		return false
 	}
-	if e == c.Epoch && c.Primary {
+	if e == db.Epoch && db.Primary {
 		return true
 	}
-	if e < c.Epoch || e == c.Epoch && c.Following != "" {
+	if e < db.Epoch || e == db.Epoch && db.Following != "" {
 		return false
 	}
-	c.Epoch, c.Primary, c.Following = e, true, ""
-	c.dropConnections()
-	c.Apply(c.Received())
-	c.log = append(c.log, LogEntry{Epoch: e, AtUs: atUs})
-	c.Apply(c.Received())
+	db.Epoch, db.Primary, db.Following = e, true, ""
+	db.dropConnections()
+	db.Apply(db.Received())
+	db.log = append(db.log, LogEntry{Epoch: e, AtUs: atUs})
+	db.Apply(db.Received())
 	return true
 }
 
 // Follow makes the replica follow an epoch's primary, which is named by its address.
-func (c *Replica) Follow(e uint64, primary string) bool {
-	if e < c.Epoch || e == c.Epoch && (c.Primary || c.Following != "" && c.Following != primary) {
+func (db *Replica) Follow(e uint64, primary string) bool {
+	if e < db.Epoch || e == db.Epoch && (db.Primary || db.Following != "" && db.Following != primary) {
 		return false
 	}
-	if e > c.Epoch {
-		c.dropConnections()
+	if e > db.Epoch {
+		db.dropConnections()
 	}
-	c.Epoch, c.Primary, c.Following = e, false, primary
+	db.Epoch, db.Primary, db.Following = e, false, primary
 	return true
 }
 
-func (c *Replica) dropConnections() { c.connections = map[int64]*connection{} }
+func (db *Replica) dropConnections() { db.connections = map[int64]*connection{} }
 
 // LogFor is the log behind a position for a replica whose entry there has afterEpoch. Where
 // the two logs diverge before that, back is the position to fetch from instead; else it is
 // -1. ok is false if this is not the primary of the epoch.
-func (c *Replica) LogFor(epoch uint64, after int64, afterEpoch uint64, limit int) (es []LogEntry, back int64, ok bool) {
-	if !c.Primary || epoch != c.Epoch {
+func (db *Replica) LogFor(epoch uint64, after int64, afterEpoch uint64, limit int) (entries []LogEntry, back int64, ok bool) {
+	if !db.Primary || epoch != db.Epoch {
 		return nil, -1, false
 	}
-	if after > c.Received() || c.epochAt(after) != afterEpoch {
-		b := min(after, c.Received()+1) - 1
-		for b > 0 && c.epochAt(b) > afterEpoch {
+	if after > db.Received() || db.epochAt(after) != afterEpoch {
+		b := min(after, db.Received()+1) - 1
+		for b > 0 && db.epochAt(b) > afterEpoch {
 			b--
 		}
 		return nil, max(b, 0), true
 	}
-	es = c.log[after:]
-	return slices.Clone(es[:min(len(es), limit)]), -1, true
+	entries = db.log[after:]
+	return slices.Clone(entries[:min(len(entries), limit)]), -1, true
 }
 
 // EpochAt is the epoch of the commit at a position, 0 if there is none.
-func (c *Replica) EpochAt(p int64) uint64 { return c.epochAt(p) }
+func (db *Replica) EpochAt(p int64) uint64 { return db.epochAt(p) }
 
 // AppendLog appends entries of an epoch's primary behind a position, after truncating what
 // the primary does not have.
-func (c *Replica) AppendLog(epoch uint64, after int64, es []LogEntry) (truncated, ok bool) {
-	if c.Primary || c.Following == "" || epoch != c.Epoch || after > c.Received() {
+func (db *Replica) AppendLog(epoch uint64, after int64, entries []LogEntry) (truncated, ok bool) {
+	if db.Primary || db.Following == "" || epoch != db.Epoch || after > db.Received() {
 		return false, false
 	}
-	for i, e := range es {
+	for i, e := range entries {
 		p := after + int64(i) + 1
-		if p <= c.Received() && c.epochAt(p) == e.Epoch {
+		if p <= db.Received() && db.epochAt(p) == e.Epoch {
 			continue
 		}
-		if p <= c.Received() {
-			c.log = slices.Clone(c.log[:p-1])
+		if p <= db.Received() {
+			db.log = slices.Clone(db.log[:p-1])
 			truncated = true
-			if c.applied >= p {
-				c.rows, c.applied = map[string]map[string]int64{}, 0
-				c.Apply(p - 1)
+			if db.applied >= p {
+				db.rows, db.applied = map[string]map[string]int64{}, 0
+				db.Apply(p - 1)
 			}
 		}
-		c.log = append(c.log, e)
+		db.log = append(db.log, e)
 	}
 	return truncated, true
 }
 
 // Apply shows the log up to a position in the rows.
-func (c *Replica) Apply(until int64) {
-	for c.applied < min(until, c.Received()) {
-		for _, w := range c.log[c.applied].Writes {
-			applyWrite(c.rows, w)
+func (db *Replica) Apply(until int64) {
+	for db.applied < min(until, db.Received()) {
+		for _, w := range db.log[db.applied].Writes {
+			applyWrite(db.rows, w)
 		}
-		c.applied++
+		db.applied++
 	}
 }
 
@@ -257,30 +259,30 @@
 
 // Open opens a connection, within the limit. A new run of an owner closes the connections
 // of its earlier runs, and earlier runs open none any more.
-func (c *Replica) Open(owner string, run uint64, atUs int64) (int64, bool) {
-	if run < c.newestRuns[owner] {
+func (db *Replica) Open(owner string, run uint64, atUs int64) (int64, bool) {
+	if run < db.newestRuns[owner] {
 		return 0, false
 	}
-	if run > c.newestRuns[owner] {
-		c.newestRuns[owner] = run
-		maps.DeleteFunc(c.connections, func(_ int64, n *connection) bool { return n.owner == owner })
+	if run > db.newestRuns[owner] {
+		db.newestRuns[owner] = run
+		maps.DeleteFunc(db.connections, func(_ int64, n *connection) bool { return n.owner == owner })
 	}
-	if len(c.connections) >= c.ConnectionLimit {
-		maps.DeleteFunc(c.connections, func(_ int64, n *connection) bool { return atUs-n.usedUs > idleCloseUs })
+	if len(db.connections) >= db.ConnectionLimit {
+		maps.DeleteFunc(db.connections, func(_ int64, n *connection) bool { return atUs-n.usedUs > idleCloseUs })
 	}
-	if len(c.connections) >= c.ConnectionLimit {
+	if len(db.connections) >= db.ConnectionLimit {
 		return 0, false
 	}
-	c.lastConnection++
-	c.connections[c.lastConnection] = &connection{owner: owner, usedUs: atUs, values: map[string]string{}, prepared: map[string]string{}}
-	return c.lastConnection, true
+	db.lastConnection++
+	db.connections[db.lastConnection] = &connection{owner: owner, usedUs: atUs, values: map[string]string{}, prepared: map[string]string{}}
+	return db.lastConnection, true
 }
 
 // Close ends a connection; an open transaction is rolled back.
-func (c *Replica) Close(id int64) { delete(c.connections, id) }
+func (db *Replica) Close(id int64) { delete(db.connections, id) }
 
 // Connections is the number of open connections.
-func (c *Replica) Connections() int { return len(c.connections) }
+func (db *Replica) Connections() int { return len(db.connections) }
 
 // Reasons to reject a run before anything of it is executed.
 const (
@@ -291,30 +293,30 @@
 
 // Run executes operations on a connection, in order, up to the first that fails. refused is
 // the reason where it rejects all of them.
-func (c *Replica) Run(id int64, epoch uint64, ops []Operation, readOnly bool, atUs int64) (rs []Result, refused string) {
-	n := c.connections[id]
+func (db *Replica) Run(id int64, epoch uint64, ops []Operation, readOnly bool, atUs int64) (results []Result, refused string) {
+	n := db.connections[id]
 	if n == nil {
 		return nil, RejectedConnection
 	}
 	n.usedUs = atUs
-	if epoch != c.Epoch {
+	if epoch != db.Epoch {
 		return nil, RejectedEpoch
 	}
-	if c.role() == "sealed" {
+	if db.role() == "sealed" {
 		return nil, RejectedRole
 	}
 	for _, o := range ops {
-		r := c.runOperation(n, o, readOnly, atUs)
-		rs = append(rs, r)
+		r := db.runOperation(n, o, readOnly, atUs)
+		results = append(results, r)
 		if r.Error != "" {
 			break
 		}
 	}
-	return rs, ""
+	return results, ""
 }
 
 // runOperation executes one operation.
-func (c *Replica) runOperation(n *connection, o Operation, readOnly bool, atUs int64) Result {
+func (db *Replica) runOperation(n *connection, o Operation, readOnly bool, atUs int64) Result {
 	switch o.Op {
 	case "reset":
 		*n = connection{owner: n.owner, usedUs: n.usedUs, values: map[string]string{}, prepared: map[string]string{}}
@@ -336,9 +338,9 @@
 		if !n.inTransaction {
 			return Result{Error: "no transaction is open"}
 		}
-		ws := n.pending
+		writes := n.pending
 		n.inTransaction, n.pending = false, nil
-		return c.commit(ws, atUs)
+		return db.commit(writes, atUs)
 	case "statement":
 		t := o.Text
 		if o.Prepared != "" {
@@ -347,18 +349,18 @@
 				return Result{Error: "no such prepared name: " + o.Prepared}
 			}
 		}
-		r, ws := c.statement(n, t, o.Params)
-		if r.Error != "" || len(ws) == 0 {
+		r, writes := db.statement(n, t, o.Params)
+		if r.Error != "" || len(writes) == 0 {
 			return r
 		}
-		if readOnly || !c.Primary {
+		if readOnly || !db.Primary {
 			return Result{Error: "a write in a read-only run"}
 		}
 		if n.inTransaction {
-			n.pending = append(n.pending, ws...)
+			n.pending = append(n.pending, writes...)
 			return r
 		}
-		k := c.commit(ws, atUs)
+		k := db.commit(writes, atUs)
 		k.Rows = r.Rows
 		return k
 	default:
@@ -368,54 +370,54 @@
 }
 
 // commit appends writes to the log and applies them.
-func (c *Replica) commit(ws []Write, atUs int64) Result {
-	if len(ws) == 0 {
+func (db *Replica) commit(writes []Write, atUs int64) Result {
+	if len(writes) == 0 {
 		return Result{}
 	}
-	if !c.Primary {
+	if !db.Primary {
 		return Result{Error: "not the primary"}
 	}
-	c.log = append(c.log, LogEntry{Epoch: c.Epoch, Writes: ws, AtUs: atUs})
-	c.Apply(c.Received())
-	rs := map[string]bool{}
-	for _, w := range ws {
-		rs[w.Relation] = true
+	db.log = append(db.log, LogEntry{Epoch: db.Epoch, Writes: writes, AtUs: atUs})
+	db.Apply(db.Received())
+	results := map[string]bool{}
+	for _, w := range writes {
+		results[w.Relation] = true
 	}
-	return Result{Position: c.Received(), Tuples: int64(len(ws)), Relations: slices.Sorted(maps.Keys(rs))}
+	return Result{Position: db.Received(), Tuples: int64(len(writes)), Relations: slices.Sorted(maps.Keys(results))}
 }
 
 // statement executes one of a few statements: read RELATION KEY [RELATION KEY ...], add
 // RELATION KEY N, put RELATION KEY N and value NAME, in which a ? is the next parameter. It
 // returns the writes that a commit makes.
-func (c *Replica) statement(n *connection, text string, ps []string) (Result, []Write) {
-	fs := strings.Fields(text)
-	for i, f := range fs {
+func (db *Replica) statement(n *connection, text string, parameters []string) (Result, []Write) {
+	words := strings.Fields(text)
+	for i, f := range words {
 		if f == "?" {
-			if len(ps) == 0 {
+			if len(parameters) == 0 {
 				return Result{Error: "too few parameters"}, nil
 			}
-			fs[i], ps = ps[0], ps[1:]
+			words[i], parameters = parameters[0], parameters[1:]
 		}
 	}
 	switch {
-	case len(ps) > 0:
+	case len(parameters) > 0:
 		return Result{Error: "too many parameters"}, nil
-	case len(fs) == 2 && fs[0] == "value":
-		return Result{Rows: [][]string{{n.values[fs[1]]}}}, nil
-	case len(fs) >= 3 && len(fs)%2 == 1 && fs[0] == "read":
+	case len(words) == 2 && words[0] == "value":
+		return Result{Rows: [][]string{{n.values[words[1]]}}}, nil
+	case len(words) >= 3 && len(words)%2 == 1 && words[0] == "read":
 		var r Result
-		for i := 1; i < len(fs); i += 2 {
-			r.Rows = append(r.Rows, []string{strconv.FormatInt(c.row(n, fs[i], fs[i+1]), 10)})
+		for i := 1; i < len(words); i += 2 {
+			r.Rows = append(r.Rows, []string{strconv.FormatInt(db.row(n, words[i], words[i+1]), 10)})
 		}
 		return r, nil
-	case len(fs) == 4 && (fs[0] == "add" || fs[0] == "put"):
-		v, err := strconv.ParseInt(fs[3], 10, 64)
+	case len(words) == 4 && (words[0] == "add" || words[0] == "put"):
+		v, err := strconv.ParseInt(words[3], 10, 64)
 		if err != nil {
-			return Result{Error: "not a number: " + fs[3]}, nil
+			return Result{Error: "not a number: " + words[3]}, nil
 		}
-		w := Write{Relation: fs[1], Key: fs[2], Add: v}
-		now := c.row(n, fs[1], fs[2]) + v
-		if fs[0] == "put" {
+		w := Write{Relation: words[1], Key: words[2], Add: v}
+		now := db.row(n, words[1], words[2]) + v
+		if words[0] == "put" {
 			w.Add, w.Put, now = 0, &v, v
 		}
 		return Result{Rows: [][]string{{strconv.FormatInt(now, 10)}}}, []Write{w}
@@ -424,8 +426,8 @@
 }
 
 // row is a row's value as a transaction sees it, with its own writes.
-func (c *Replica) row(n *connection, rel, key string) int64 {
-	v := c.rows[rel][key]
+func (db *Replica) row(n *connection, rel, key string) int64 {
+	v := db.rows[rel][key]
 	for _, w := range n.pending {
 		if w.Relation == rel && w.Key == key {
 			if w.Put != nil {
--- a/emulator/databasereplica/server.go
+++ b/emulator/databasereplica/server.go
@@ -181,11 +181,11 @@
 		}
 		m.ServeHTTP(w, r)
 	})
-	hs := &http.Server{Handler: h, BaseContext: func(net.Listener) context.Context { return ctx }}
+	httpServer := &http.Server{Handler: h, BaseContext: func(net.Listener) context.Context { return ctx }}
 	go s.follow(ctx)
 	go s.applyWithLag(ctx)
-	go func() { <-ctx.Done(); hs.Close() }()
-	if err := hs.Serve(l); err != http.ErrServerClosed {
+	go func() { <-ctx.Done(); httpServer.Close() }()
+	if err := httpServer.Serve(l); err != http.ErrServerClosed {
 		return err
 	}
 	return nil
@@ -280,8 +280,8 @@
 }
 
 func (s *Server) run(w http.ResponseWriter, r *http.Request) {
-	var rc RunRequest
-	if err := json.NewDecoder(r.Body).Decode(&rc); err != nil {
+	var request RunRequest
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -290,12 +290,12 @@
 	}
 	s.mu.Lock()
 	had := s.replica.Received()
-	rs, ref := s.replica.Run(pathID(r), rc.Epoch, rc.Ops, rc.ReadOnly, nowUs())
+	results, refused := s.replica.Run(pathID(r), request.Epoch, request.Ops, request.ReadOnly, nowUs())
 	var err error
 	if s.replica.Received() != had {
 		err = s.persist(had, false)
 	}
-	out := RunResponse{Refused: ref, Results: rs, Epoch: s.replica.Epoch, Applied: s.replica.Applied(), AtUs: nowUs()}
+	out := RunResponse{Refused: refused, Results: results, Epoch: s.replica.Epoch, Applied: s.replica.Applied(), AtUs: nowUs()}
 	lost := s.faults.LoseResponses > 0
 	if lost {
 		s.faults.LoseResponses--
@@ -323,7 +323,7 @@
 	until := nowUs() + queryInteger(r, "wait_us")
 	for {
 		s.mu.Lock()
-		es, back, ok := s.replica.LogFor(uint64(queryInteger(r, "epoch")), queryInteger(r, "after"), uint64(queryInteger(r, "after_epoch")), maxLogBatch)
+		entries, back, ok := s.replica.LogFor(uint64(queryInteger(r, "epoch")), queryInteger(r, "after"), uint64(queryInteger(r, "after_epoch")), maxLogBatch)
 		ch := s.changed
 		s.mu.Unlock()
 		if !ok {
@@ -331,8 +331,8 @@
 			return
 		}
 		left := until - nowUs()
-		if len(es) > 0 || back >= 0 || left <= 0 {
-			writeJSON(w, logResponse{Entries: es, Back: back})
+		if len(entries) > 0 || back >= 0 || left <= 0 {
+			writeJSON(w, logResponse{Entries: entries, Back: back})
 			return
 		}
 		if !waitForChange(r.Context(), ch, left) {
@@ -419,15 +419,15 @@
 	if err != nil {
 		return err
 	}
-	rs, err := s.client.Do(r)
+	results, err := s.client.Do(r)
 	if err != nil {
 		return err
 	}
-	defer rs.Body.Close()
-	if rs.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", rs.StatusCode)
+	defer results.Body.Close()
+	if results.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %d", results.StatusCode)
 	}
-	return json.NewDecoder(rs.Body).Decode(v)
+	return json.NewDecoder(results.Body).Decode(v)
 }
 
 // applyWithLag applies entries whose lag has passed.
@@ -513,9 +513,9 @@
 // serveOracleLog serves the log to the checker, also of a database that does not respond.
 func (s *Server) serveOracleLog(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	es := s.replica.Log(queryInteger(r, "after"))
+	entries := s.replica.Log(queryInteger(r, "after"))
 	s.mu.Unlock()
-	writeJSON(w, es)
+	writeJSON(w, entries)
 }
 
 // Call posts a JSON body to an emulated database or platform and decodes the JSON response
@@ -529,16 +529,16 @@
 	if err != nil {
 		return err
 	}
-	rs, err := http.DefaultClient.Do(r)
+	results, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return err
 	}
-	defer rs.Body.Close()
-	if rs.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: status %d", url, rs.StatusCode)
+	defer results.Body.Close()
+	if results.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: status %d", url, results.StatusCode)
 	}
 	if out == nil {
 		return nil
 	}
-	return json.NewDecoder(rs.Body).Decode(out)
+	return json.NewDecoder(results.Body).Decode(out)
 }
--- a/emulator/fleet/callers_test.go
+++ b/emulator/fleet/callers_test.go
@@ -122,8 +122,8 @@
 		t.Errorf("in the end y and x are %+v, not 2 and 0", v.Rows)
 	}
 	if r, err := http.NewRequest(http.MethodDelete, "http://"+node+"/v1/sessions/"+s, bytes.NewReader(nil)); err == nil {
-		if rs, err := http.DefaultClient.Do(r); err != nil || rs.StatusCode != http.StatusOK {
-			t.Errorf("the session's end: %v %v", rs, err)
+		if routes, err := http.DefaultClient.Do(r); err != nil || routes.StatusCode != http.StatusOK {
+			t.Errorf("the session's end: %v %v", routes, err)
 		}
 	}
 	if m := getJSON(t, "http://"+node+"/metrics"); !strings.Contains(m, `stoneford_pool_queries_total{end="done",group="pharmacies/inventory-1"}`) {
@@ -155,17 +155,17 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		fs, err := fleet.ParseFaults(s)
+		fields, err := fleet.ParseFaults(s)
 		if err != nil {
 			return
 		}
-		var ts []string
-		for _, x := range fs {
-			ts = append(ts, x.String())
+		var tokens []string
+		for _, x := range fields {
+			tokens = append(tokens, x.String())
 		}
-		retry, err := fleet.ParseFaults(strings.Join(ts, ","))
-		if err != nil || !slices.Equal(retry, fs) {
-			t.Errorf("%q: %v, then %v %v", s, fs, retry, err)
+		retry, err := fleet.ParseFaults(strings.Join(tokens, ","))
+		if err != nil || !slices.Equal(retry, fields) {
+			t.Errorf("%q: %v, then %v %v", s, fields, retry, err)
 		}
 	})
 }
@@ -180,21 +180,21 @@
 		var code result.Code
 		status := 0
 		if err := fleet.Until(ctx, time.Minute, func() error {
-			rq, err := http.NewRequestWithContext(ctx, method, "http://"+ops[0]+path, strings.NewReader(body))
+			request, err := http.NewRequestWithContext(ctx, method, "http://"+ops[0]+path, strings.NewReader(body))
 			if err != nil {
 				return err
 			}
-			rq.Header.Set("Authorization", token)
-			rs, err := http.DefaultClient.Do(rq)
+			request.Header.Set("Authorization", token)
+			routes, err := http.DefaultClient.Do(request)
 			if err != nil {
 				return err
 			}
-			defer rs.Body.Close()
+			defer routes.Body.Close()
 			var v struct {
 				Code result.Code `json:"code"`
 			}
-			status = rs.StatusCode
-			if err := json.NewDecoder(rs.Body).Decode(&v); err != nil {
+			status = routes.StatusCode
+			if err := json.NewDecoder(routes.Body).Decode(&v); err != nil {
 				return err
 			}
 			if code = v.Code; code == result.NoVoterMajority {
--- a/emulator/fleet/faults.go
+++ b/emulator/fleet/faults.go
@@ -61,7 +61,7 @@
 
 // ParseFaults reads a schedule such as "10s:kill:primary@inventory-1,20s:lag:inventory-1-b:400000".
 func ParseFaults(s string) ([]Fault, error) {
-	var fs []Fault
+	var fields []Fault
 	for _, e := range strings.Split(s, ",") {
 		if e = strings.TrimSpace(e); e == "" {
 			continue
@@ -83,9 +83,9 @@
 				return nil, fmt.Errorf("%q: %w", e, err)
 			}
 		}
-		fs = append(fs, f)
+		fields = append(fields, f)
 	}
-	return fs, nil
+	return fields, nil
 }
 
 // crowdDuration is how long the sessions of a crowd stay.
--- a/emulator/fleet/fleet.go
+++ b/emulator/fleet/fleet.go
@@ -63,10 +63,10 @@
 
 // freeLoopbackPorts are n addresses with free ports on the loopback interface.
 func freeLoopbackPorts(n int) ([]string, error) {
-	var ls []net.Listener
-	var as []string
+	var listeners []net.Listener
+	var addresses []string
 	defer func() {
-		for _, l := range ls {
+		for _, l := range listeners {
 			l.Close()
 		}
 	}()
@@ -75,9 +75,9 @@
 		if err != nil {
 			return nil, err
 		}
-		ls, as = append(ls, l), append(as, l.Addr().String())
+		listeners, addresses = append(listeners, l), append(addresses, l.Addr().String())
 	}
-	return as, nil
+	return addresses, nil
 }
 
 // New makes a fleet of a shape, with its configuration files and data in a folder; nothing
--- a/emulator/fleet/observe.go
+++ b/emulator/fleet/observe.go
@@ -51,20 +51,20 @@
 		return nil
 	}
 	defer r.Body.Close()
-	var ns []string
-	if json.NewDecoder(r.Body).Decode(&ns) != nil {
+	var nodes []string
+	if json.NewDecoder(r.Body).Decode(&nodes) != nil {
 		return nil
 	}
-	return ns
+	return nodes
 }
 
 // Ready returns an error unless a process reports to be ready.
 func (f *Fleet) Ready(ctx context.Context, name string) error {
-	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.processes[name].http+"/v1/ready", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.processes[name].http+"/v1/ready", nil)
 	if err != nil {
 		return err
 	}
-	r, err := http.DefaultClient.Do(rq)
+	r, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
@@ -107,12 +107,12 @@
 			if err != nil {
 				return err
 			}
-			var es []databasereplica.LogEntry
-			out[k] = es
-			if err := json.Unmarshal(b, &es); err != nil {
+			var entries []databasereplica.LogEntry
+			out[k] = entries
+			if err := json.Unmarshal(b, &entries); err != nil {
 				return err
 			}
-			out[k] = es
+			out[k] = entries
 			return nil
 		})
 		if err != nil {
@@ -151,8 +151,8 @@
 		if err != nil {
 			continue // it is down just now
 		}
-		fs := strings.Fields(string(b[bytes.LastIndexByte(b, ')')+1:]))
-		for _, t := range fs[11:13] { // user and system time, in hundredths of a second
+		fields := strings.Fields(string(b[bytes.LastIndexByte(b, ')')+1:]))
+		for _, t := range fields[11:13] { // user and system time, in hundredths of a second
 			if v, err := strconv.ParseInt(t, 10, 64); err == nil {
 				m[p.kind] += time.Duration(v) * 10 * time.Millisecond
 			}
@@ -183,11 +183,11 @@
 			continue
 		}
 		var v poolCounts
-		rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.http+"/v1/counts", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.http+"/v1/counts", nil)
 		if err != nil {
 			continue
 		}
-		r, err := http.DefaultClient.Do(rq)
+		r, err := http.DefaultClient.Do(request)
 		if err != nil {
 			continue
 		}
@@ -212,10 +212,10 @@
 
 // WriteDeployment writes the addresses and tokens by which the fleet is reached.
 func (f *Fleet) WriteDeployment(w io.Writer) {
-	var ts []string
+	var tokens []string
 	for _, p := range f.Shape.Parts {
-		ts = append(ts, Token(p.Partner))
+		tokens = append(tokens, Token(p.Partner))
 	}
 	fmt.Fprintf(w, "control (operators): %s\ntokens: %s\nnodes (callers): %s\nroutes: %s\nfolder: %s\n",
-		strings.Join(f.operatorAddresses, " "), strings.Join(ts, " "), strings.Join(f.Nodes(), " "), strings.Join(f.Shape.groups(), " "), f.folder)
+		strings.Join(f.operatorAddresses, " "), strings.Join(tokens, " "), strings.Join(f.Nodes(), " "), strings.Join(f.Shape.groups(), " "), f.folder)
 }
--- a/emulator/fleet/process.go
+++ b/emulator/fleet/process.go
@@ -40,7 +40,7 @@
 func (f *Fleet) start(p *process) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	lf, err := os.OpenFile(filepath.Join(f.folder, p.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(filepath.Join(f.folder, p.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
@@ -49,9 +49,9 @@
 		bin = f.olderProgramsFolder
 	}
 	c := exec.Command(filepath.Join(bin, p.kind), p.args...)
-	c.Stdout, c.Stderr = lf, lf
+	c.Stdout, c.Stderr = logFile, logFile
 	if err := c.Start(); err != nil {
-		lf.Close()
+		logFile.Close()
 		return err
 	}
 	p.cmd, p.exited, p.exitExpected = c, make(chan struct{}), false
@@ -63,7 +63,7 @@
 	}
 	go func() {
 		err := c.Wait()
-		lf.Close()
+		logFile.Close()
 		for _, k := range p.links {
 			err = errors.Join(err, k.StopListening())
 		}
--- a/emulator/fleet/shape.go
+++ b/emulator/fleet/shape.go
@@ -39,13 +39,13 @@
 
 // groups names every group, as PARTNER/GROUP.
 func (s Shape) groups() []string {
-	var gs []string
+	var groups []string
 	for _, p := range s.Parts {
 		for _, g := range p.Groups {
-			gs = append(gs, p.Partner+"/"+g)
+			groups = append(groups, p.Partner+"/"+g)
 		}
 	}
-	return gs
+	return groups
 }
 
 // owner is the partner that a machine belongs to: the partners bring them in turn.
@@ -84,18 +84,18 @@
 
 // Configuration is one partner's configuration.
 func (f *Fleet) Configuration(partner PartnerShape) map[string]any {
-	dbs, gs, rs := map[string]any{}, map[string]any{}, map[string]any{}
+	dbs, groups, routes := map[string]any{}, map[string]any{}, map[string]any{}
 	for i, g := range partner.Groups {
-		var ms []string
+		var members []string
 		for j := range 3 {
 			n := fmt.Sprintf("%s-%c", g, 'a'+j)
-			ms = append(ms, n)
+			members = append(members, n)
 			dbs[n] = map[string]any{"address": f.databaseAddresses[n], "zone": partner.Zones[(i+j)%3], "connections": partner.Connections}
 		}
-		gs[g] = map[string]any{"members": ms, "primary": ms[0]}
-		rs[g] = map[string]any{"group": g, "classes": partner.Classes[:]}
+		groups[g] = map[string]any{"members": members, "primary": members[0]}
+		routes[g] = map[string]any{"group": g, "classes": partner.Classes[:]}
 	}
-	return map[string]any{"databases": dbs, "groups": gs, "routes": rs, "classes": map[string]any{
+	return map[string]any{"databases": dbs, "groups": groups, "routes": routes, "classes": map[string]any{
 		partner.Classes[0]: map[string]any{"kind": "current"},
 		partner.Classes[1]: map[string]any{"kind": "stale", "stale_us": 1_500_000},
 		partner.Classes[2]: map[string]any{"kind": "pinned", "stale_us": 2_500_000},
--- a/emulator/fleetsimulation/callers.go
+++ b/emulator/fleetsimulation/callers.go
@@ -40,20 +40,20 @@
 	for i := range f.Plan.Callers {
 		g := f.groups[i%len(f.groups)]
 		c := &caller{fleet: f, name: fmt.Sprintf("caller-%d", i), zone: zoneNames[f.Random.IntN(len(zoneNames))], longLived: f.Chance(0.7), setsValues: f.Chance(0.5)}
-		var rs []*callerRoute
+		var routes []*callerRoute
 		for _, r := range f.routes {
 			if r.group == g.name {
-				rs = append(rs, r)
+				routes = append(routes, r)
 			}
 		}
 		// 55, 25 and 20 percent of the callers.
 		switch x := f.Random.Float64(); {
 		case x < 0.55:
-			c.route = rs[0]
+			c.route = routes[0]
 		case x < 0.8:
-			c.route = rs[1]
+			c.route = routes[1]
 		default:
-			c.route = rs[2]
+			c.route = routes[2]
 		}
 		f.callers = append(f.callers, c)
 		f.After(f.Between(0, 300_000), c.next)
--- a/emulator/fleetsimulation/faults_network.go
+++ b/emulator/fleetsimulation/faults_network.go
@@ -53,13 +53,13 @@
 // partitionPrimaryFromFollowers partitions a primary off from some of its followers.
 func (f *Fleet) partitionPrimaryFromFollowers() bool {
 	return f.partitionPrimary(func(g *group) []string {
-		var hs []string
+		var hosts []string
 		for _, d := range g.databases {
 			if d != g.primary && f.Chance(0.7) {
-				hs = append(hs, d.ip)
+				hosts = append(hosts, d.ip)
 			}
 		}
-		return hs
+		return hosts
 	})
 }
 
@@ -71,13 +71,13 @@
 // partitionPrimaryFromNodes partitions a primary off from some pool nodes.
 func (f *Fleet) partitionPrimaryFromNodes() bool {
 	return f.partitionPrimary(func(*group) []string {
-		var hs []string
+		var hosts []string
 		for _, n := range f.nodes {
 			if f.Chance(0.5) {
-				hs = append(hs, n.ip)
+				hosts = append(hosts, n.ip)
 			}
 		}
-		return hs
+		return hosts
 	})
 }
 
@@ -127,32 +127,32 @@
 
 // controlHosts are the hosts of control processes.
 func (f *Fleet) controlHosts() []string {
-	var hs []string
+	var hosts []string
 	for _, c := range f.controls {
-		hs = append(hs, c.ip)
+		hosts = append(hosts, c.ip)
 	}
-	return hs
+	return hosts
 }
 
 // hosts are all hosts but the callers'.
 func (f *Fleet) hosts() []string {
-	var hs []string
+	var hosts []string
 	for _, n := range f.nodes {
-		hs = append(hs, n.ip)
+		hosts = append(hosts, n.ip)
 	}
 	for _, c := range f.controls {
-		if !slices.Contains(hs, c.ip) {
-			hs = append(hs, c.ip)
+		if !slices.Contains(hosts, c.ip) {
+			hosts = append(hosts, c.ip)
 		}
 	}
 	for _, g := range f.groups {
 		for _, d := range g.databases {
-			if !slices.Contains(hs, d.ip) {
-				hs = append(hs, d.ip)
+			if !slices.Contains(hosts, d.ip) {
+				hosts = append(hosts, d.ip)
 			}
 		}
 	}
-	return append(hs, providerHost, "operators")
+	return append(hosts, providerHost, "operators")
 }
 
 // direction is which way a partition stops between a host and others.
--- a/emulator/fleetsimulation/network.go
+++ b/emulator/fleetsimulation/network.go
@@ -118,15 +118,15 @@
 }
 
 func sortedPartitions(m map[[2]string]int) [][2]string {
-	var ks [][2]string
+	var keys [][2]string
 	for k := range m {
-		ks = append(ks, k)
+		keys = append(keys, k)
 	}
-	slices.SortFunc(ks, func(a, b [2]string) int {
+	slices.SortFunc(keys, func(a, b [2]string) int {
 		if a[0] != b[0] {
 			return strings.Compare(a[0], b[0])
 		}
 		return strings.Compare(a[1], b[1])
 	})
-	return ks
+	return keys
 }
--- a/emulator/fleetsimulation/process.go
+++ b/emulator/fleetsimulation/process.go
@@ -111,11 +111,11 @@
 		return
 	}
 	p.frozen = false
-	hs := p.pending
+	hosts := p.pending
 	p.pending = nil
 	by := map[string][]func(){}
 	var srcs []string
-	for _, h := range hs {
+	for _, h := range hosts {
 		if by[h.source] == nil {
 			srcs = append(srcs, h.source)
 		}
--- a/emulator/fleetsimulation/replication.go
+++ b/emulator/fleetsimulation/replication.go
@@ -82,9 +82,9 @@
 // stepDown makes a primary a replica; what waits for replicas ends unconfirmed.
 func (d *Database) stepDown() {
 	d.primary, d.reachesNewPrimarySinceUs, d.applied = false, 0, len(d.log)
-	ws := d.syncWaits
+	waits := d.syncWaits
 	d.syncWaits = nil
-	for _, w := range ws {
+	for _, w := range waits {
 		w.done() // as not confirmed: see confirmed
 	}
 	d.fleet.logf("%s follows as a replica", d.id)
--- a/emulator/platform/platform.go
+++ b/emulator/platform/platform.go
@@ -65,10 +65,10 @@
 	})
 	m.HandleFunc("POST /v1/replace", s.serveAction(func(a actionRequest) error { return s.actions.Replace(a.Database, a.Identity) }))
 	m.HandleFunc("POST /v1/stop", s.serveAction(func(a actionRequest) error { return s.actions.Stop(a.Machine) }))
-	hs := &http.Server{Handler: m}
+	httpServer := &http.Server{Handler: m}
 	go s.watchNodes(ctx)
-	go func() { <-ctx.Done(); hs.Close() }()
-	if err := hs.Serve(l); err != http.ErrServerClosed {
+	go func() { <-ctx.Done(); httpServer.Close() }()
+	if err := httpServer.Serve(l); err != http.ErrServerClosed {
 		return err
 	}
 	return nil
--- a/emulator/simulation/callers.go
+++ b/emulator/simulation/callers.go
@@ -9,7 +9,8 @@
 	"stoneford/result"
 )
 
-// Callers starts the sessions, and for each group the ticks by which the freshness of a read is measured.
+// Callers starts the sessions, and for each group the ticks by which the freshness of a
+// read is measured.
 func (f *Fleet) Callers() {
 	f.watchFaults()
 	for _, g := range f.Plan.Groups {
--- a/emulator/simulation/faults.go
+++ b/emulator/simulation/faults.go
@@ -131,9 +131,9 @@
 func (f *Fleet) ResumeDatabase(n string) {
 	d := f.Databases[n]
 	d.frozen = false
-	hs := d.pending
+	pending := d.pending
 	d.pending = nil
-	for _, h := range hs {
+	for _, h := range pending {
 		f.After(0, h)
 	}
 }
@@ -154,14 +154,14 @@
 // Addresses are those of all processes but the callers: control processes first, then
 // nodes, then databases.
 func (f *Fleet) Addresses() []string {
-	var as []string
+	var addresses []string
 	for _, c := range f.Controls {
-		as = append(as, c.boot.Listen)
+		addresses = append(addresses, c.boot.Listen)
 	}
 	for _, n := range f.Nodes {
-		as = append(as, n.boot.Listen)
+		addresses = append(addresses, n.boot.Listen)
 	}
-	return append(as, slices.Sorted(maps.Keys(f.databaseAt))...)
+	return append(addresses, slices.Sorted(maps.Keys(f.databaseAt))...)
 }
 
 // SetReplicasReceiveNothing has a group's replicas receive nothing, or ends that.
@@ -287,12 +287,12 @@
 
 // DatabasePlacements are the databases, as the language names them.
 func (f *Fleet) DatabasePlacements() []language.Target {
-	var ps []language.Target
+	var partners []language.Target
 	for _, g := range f.Plan.Groups {
 		p := f.Primary(g)
 		for _, n := range f.Configuration.Groups[g].Members {
-			ps = append(ps, language.Target{Name: n, Partner: f.owner[g], Group: f.owner[g] + "/" + g, Zone: f.Databases[n].zone, Primary: p == f.Databases[n]})
+			partners = append(partners, language.Target{Name: n, Partner: f.owner[g], Group: f.owner[g] + "/" + g, Zone: f.Databases[n].zone, Primary: p == f.Databases[n]})
 		}
 	}
-	return ps
+	return partners
 }
--- a/emulator/simulation/fleet_test.go
+++ b/emulator/simulation/fleet_test.go
@@ -49,11 +49,11 @@
 		acked, unsure, all = acked+v.Acknowledged, unsure+v.InDoubt, all+len(f.Oracle.Samples)
 		served += simulation.Served(f.Oracle.Samples) / float64(n)
 		forced = append(forced, f.Oracle.ConfigurationDelays...)
-		for c, hs := range f.Oracle.RejectionDelays {
-			delays[c] = append(delays[c], hs...)
+		for c, pending := range f.Oracle.RejectionDelays {
+			delays[c] = append(delays[c], pending...)
 		}
-		for c, as := range f.Oracle.RetriesAfterRejection {
-			retries[c] = append(retries[c], as...)
+		for c, addresses := range f.Oracle.RetriesAfterRejection {
+			retries[c] = append(retries[c], addresses...)
 		}
 		for _, b := range f.Calendar().Windows {
 			moves[b.State]++
@@ -144,20 +144,20 @@
 			f.Run(at + 4_000_000)
 			end := f.Now
 			v := f.Finish()
-			var ss []simulation.Sample
+			var samples []simulation.Sample
 			for _, s := range f.Oracle.Samples {
 				if s.AtUs >= at && s.AtUs < end {
-					ss = append(ss, s)
+					samples = append(samples, s)
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			fraction := simulation.Served(ss)
+			fraction := simulation.Served(samples)
 			if !c.mutated {
 				least = min(least, fraction)
 			}
-			if ok := fraction >= 0.25 && len(ss) > 50; ok == c.mutated {
-				t.Errorf("%s, seed %d: %.3f of %d queries are served from 12 s after the return on", c.name, seed, fraction, len(ss))
+			if ok := fraction >= 0.25 && len(samples) > 50; ok == c.mutated {
+				t.Errorf("%s, seed %d: %.3f of %d queries are served from 12 s after the return on", c.name, seed, fraction, len(samples))
 			}
 			for _, b := range v.Violations {
 				if !c.mutated {
--- a/emulator/simulation/maintenance_test.go
+++ b/emulator/simulation/maintenance_test.go
@@ -87,9 +87,9 @@
 				t.Errorf("seed %d: %s is the primary still", seed, was.Name())
 			}
 		}
-		ss := f.Oracle.Samples
-		if s := simulation.Served(ss); s < 0.99 {
-			t.Errorf("seed %d: %.4f of %d queries were served through planned moves", seed, s, len(ss))
+		samples := f.Oracle.Samples
+		if s := simulation.Served(samples); s < 0.99 {
+			t.Errorf("seed %d: %.4f of %d queries were served through planned moves", seed, s, len(samples))
 		}
 		v := f.Finish()
 		for _, b := range v.Violations {
--- a/emulator/simulation/mutations_test.go
+++ b/emulator/simulation/mutations_test.go
@@ -120,9 +120,9 @@
 	f.MaxPlatformUs = 1_500_000
 	g := f.Plan.Groups[0]
 	p := f.Primary(g)
-	as := f.Addresses()
-	last := as[6] // behind three control processes and three nodes
-	for _, a := range as[:6] {
+	addresses := f.Addresses()
+	last := addresses[6] // behind three control processes and three nodes
+	for _, a := range addresses[:6] {
 		for _, b := range []string{p.Address(), last} {
 			f.Network.SetPartition(a, b, true)
 			f.Network.SetPartition(b, a, true)
--- a/emulator/simulation/plan.go
+++ b/emulator/simulation/plan.go
@@ -78,11 +78,11 @@
 // configuration is one of a partner's groups; its databases are numbered from
 // the number given.
 func (p Plan) configuration(partner PartnerPlan, from int) []byte {
-	ns, ok := classNames[partner.Partner]
+	nodes, ok := classNames[partner.Partner]
 	if !ok {
-		ns = [3]string{"reserve", "lookup", "pickup"}
+		nodes = [3]string{"reserve", "lookup", "pickup"}
 	}
-	dbs, gs, rs := map[string]any{}, map[string]any{}, map[string]any{}
+	dbs, groups, results := map[string]any{}, map[string]any{}, map[string]any{}
 	for i, g := range partner.Groups {
 		var ms []string
 		for j := range 3 {
@@ -90,13 +90,13 @@
 			ms = append(ms, n)
 			dbs[n] = map[string]any{"address": fmt.Sprintf("10.0.2.%d:1", from+i*3+j+1), "zone": p.Zones[(i+j)%len(p.Zones)], "connections": p.Connections}
 		}
-		gs[g] = map[string]any{"members": ms, "primary": ms[0]}
-		rs[g] = map[string]any{"group": g, "classes": ns[:]}
+		groups[g] = map[string]any{"members": ms, "primary": ms[0]}
+		results[g] = map[string]any{"group": g, "classes": nodes[:]}
 	}
-	b, err := json.Marshal(map[string]any{"databases": dbs, "groups": gs, "routes": rs, "classes": map[string]any{
-		ns[0]: map[string]any{"kind": "current"},
-		ns[1]: map[string]any{"kind": "stale", "stale_us": 1_500_000},
-		ns[2]: map[string]any{"kind": "pinned", "stale_us": 2_500_000},
+	b, err := json.Marshal(map[string]any{"databases": dbs, "groups": groups, "routes": results, "classes": map[string]any{
+		nodes[0]: map[string]any{"kind": "current"},
+		nodes[1]: map[string]any{"kind": "stale", "stale_us": 1_500_000},
+		nodes[2]: map[string]any{"kind": "pinned", "stale_us": 2_500_000},
 	}})
 	if err != nil {
 		panic(err)
--- a/emulator/simulation/process.go
+++ b/emulator/simulation/process.go
@@ -25,9 +25,9 @@
 // resume lets a frozen process go on, with all that arrived meanwhile.
 func (p *processState) resume(f *Fleet) {
 	p.frozen = false
-	hs := p.pending
+	pending := p.pending
 	p.pending = nil
-	for _, h := range hs {
+	for _, h := range pending {
 		f.After(0, h)
 	}
 }
--- a/emulator/simulation/replacement_test.go
+++ b/emulator/simulation/replacement_test.go
@@ -110,24 +110,24 @@
 		ready := f.Now - at
 		f.Run(at + 12_000_000)
 		v := f.Finish()
-		var ss []simulation.Sample
+		var samples []simulation.Sample
 		for _, s := range f.Oracle.Samples {
 			if s.AtUs >= at && s.AtUs < at+6_000_000 {
-				ss = append(ss, s)
+				samples = append(samples, s)
 			}
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		took[stop] = append(took[stop], ready)
-		least = min(least, simulation.Served(ss))
+		least = min(least, simulation.Served(samples))
 		for _, b := range v.Violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
 		if limit := map[bool]int64{true: 5_000_000, false: 10_500_000}[stop]; ready > limit {
 			t.Errorf("seed %d, stopped %v: the node that joined had no share for %d us", seed, stop, ready)
 		}
-		if s := simulation.Served(ss); s < 0.9 || len(ss) < 500 {
-			t.Errorf("seed %d, stopped %v: %.4f of %d queries served meanwhile", seed, stop, s, len(ss))
+		if s := simulation.Served(samples); s < 0.9 || len(samples) < 500 {
+			t.Errorf("seed %d, stopped %v: %.4f of %d queries served meanwhile", seed, stop, s, len(samples))
 		}
 	})
 	t.Logf("a node that joins has its share after %v us where the holder is stopped, %v where it dies; least share served meanwhile %.4f", took[true], took[false], least)
--- a/emulator/simulation/sessions.go
+++ b/emulator/simulation/sessions.go
@@ -69,11 +69,11 @@
 
 // statements are statements without parameters.
 func statements(ts ...string) []querytable.Statement {
-	var ss []querytable.Statement
+	var samples []querytable.Statement
 	for _, t := range ts {
-		ss = append(ss, querytable.Statement{Text: t})
+		samples = append(samples, querytable.Statement{Text: t})
 	}
-	return ss
+	return samples
 }
 
 // open opens the session on a node of its zone that looks ready, else on any. The
--- a/emulator/site-move/move.go
+++ b/emulator/site-move/move.go
@@ -25,16 +25,16 @@
 			return coordinator.MoveReply{}, err
 		}
 		c2, stop := context.WithTimeout(ctx, 2*time.Second)
-		rq, err := http.NewRequestWithContext(c2, method, "http://"+at+coordinator.MovesPath, bytes.NewReader(b))
+		request, err := http.NewRequestWithContext(c2, method, "http://"+at+coordinator.MovesPath, bytes.NewReader(b))
 		if err != nil {
 			stop()
 			return coordinator.MoveReply{}, err
 		}
-		rs, err := http.DefaultClient.Do(rq)
+		response, err := http.DefaultClient.Do(request)
 		var m coordinator.MoveReply
 		if err == nil {
-			err = json.NewDecoder(rs.Body).Decode(&m)
-			rs.Body.Close()
+			err = json.NewDecoder(response.Body).Decode(&m)
+			response.Body.Close()
 		}
 		stop()
 		if err == nil {
--- a/emulator/whatif/change.go
+++ b/emulator/whatif/change.go
@@ -214,11 +214,11 @@
 
 // database finds the one database that words name.
 func database(f *simulation.Fleet, words string) (string, error) {
-	var ws []language.Token
+	var tokens []language.Token
 	for i, w := range strings.Fields(words) {
-		ws = append(ws, language.Token{Text: w, Column: i + 1})
+		tokens = append(tokens, language.Token{Text: w, Column: i + 1})
 	}
-	p, err := language.Resolve(ws, f.DatabasePlacements(), false)
+	p, err := language.Resolve(tokens, f.DatabasePlacements(), false)
 	if err != nil {
 		return "", errWhatIf.New("%s: %w", words, err)
 	}
--- a/emulator/whatif/whatif.go
+++ b/emulator/whatif/whatif.go
@@ -144,23 +144,23 @@
 const maxParallelRuns = 8
 
 // Answer runs a scenario with changes, once for each seed.
-func Answer(k Scenario, cs []Change, seeds []uint64) (Report, error) {
+func Answer(k Scenario, changes []Change, seeds []uint64) (Report, error) {
 	a := Report{Seeds: seeds, Runs: make([]Figures, len(seeds))}
-	for _, c := range cs {
+	for _, c := range changes {
 		a.Changes = append(a.Changes, c.Text)
 	}
-	es := make([]error, len(seeds))
+	errors := make([]error, len(seeds))
 	var wg sync.WaitGroup
 	gate := make(chan struct{}, maxParallelRuns)
 	for i, s := range seeds {
 		wg.Go(func() {
 			gate <- struct{}{}
 			defer func() { <-gate }()
-			a.Runs[i], es[i] = runOnce(k, cs, s)
+			a.Runs[i], errors[i] = runOnce(k, changes, s)
 		})
 	}
 	wg.Wait()
-	return a, errs.Combine(es...)
+	return a, errs.Combine(errors...)
 }
 
 // Figures is the spread of one figure over the seeds.
--- a/emulator/whatif/whatif_test.go
+++ b/emulator/whatif/whatif_test.go
@@ -12,15 +12,15 @@
 	k.ChangeAtUs, k.MeasureUs = 2_000_000, 5_000_000
 	answer := func(ts ...string) Report {
 		t.Helper()
-		var cs []Change
+		var changes []Change
 		for _, x := range ts {
 			c, err := Parse(x)
 			if err != nil {
 				t.Fatal(err)
 			}
-			cs = append(cs, c)
+			changes = append(changes, c)
 		}
-		a, err := Answer(k, cs, []uint64{1, 2})
+		a, err := Answer(k, changes, []uint64{1, 2})
 		if err != nil {
 			t.Fatal(err)
 		}
