--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -434,6 +434,10 @@
 	}
 }
 
+// maxForeignAnswerRuns bounds the runs of a second each in which a foreign answer has to
+// be noticed.
+const maxForeignAnswerRuns = 5
+
 // TestChurnDetectsForeignAnswer: where a database now and then gives the answer to another
 // statement, the callers notice.
 func TestChurnDetectsForeignAnswer(t *testing.T) {
@@ -453,11 +457,14 @@
 		}
 		return answer
 	}
-	wrong := 0
-	for _, c := range runChurn(t, s, 10, time.Second) {
-		wrong += c.foreign
-	}
-	if wrong == 0 {
-		t.Error("no caller noticed")
+	// On a machine with other work the node's lease may run out during a run, and few
+	// answers reach a caller. One that is noticed in any of the runs will do.
+	for range maxForeignAnswerRuns {
+		for _, c := range runChurn(t, s, 10, time.Second) {
+			if c.foreign > 0 {
+				return
+			}
+		}
 	}
+	t.Error("no caller noticed")
 }
